--- a/tests/system/replica_test.cpp
+++ b/tests/system/replica_test.cpp
@@ -16,19 +16,19 @@
 namespace {
 
 // Faults of the program itself, planted to show that the oracle sees them.
-enum class Planted { kNone, kVoteAfterAmnesia, kSendBeforeSync, kLeaseWithoutQuorum };
+enum class InjectedFault { kNone, kVoteAfterAmnesia, kSendBeforeSync, kLeaseWithoutQuorum };
 
-struct Verdict {
-  std::string broken;  // empty: all promises were kept
+struct Result {
+  std::string violation;  // empty: all promises were kept
   std::size_t acknowledged = 0;
   std::size_t leaders = 0;
 };
 
 // A group of machines, each with one replica, in simulated time.
-class World {
+class SimulatedGroup {
  public:
-  World(std::uint64_t seed, std::size_t size, Planted planted)
-      : random_(seed), planted_(planted), machines_(size) {
+  SimulatedGroup(std::uint64_t seed, std::size_t size, InjectedFault fault)
+      : random_(seed), injected_fault_(fault), machines_(size) {
     std::vector<Member> members;
     for (std::size_t i = 0; i < size; ++i) {
       machines_[i].id = next_id_++;
@@ -39,13 +39,13 @@
     drive(0);
   }
 
-  Verdict play(Millis length) {
-    for (; now_ < length && verdict_.broken.empty(); now_ += kStep) step(true);
-    heal();
+  Result play(Millis length) {
+    for (; now_ < length && result_.violation.empty(); now_ += kStep) step(true);
+    clear_faults();
     const Millis settled = now_ + 12000;
-    for (; now_ < settled && verdict_.broken.empty(); now_ += kStep) step(false);
+    for (; now_ < settled && result_.violation.empty(); now_ += kStep) step(false);
     check_end();
-    return verdict_;
+    return result_;
   }
 
  private:
@@ -56,9 +56,9 @@
     StoredState disk;
     std::vector<std::string> applied;  // commands, in this life
     LogIndex applied_from = 0;
-    Millis back_at = 0, frozen_until = 0;
+    Millis back_at = 0, paused_until = 0;
   };
-  struct Flight {
+  struct InFlight {
     Millis at;
     std::size_t from, to;
     Message message{};
@@ -70,7 +70,7 @@
     out.node = "machine-" + std::to_string(i);
     return out;
   }
-  double chance() { return static_cast<double>(random_() >> 11) * 0x1.0p-53; }
+  double uniform() { return static_cast<double>(random_() >> 11) * 0x1.0p-53; }
   bool up(std::size_t i) const { return machines_[i].replica != nullptr; }
 
   void start(std::size_t i) {
@@ -84,33 +84,33 @@
   }
 
   void step(bool faults) {
-    faulty_ = faults;
-    if (faults) strike();
+    faults_enabled_ = faults;
+    if (faults) inject_fault();
     for (std::size_t i = 0; i < machines_.size(); ++i) {
       Machine& m = machines_[i];
       if (!m.replica && now_ >= m.back_at) start(i);
-      if (!m.replica || now_ < m.frozen_until) continue;
+      if (!m.replica || now_ < m.paused_until) continue;
       m.replica->tick(now_);
       drive(i);
     }
     deliver();
-    operate();
+    propose_and_repair();
     check_leases();
   }
 
-  void strike() {
+  void inject_fault() {
     const std::size_t i = random_() % machines_.size();
-    const double what = chance();
+    const double what = uniform();
     if (what < 0.002)
       stop(i, 100 + static_cast<Millis>(random_() % 1500));
     else if (what < 0.0026)
       for (std::size_t j = 0; j < machines_.size(); ++j) stop(j, 50 + static_cast<Millis>(random_() % 600));
     else if (what < 0.004)
-      machines_[i].frozen_until = now_ + static_cast<Millis>(random_() % 2500);
+      machines_[i].paused_until = now_ + static_cast<Millis>(random_() % 2500);
     else if (what < 0.006)
-      cut_.emplace(i, random_() % machines_.size());
+      blocked_links_.emplace(i, random_() % machines_.size());
     else if (what < 0.009)
-      cut_.clear();
+      blocked_links_.clear();
     else if (what < 0.0105 && may_wipe(i))
       wipe(i);
     loss_ = now_ / 3000 % 3 == 1 ? 0.3 : 0.02;
@@ -134,7 +134,7 @@
   void wipe(std::size_t i) {
     Machine& m = machines_[i];
     m.disk = StoredState{};
-    if (planted_ != Planted::kVoteAfterAmnesia) m.id = next_id_++;
+    if (injected_fault_ != InjectedFault::kVoteAfterAmnesia) m.id = next_id_++;
     stop(i, 200 + static_cast<Millis>(random_() % 800));
   }
 
@@ -144,11 +144,11 @@
       Ready ready = m.replica->take_ready();
       const bool durable = ready.hard || ready.snapshot || !ready.entries.empty();
       // Power may go before the disk has it: nothing may have been sent by then.
-      const bool power_lost = durable && faulty_ && now_ > 0 && chance() < 0.001;
-      if (planted_ == Planted::kSendBeforeSync) send(i, ready);
+      const bool power_lost = durable && faults_enabled_ && now_ > 0 && uniform() < 0.001;
+      if (injected_fault_ == InjectedFault::kSendBeforeSync) send(i, ready);
       if (power_lost) return stop(i, 300);
       persist(m.disk, ready);
-      if (planted_ != Planted::kSendBeforeSync) send(i, ready);
+      if (injected_fault_ != InjectedFault::kSendBeforeSync) send(i, ready);
       apply(i, ready);
       if (m.replica->log_size() > 40) {
         m.replica->compact("state");
@@ -168,21 +168,21 @@
     for (Message& message : ready.messages) {
       for (std::size_t to = 0; to < machines_.size(); ++to) {
         if (machines_[to].id != message.to || to == i) continue;
-        if (cut_.contains({i, to}) || chance() < loss_) continue;
-        flights_.push_back({now_ + 1 + static_cast<Millis>(random_() % 30), i, to, message});
+        if (blocked_links_.contains({i, to}) || uniform() < loss_) continue;
+        in_flight_.push_back({now_ + 1 + static_cast<Millis>(random_() % 30), i, to, message});
       }
     }
     ready.messages.clear();
   }
 
   void deliver() {
-    std::vector<Flight> due;
-    std::erase_if(flights_, [&](const Flight& f) {
-      if (f.at > now_ || now_ < machines_[f.to].frozen_until) return false;
+    std::vector<InFlight> due;
+    std::erase_if(in_flight_, [&](const InFlight& f) {
+      if (f.at > now_ || now_ < machines_[f.to].paused_until) return false;
       due.push_back(f);
       return true;
     });
-    for (const Flight& f : due) {
+    for (const InFlight& f : due) {
       if (!up(f.to)) continue;
       machines_[f.to].replica->step(now_, f.message);
       drive(f.to);
@@ -192,28 +192,30 @@
   void apply(std::size_t i, const Ready& ready) {
     for (const LogEntry& entry : ready.committed) {
       const auto [known, added] = committed_.emplace(entry.index, entry.data);
-      if (!added && known->second != entry.data) verdict_.broken = "two commands were committed at one index";
+      if (!added && known->second != entry.data)
+        result_.violation = "two commands were committed at one index";
       if (entry.kind == EntryKind::kCommand && machines_[i].replica->role() == Role::kLeader) {
         acknowledged_.emplace(entry.index, entry.data);
       }
     }
   }
 
-  void operate() {
+  void propose_and_repair() {
     for (std::size_t i = 0; i < machines_.size(); ++i) {
-      if (!up(i) || now_ < machines_[i].frozen_until) continue;
+      if (!up(i) || now_ < machines_[i].paused_until) continue;
       Replica& replica = *machines_[i].replica;
       if (replica.role() != Role::kLeader) continue;
       leaders_.emplace(replica.term(), machines_[i].id);
-      if (leaders_.at(replica.term()) != machines_[i].id) verdict_.broken = "a term has two leaders";
+      if (leaders_.at(replica.term()) != machines_[i].id) result_.violation = "a term has two leaders";
       if (now_ % 50 == 0) replica.propose(now_, "command " + std::to_string(commands_++));
       std::vector<Member> live;
       for (std::size_t j = 0; j < machines_.size(); ++j) {
-        if (up(j) && now_ >= machines_[j].frozen_until && !cut_.contains({j, i})) live.push_back(member(j));
+        if (up(j) && now_ >= machines_[j].paused_until && !blocked_links_.contains({j, i}))
+          live.push_back(member(j));
       }
       MemberRepair repair = plan_member_repair(replica, live, machines_.size(), now_);
       replica.set_learners(repair.learners);
-      if (repair.proposal && replica.has_lease(now_)) replica.propose_members(now_, *repair.proposal);
+      if (repair.new_members && replica.has_lease(now_)) replica.propose_members(now_, *repair.new_members);
       drive(i);
     }
   }
@@ -222,55 +224,57 @@
     std::size_t holders = 0;
     for (const Machine& m : machines_) {
       if (!m.replica) continue;
-      const bool trusting = planted_ == Planted::kLeaseWithoutQuorum && m.replica->role() == Role::kLeader;
-      if (m.replica->has_lease(now_) || trusting) ++holders;
+      const bool ignores_quorum =
+          injected_fault_ == InjectedFault::kLeaseWithoutQuorum && m.replica->role() == Role::kLeader;
+      if (m.replica->has_lease(now_) || ignores_quorum) ++holders;
     }
-    if (holders > 1) verdict_.broken = "two leaders hold the lease";
+    if (holders > 1) result_.violation = "two leaders hold the lease";
   }
 
-  void heal() {
-    cut_.clear();
+  void clear_faults() {
+    blocked_links_.clear();
     loss_ = 0;
-    for (Machine& m : machines_) m.frozen_until = 0;
+    for (Machine& m : machines_) m.paused_until = 0;
   }
 
   void check_end() {
-    verdict_.acknowledged = acknowledged_.size();
-    verdict_.leaders = leaders_.size();
-    if (!verdict_.broken.empty()) return;
+    result_.acknowledged = acknowledged_.size();
+    result_.leaders = leaders_.size();
+    if (!result_.violation.empty()) return;
     std::size_t led = 0;
     for (const Machine& m : machines_) {
       if (!m.replica || m.replica->role() != Role::kLeader) continue;
       ++led;
       if (acknowledged_.empty()) continue;
       if (m.replica->commit_index() < acknowledged_.rbegin()->first)
-        verdict_.broken = "an acknowledged command is lost";
+        result_.violation = "an acknowledged command is lost";
     }
-    if (led != 1) verdict_.broken = "no leader after all faults are over";
+    if (led != 1) result_.violation = "no leader after all faults are over";
   }
 
   std::mt19937_64 random_;
-  Planted planted_;
+  InjectedFault injected_fault_;
   std::vector<Machine> machines_;
   Millis now_ = 0;
   ReplicaId next_id_ = 1;
   double loss_ = 0.02;
-  std::set<std::pair<std::size_t, std::size_t>> cut_;
-  std::vector<Flight> flights_;
+  std::set<std::pair<std::size_t, std::size_t>> blocked_links_;
+  std::vector<InFlight> in_flight_;
   std::map<LogIndex, std::string> committed_, acknowledged_;
   std::map<Term, ReplicaId> leaders_;
   int commands_ = 0;
-  bool faulty_ = false;
-  Verdict verdict_;
+  bool faults_enabled_ = false;
+  Result result_;
 };
 
-Verdict play(std::uint64_t seed, std::size_t size, Planted planted = Planted::kNone, Millis length = 20000) {
-  return World(seed, size, planted).play(length);
+Result play(std::uint64_t seed, std::size_t size, InjectedFault fault = InjectedFault::kNone,
+            Millis length = 20000) {
+  return SimulatedGroup(seed, size, fault).play(length);
 }
 
-std::size_t worlds_until_found(Planted planted, std::size_t most) {
+std::size_t first_failing_seed(InjectedFault fault, std::size_t most) {
   for (std::size_t seed = 1; seed <= most; ++seed) {
-    if (!play(seed, 3, planted).broken.empty()) return seed;
+    if (!play(seed, 3, fault).violation.empty()) return seed;
   }
   return 0;
 }
@@ -281,11 +285,11 @@
   std::size_t acknowledged = 0, leaders = 0;
   for (std::uint64_t seed = 1; seed <= 160; ++seed) {
     const std::size_t size = seed % 4 == 0 ? 5 : 3;
-    const Verdict verdict = play(seed, size);
+    const Result result = play(seed, size);
     INFO("seed " << seed << " size " << size);
-    CHECK(verdict.broken == "");
-    acknowledged += verdict.acknowledged;
-    leaders += verdict.leaders;
+    CHECK(result.violation == "");
+    acknowledged += result.acknowledged;
+    leaders += result.leaders;
   }
   // The worlds are neither idle nor dead.
   CHECK(acknowledged > 160 * 100);
@@ -293,15 +297,15 @@
 }
 
 TEST_CASE("a world plays the same way again") {
-  const Verdict first = play(42, 3), second = play(42, 3);
+  const Result first = play(42, 3), second = play(42, 3);
   CHECK(first.acknowledged == second.acknowledged);
   CHECK(first.leaders == second.leaders);
 }
 
 TEST_CASE("planted faults are found") {
-  CHECK(worlds_until_found(Planted::kSendBeforeSync, 300) > 0);
-  CHECK(worlds_until_found(Planted::kVoteAfterAmnesia, 300) > 0);
-  CHECK(worlds_until_found(Planted::kLeaseWithoutQuorum, 50) > 0);
+  CHECK(first_failing_seed(InjectedFault::kSendBeforeSync, 300) > 0);
+  CHECK(first_failing_seed(InjectedFault::kVoteAfterAmnesia, 300) > 0);
+  CHECK(first_failing_seed(InjectedFault::kLeaseWithoutQuorum, 50) > 0);
 }
 
 TEST_CASE("a leader hands over to a member that has the whole log, and its lease ends first") {
@@ -328,8 +332,8 @@
   run();
   REQUIRE(a.role() == Role::kLeader);
   REQUIRE(a.has_lease(now));
-  CHECK_FALSE(a.transfer(now, 1));
-  REQUIRE(a.transfer(now, 2));
+  CHECK_FALSE(a.transfer_leadership(now, 1));
+  REQUIRE(a.transfer_leadership(now, 2));
   CHECK_FALSE(a.has_lease(now));
   run();
   CHECK(b.role() == Role::kLeader);
--- a/tests/system/storage_test.cpp
+++ b/tests/system/storage_test.cpp
@@ -200,7 +200,7 @@
     auto journal = ControlJournal::open(journal_in(folder.path()), 78);
     REQUIRE(journal.ok());
     CHECK((*journal)->disk_id() == 77);
-    const consensus::StoredState stored = (*journal)->take_stored(1);
+    const consensus::StoredState stored = (*journal)->take_stored_state(1);
     CHECK(stored.hard.term == 5);
     CHECK(stored.entries.size() == 1);
   }
@@ -239,7 +239,7 @@
     auto journal = ControlJournal::open(journal_in(folder.path()), 78);
     REQUIRE(journal.ok());
     CHECK((*journal)->disk_id() == identity);
-    stored = (*journal)->take_stored(1);
+    stored = (*journal)->take_stored_state(1);
     CHECK(stored.hard.term == 4);
     CHECK(stored.hard.vote == 9);
     REQUIRE(stored.entries.size() == 4);
@@ -253,11 +253,11 @@
   auto journal = ControlJournal::open(journal_in(folder.path()), 79);
   REQUIRE(journal.ok());
   CHECK((*journal)->disk_id() == identity);
-  const consensus::StoredState back = (*journal)->take_stored(1);
+  const consensus::StoredState back = (*journal)->take_stored_state(1);
   REQUIRE(back.snapshot);
   CHECK(back.snapshot->state == "folded");
   CHECK(back.entries.size() == 2);
-  CHECK((*journal)->take_stored(5).entries.empty());
+  CHECK((*journal)->take_stored_state(5).entries.empty());
 }
 
 namespace {
@@ -289,7 +289,7 @@
   {
     StateMachineMock machine;
     auto host = open(machine, 0);
-    CHECK(host->is_blank());
+    CHECK(host->has_no_state());
     consensus::Member self{};
     self.id = host->disk_id();
     host->replica(0).bootstrap({self});
@@ -297,11 +297,11 @@
     REQUIRE(host->replica(0).has_lease(1000));
     REQUIRE_CALL(machine, apply(_, _)).WITH(_2.index == 3 && _2.data == "first");
     REQUIRE(host->replica(0).propose(1000, "first"));
-    host->drive(1000);
+    host->process_ready(1000);
   }
   StateMachineMock machine;
   auto host = open(machine, 2000);
-  CHECK_FALSE(host->is_blank());
+  CHECK_FALSE(host->has_no_state());
   REQUIRE_CALL(machine, apply(_, _)).WITH(_2.index == 3 && _2.data == "first");
   host->tick(5000);
   host->tick(9000);
@@ -387,7 +387,7 @@
   REQUIRE(journal.ok());
   CHECK((*journal)->disk_id() == 12);
   CHECK((*journal)->disk_id() != before);
-  CHECK((*journal)->take_stored(0).hard.term == 0);
+  CHECK((*journal)->take_stored_state(0).hard.term == 0);
 }
 
 TEST_CASE("a folder of an earlier format is refused and left as it is") {
--- a/tests/system/traffic_world.cpp
+++ b/tests/system/traffic_world.cpp
@@ -245,16 +245,16 @@
       disk_(seed),
       messenger_(std::make_unique<LoopMessenger>()),
       view_(NodeInfo{}, {}, 1),
-      content_(1e9),
-      follower_(*messenger_, view_, content_,
-                [] {
-                  FollowerSettings out;
-                  out.is_store = true;
-                  return out;
-                }()),
+      config_texts_(1e9),
+      control_client_(*messenger_, view_, config_texts_,
+                      [] {
+                        ControlClientSettings out;
+                        out.is_store = true;
+                        return out;
+                      }()),
       forwarder_(std::make_unique<Engines>(*this), seed + 1),
-      batch_front_(io_, *messenger_, follower_, seed),
-      live_front_(io_, follower_, forwarder_, batch_front_, seed + 2) {
+      batch_front_(io_, *messenger_, control_client_, seed),
+      live_front_(io_, control_client_, forwarder_, batch_front_, seed + 2) {
   settings_.fault_tolerance.machines = 1;
   settings_.bounds.status_s = 600;
   settings_.limits.disk_mb = 64;
@@ -304,30 +304,31 @@
   disk.journal = *std::move(journal);
   disk.queue = std::make_unique<storage::InlineDiskQueue>([raw = disk.journal.get()] { return raw->sync(); },
                                                           [] { return steady_now(); });
-  store_.emplace(*messenger_, follower_, settings_, std::move(disk),
+  store_.emplace(*messenger_, control_client_, settings_, std::move(disk),
                  [this](const JobTable& table, JobRunner::Hooks hooks) {
-                   return std::make_unique<ItemRunner>(io_, forwarder_, follower_, table, std::move(hooks));
+                   return std::make_unique<ItemRunner>(io_, forwarder_, control_client_, table,
+                                                       std::move(hooks));
                  });
 }
 
 void World::configure() {
   hear_leader();
-  ContentReply content{};
-  content.id = content_id_of(1, kConfiguration);
+  ConfigTextReply content{};
+  content.id = config_version_of(1, kConfiguration);
   content.total = kConfiguration.size();
   content.bytes = kConfiguration;
-  follower_.on_content(steady_now(), kLeader, content);
-  if (!follower_.is_fresh(steady_now())) fail("no configuration");
+  control_client_.on_config_text(steady_now(), kLeader, content);
+  if (!control_client_.has_config_lease(steady_now())) fail("no configuration");
 }
 
 void World::hear_leader() {
   PollReply reply{};
   reply.from_leader = true;
   reply.sent_at = steady_now();
-  reply.config = content_id_of(1, kConfiguration);
+  reply.config = config_version_of(1, kConfiguration);
   reply.placement_sequence = table_.sequence;
   reply.placement.push_back(table_);
-  follower_.on_reply(steady_now(), kLeader, reply);
+  control_client_.on_reply(steady_now(), kLeader, reply);
 }
 
 void World::place(const std::vector<StoreId>& members) {
--- a/tests/system/traffic_world.h
+++ b/tests/system/traffic_world.h
@@ -95,8 +95,8 @@
   simulate::SimulatedDisk disk_;
   std::unique_ptr<LoopMessenger> messenger_;
   PartialView view_;
-  ContentServer content_;
-  ControlFollower follower_;
+  ConfigTextProvider config_texts_;
+  ControlClient control_client_;
   Forwarder forwarder_;
   Settings settings_{};
   PlacementTable table_{};
--- a/tools/simulate/campaign.cpp
+++ b/tools/simulate/campaign.cpp
@@ -387,8 +387,8 @@
   void check_nodes() {
     for (std::size_t i = 0; i < cluster_.size(); ++i) {
       if (!cluster_.runs(i)) continue;
-      const ControlFollower& follower = cluster_.node(i)->follower();
-      if (follower.state().generation() < history_.acknowledged())
+      const ControlClient& control_client = cluster_.node(i)->control_client();
+      if (control_client.state().generation() < history_.acknowledged())
         return history_.fail("a node has not followed once all is calm: " + cluster_.machine(i).name);
     }
   }
--- a/tools/simulate/cluster.cpp
+++ b/tools/simulate/cluster.cpp
@@ -124,9 +124,9 @@
 };
 
 // The platform's list, which always shows the same server.
-class Cluster::Listing : public ServerListing {
+class Cluster::Listing : public ServerListSource {
  public:
-  Listing(Cluster& cluster, std::size_t machine, Millis interval, Done done)
+  Listing(Cluster& cluster, std::size_t machine, Millis interval, Callback done)
       : cluster_(cluster), machine_(machine), interval_(interval), done_(std::move(done)) {
     next();
   }
@@ -150,7 +150,7 @@
   Cluster& cluster_;
   std::size_t machine_;
   Millis interval_;
-  Done done_;
+  Callback done_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
@@ -381,7 +381,7 @@
   machine.running = true;
   Process& process = processes_[i];
   process.link = std::make_unique<Link>(*this, i);
-  ListingFactory listing = [this, i](Millis interval, ServerListing::Done done) {
+  ServerListSourceFactory listing = [this, i](Millis interval, ServerListSource::Callback done) {
     return std::make_unique<Listing>(*this, i, interval, std::move(done));
   };
   process.core = std::make_unique<NodeCore>(*process.link, machine.settings, identity_of(i), std::move(disks),
@@ -460,12 +460,12 @@
 
 // A holder whose memory has failed hands out wrong bytes of a configuration, which may still be one.
 void Cluster::damage_content(std::string& message) {
-  if (message.front() != static_cast<char>(MessageType::kContentReply) || !chance(kDamaged)) return;
-  auto reply = decode<ContentReply>(std::string_view(message).substr(1));
+  if (message.front() != static_cast<char>(MessageType::kConfigTextReply) || !chance(kDamaged)) return;
+  auto reply = decode<ConfigTextReply>(std::string_view(message).substr(1));
   if (!reply || reply->bytes.empty()) return;
   char& byte = reply->bytes[random(reply->bytes.size())];
   byte = byte == 'x' ? 'y' : 'x';
-  message = encode_message(MessageType::kContentReply, *reply);
+  message = encode_message(MessageType::kConfigTextReply, *reply);
 }
 
 void Cluster::deliver(std::size_t from, std::size_t to, Millis sent, std::string message) {
@@ -589,7 +589,7 @@
 bool Cluster::call_store(std::size_t at, JobCall call, JobDone done) {
   if (!runs(at)) return false;
   const std::string address =
-      primary_address(processes_[at].core->follower().state().placement(), call.tenant);
+      primary_address(processes_[at].core->control_client().state().placement(), call.tenant);
   if (address.empty()) return false;
   call.call = ++job_call_numbers_;
   job_calls_[call.call] = std::move(done);
@@ -620,13 +620,13 @@
 // ago.
 void Cluster::check_follower(std::size_t i) {
   if (!runs(i)) return;
-  const ControlFollower& follower = processes_[i].core->follower();
-  const std::uint64_t sequence = follower.state().sequence();
+  const ControlClient& control_client = processes_[i].core->control_client();
+  const std::uint64_t sequence = control_client.state().sequence();
   if (sequence < seen_sequence_[i]) history_.fail("a node went back to an older version");
-  if (sequence > seen_sequence_[i]) history_.on_version_held(follower.state().text());
+  if (sequence > seen_sequence_[i]) history_.on_version_held(control_client.state().text());
   seen_sequence_[i] = sequence;
-  if (!follower.is_fresh(clock_of(i))) return;
-  if (follower.state().generation() < history_.acknowledged_at(now() - kLeaseMs))
+  if (!control_client.has_config_lease(clock_of(i))) return;
+  if (control_client.state().generation() < history_.acknowledged_at(now() - kLeaseMs))
     history_.fail("a node serves by a version that is too old");
 }
 
