--- a/bench/peers.cpp
+++ b/bench/peers.cpp
@@ -31,8 +31,8 @@
 
 // Each tells all others every second that it is there; who was not heard for five is dead. Names are known.
 struct Heart final : emulator::Actor {
-  Heart(std::size_t count, std::vector<peers::testing::Said>* said)
-      : heard(count, 0), dead(count), said(said) {}
+  Heart(std::size_t count, std::vector<peers::testing::RecordedChange>* changes)
+      : heard(count, 0), dead(count), changes(changes) {}
   void start(emulator::Context& c) override {
     std::fill(heard.begin(), heard.end(), c.now());
     c.set_timer(c.now() + static_cast<double>(c.random()() % 1000) / 1000, 1);
@@ -49,11 +49,11 @@
       if (!dead[i] && c.now() - heard[i] > 5) {
         dead[i] = 1;
         ++declared;
-        if (said != nullptr) {
+        if (changes != nullptr) {
           Change change;
-          change.member.key = key_of(Fleet::name(i));
-          change.member.state = State::kDead;
-          said->push_back({c.now(), c.self(), change});
+          change.member.key = member_key(Fleet::name(i));
+          change.member.state = MemberState::kDead;
+          changes->push_back({c.now(), c.self(), change});
         }
       }
     }
@@ -61,7 +61,7 @@
   }
   std::vector<double> heard;
   std::vector<char> dead;
-  std::vector<peers::testing::Said>* said;
+  std::vector<peers::testing::RecordedChange>* changes;
   std::uint64_t declared = 0;
 };
 
@@ -72,11 +72,11 @@
   return names[static_cast<int>(kind)];
 }
 
-Settings settings(Kinds kind) {
-  Settings out;
-  out.style = kind == Kinds::kSwim        ? Style::kSwim
-              : kind == Kinds::kLifeguard ? Style::kLifeguard
-                                          : Style::kShipped;
+MembershipSettings settings(Kinds kind) {
+  MembershipSettings out;
+  out.protocol = kind == Kinds::kSwim        ? Protocol::kSwim
+                 : kind == Kinds::kLifeguard ? Protocol::kLifeguard
+                                             : Protocol::kDefault;
   return out;
 }
 
@@ -110,7 +110,7 @@
   if (kind == Kinds::kHearts) {
     for (std::size_t i = 0; i < nodes; ++i) {
       fleet->sim.add([f = fleet.get(), nodes](emulator::ActorId, std::uint64_t) {
-        return std::make_unique<Heart>(nodes, f->record ? &f->said : nullptr);
+        return std::make_unique<Heart>(nodes, f->record ? &f->changes : nullptr);
       });
     }
     fleet->start_all();
@@ -119,9 +119,9 @@
   std::vector<Member> all(nodes);
   for (std::size_t i = 0; i < nodes; ++i) {
     fleet->add(1);
-    all[i].key = key_of(Fleet::name(static_cast<emulator::ActorId>(i)));
+    all[i].key = member_key(Fleet::name(static_cast<emulator::ActorId>(i)));
     all[i].address = i + 1;
-    all[i].life = std::uint64_t{1} << 20;
+    all[i].generation = std::uint64_t{1} << 20;
   }
   std::sort(all.begin(), all.end(), [](const Member& a, const Member& b) { return a.key < b.key; });
   fleet->known = std::move(all);
@@ -150,17 +150,17 @@
     for (int round = 0; round < rounds; ++round) {
       const auto who = static_cast<emulator::ActorId>((static_cast<std::size_t>(round) * 37 + 5) % nodes);
       fleet->sim.run_until(fleet->sim.now() + 3 + 0.13 * round);
-      fleet->said.clear();
+      fleet->changes.clear();
       const double at = fleet->sim.now();
       const std::uint64_t bytes = total(*fleet, &emulator::Traffic::bytes_sent);
       const std::uint64_t datagrams = total(*fleet, &emulator::Traffic::sent);
       fleet->sim.kill(who);
       fleet->sim.run_until(at + 15);
       std::vector<double> heard(nodes, -1);
-      for (const auto& one : fleet->said) {
-        if (one.change.member.key == key_of(Fleet::name(who)) && one.change.member.state == State::kDead &&
-            heard[one.by] < 0) {
-          heard[one.by] = one.at - at;
+      for (const auto& one : fleet->changes) {
+        if (one.change.member.key == member_key(Fleet::name(who)) &&
+            one.change.member.state == MemberState::kDead && heard[one.observer] < 0) {
+          heard[one.observer] = one.at - at;
         }
       }
       std::vector<double> known;
@@ -215,24 +215,25 @@
     pcg64 random(static_cast<std::uint64_t>(seed) + 4);
     const auto anybody = [&] { return static_cast<emulator::ActorId>(random() % nodes); };
     fleet->sim.run_until(10);
-    fleet->said.clear();
+    fleet->changes.clear();
     if (trouble == "one-sided") {
       standins::WayFaults cut;
       cut.cut = true;
       for (std::size_t i = 0; i < nodes * 3 / 2; ++i) fleet->sim.set_way(anybody(), anybody(), cut);
     }
     std::vector<double> stood(nodes, -10);  // until when; infinite while it stands
-    std::unordered_map<Key, emulator::ActorId> who_is;
-    for (emulator::ActorId i = 0; i < nodes; ++i) who_is[key_of(Fleet::name(i))] = i;
+    std::unordered_map<MemberKey, emulator::ActorId> who_is;
+    for (emulator::ActorId i = 0; i < nodes; ++i) who_is[member_key(Fleet::name(i))] = i;
     const auto look = [&] {
-      for (const auto& one : fleet->said) {
-        const bool dead = one.change.member.state == State::kDead;
-        const bool own = kAll[k] == Kinds::kHearts || one.change.by == key_of(Fleet::name(one.by));
-        if (!own || (!dead && one.change.member.state != State::kSuspect)) continue;
+      for (const auto& one : fleet->changes) {
+        const bool dead = one.change.member.state == MemberState::kDead;
+        const bool own =
+            kAll[k] == Kinds::kHearts || one.change.source == member_key(Fleet::name(one.observer));
+        if (!own || (!dead && one.change.member.state != MemberState::kSuspect)) continue;
         const bool stands = one.at < stood[who_is[one.change.member.key]] + 1;
         ++(stands ? s.standing : dead ? s.dead : s.accusations);
       }
-      fleet->said.clear();
+      fleet->changes.clear();
     };
     const std::uint64_t bytes = total(*fleet, &emulator::Traffic::bytes_sent);
     const double from = fleet->sim.now(), until = from + minutes * 60;
--- a/daemon/config.cpp
+++ b/daemon/config.cpp
@@ -86,7 +86,7 @@
   if (static_cast<std::size_t>(position) >= out.members.size()) {
     json::wrong("peers", "a list that holds this node's position");
   }
-  if (json::find(in, "peers_all") != nullptr) out.all = read_udp(json::text(in, "peers_all"));
+  if (json::find(in, "peers_all") != nullptr) out.broadcast = read_udp(json::text(in, "peers_all"));
   for (const auto& e : out.members) {
     if (!e.address().is_v4()) json::wrong("peers", "an array of IPv4 addresses");
   }
@@ -153,7 +153,7 @@
   const auto at = static_cast<std::size_t>(s.zone);
   const std::string zone = at < config.zones.size() ? config.zones[at] : "";
   if (config.peers)
-    peers::identify(*config.peers, {config.name, zone, s.tier, s.copy_index, s.copy_count, config.seed});
+    peers::set_identity(*config.peers, {config.name, zone, s.tier, s.copy_index, s.copy_count, config.seed});
   if (!config.duties) return;
   duties::Node& self = config.duties->service.client.holding.self;
   self.name = config.name.substr(0, duties::kLongestName);
--- a/daemon/main.cpp
+++ b/daemon/main.cpp
@@ -73,10 +73,10 @@
     if (!file.empty()) ns::add_operator_file(out, operator_file(file, false));
   }
   if (out.peers && !out.peers_key_file.empty()) {
-    out.peers->cluster.keys = ns::peers::read_keys(contents(out.peers_key_file));
+    out.peers->cluster.keys = ns::peers::parse_keys(contents(out.peers_key_file));
   }
   if (out.duties && !out.duties->key_file.empty()) {
-    out.duties->service.keys.keys = ns::peers::read_keys(contents(out.duties->key_file));
+    out.duties->service.keys.keys = ns::peers::parse_keys(contents(out.duties->key_file));
     if (out.duties->voter) out.duties->voter->keys = out.duties->service.keys;
   }
   return out;
--- a/daemon/node.cpp
+++ b/daemon/node.cpp
@@ -59,9 +59,9 @@
       look_(io_) {
   if (config.peers) {
     peers_.emplace(io_, *config.peers,
-                   peers::Service::Listeners{[this](const peers::Split& split) {
-                                               engine_.copies_changed(split.index, split.count,
-                                                                      split.sharers);
+                   peers::Service::Listeners{[this](const peers::BalancerAssignment& assignment) {
+                                               engine_.copies_changed(assignment.index, assignment.count,
+                                                                      assignment.rate_limit_divisor);
                                              },
                                              {}},
                    log_);
@@ -166,7 +166,7 @@
 void Node::drain() {
   log_({LogLevel::kInfo, "node", "draining", "draining", {}});
   drain_began_ = now();
-  if (peers_) peers_->leaving();
+  if (peers_) peers_->announce_leaving();
 #ifdef NETTLESTAND_WITH_DUTIES
   if (duties_) duties_->leave();
 #endif
--- a/daemon/operator_file.cpp
+++ b/daemon/operator_file.cpp
@@ -359,33 +359,35 @@
       s.wrong("members", plain(static_cast<double>(o.members.size())) + " where node.nodes says " +
                              plain(out_.settings.copy_count));
     }
-    const std::size_t most = pe::kLongestShort;
+    const std::size_t most = pe::kMaxLabelBytes;
     if (const auto cluster = s.text("cluster", kLongestName)) o.cluster.name = *cluster;
     out_.peers_key_file = s.text("key_file", 4096).value_or("");
     o.settings.self.region = s.text("region", most).value_or("");
-    o.follow = s.flag("follow", true);
-    o.settings.period = s.ms("period_ms", o.settings.period * 1000, 60, 60'000);
-    o.settings.timeout = s.ms("timeout_ms", o.settings.timeout * 1000, 10, 10'000);
-    o.settings.accusers = static_cast<int>(s.whole("accusers", o.settings.accusers, 1, 16));
-    o.settings.least_doubt = s.ms("least_doubt_ms", o.settings.least_doubt * 1000, 40, 60'000);
-    o.settings.most_doubt = s.ms("most_doubt_ms", o.settings.most_doubt * 1000, 40, 600'000);
-    o.settings.seek_period = s.ms("seek_period_ms", o.settings.seek_period * 1000, 100, kHourMs);
-    o.settings.patience = s.ms("patience_ms", o.settings.patience * 1000, 100, kHourMs);
-    o.copies.hold_new = s.ms("hold_new_ms", o.copies.hold_new * 1000, 0, kHourMs);
-    o.copies.hold_lost = s.ms("hold_lost_ms", o.copies.hold_lost * 1000, 0, kHourMs);
-    if (o.settings.timeout * pe::kPeriodTimeouts > o.settings.period) {
+    o.follow_balancers = s.flag("follow", true);
+    o.settings.probe_interval = s.ms("period_ms", o.settings.probe_interval * 1000, 60, 60'000);
+    o.settings.ack_timeout = s.ms("timeout_ms", o.settings.ack_timeout * 1000, 10, 10'000);
+    o.settings.confirmations = static_cast<int>(s.whole("accusers", o.settings.confirmations, 1, 16));
+    o.settings.min_suspicion = s.ms("least_doubt_ms", o.settings.min_suspicion * 1000, 40, 60'000);
+    o.settings.max_suspicion = s.ms("most_doubt_ms", o.settings.max_suspicion * 1000, 40, 600'000);
+    o.settings.rediscovery_interval =
+        s.ms("seek_period_ms", o.settings.rediscovery_interval * 1000, 100, kHourMs);
+    o.settings.name_conflict_timeout =
+        s.ms("patience_ms", o.settings.name_conflict_timeout * 1000, 100, kHourMs);
+    o.balancers.join_delay = s.ms("hold_new_ms", o.balancers.join_delay * 1000, 0, kHourMs);
+    o.balancers.loss_delay = s.ms("hold_lost_ms", o.balancers.loss_delay * 1000, 0, kHourMs);
+    if (o.settings.ack_timeout * pe::kMinIntervalTimeouts > o.settings.probe_interval) {
       s.wrong("timeout_ms",
-              "is over a sixth of peers.period_ms, which is " + plain(o.settings.period * 1000));
+              "is over a sixth of peers.period_ms, which is " + plain(o.settings.probe_interval * 1000));
     }
-    if (o.settings.least_doubt < o.settings.timeout * pe::kDoubtTimeouts) {
+    if (o.settings.min_suspicion < o.settings.ack_timeout * pe::kMinSuspicionTimeouts) {
       s.wrong("least_doubt_ms",
-              "is under four times peers.timeout_ms, which is " + plain(o.settings.timeout * 1000));
+              "is under four times peers.timeout_ms, which is " + plain(o.settings.ack_timeout * 1000));
     }
-    if (o.settings.most_doubt < o.settings.least_doubt) {
+    if (o.settings.max_suspicion < o.settings.min_suspicion) {
       s.wrong("most_doubt_ms",
-              "is under peers.least_doubt_ms, which is " + plain(o.settings.least_doubt * 1000));
+              "is under peers.least_doubt_ms, which is " + plain(o.settings.min_suspicion * 1000));
     }
-    if (out_.name.size() > pe::kLongestName)
+    if (out_.name.size() > pe::kMaxNameBytes)
       root_.wrong("node", "name: over 32 bytes, which [peers] can't tell of");
     const auto zone = static_cast<std::size_t>(out_.settings.zone);
     if (zone < out_.zones.size() && out_.zones[zone].size() > most) {
@@ -704,7 +706,7 @@
   platform.peers->listen = own.listen;
   platform.peers->members = own.members;
   platform.peers->join.clear();
-  platform.peers->all = own.all;
+  platform.peers->broadcast = own.broadcast;
   platform.peers_key_file = file.peers_key_file;
   identify(platform);
 }
--- a/gateway/convert.cpp
+++ b/gateway/convert.cpp
@@ -75,10 +75,10 @@
   if (!options.membership) return;
   const MembershipOptions& m = *options.membership;
   peers::ServiceOptions& to = out.peers.emplace();
-  checker.name("membership.name", m.name, peers::kLongestName);
+  checker.name("membership.name", m.name, peers::kMaxNameBytes);
   checker.name("membership.cluster", m.cluster, kLongestName);
-  if (m.region.size() > peers::kLongestShort) checker.wrong("membership.region", "over 12 bytes");
-  if (options.zone.size() > peers::kLongestShort)
+  if (m.region.size() > peers::kMaxLabelBytes) checker.wrong("membership.region", "over 12 bytes");
+  if (options.zone.size() > peers::kMaxLabelBytes)
     checker.wrong("zone", "over 12 bytes, which membership can't tell of");
   if (const auto listen = udp_of(checker, "membership.listen", m.listen, true)) to.listen = *listen;
   for (std::size_t i = 0; i < m.join.size(); ++i) {
@@ -99,15 +99,16 @@
     std::string lines;
     for (const std::string& key : m.keys) lines += key + "\n";
     try {
-      to.cluster.keys = peers::read_keys(lines);
+      to.cluster.keys = peers::parse_keys(lines);
     } catch (const std::runtime_error& problem) {
       checker.wrong("membership.keys", problem.what());
     }
   }
   to.cluster.name = m.cluster;
-  to.follow = m.follow;
+  to.follow_balancers = m.follow;
   to.settings.self.region = m.region;
-  peers::identify(to, {m.name, options.zone, options.tier, options.position, options.peers, options.seed});
+  peers::set_identity(to,
+                      {m.name, options.zone, options.tier, options.position, options.peers, options.seed});
 }
 
 void check_duties(Checker& checker, const Options& options, Checked& out) {
@@ -144,7 +145,7 @@
     std::string lines;
     for (const std::string& key : d.keys) lines += key + "\n";
     try {
-      to.keys.keys = peers::read_keys(lines);
+      to.keys.keys = peers::parse_keys(lines);
     } catch (const std::runtime_error& problem) {
       checker.wrong("duties.keys", problem.what());
     }
--- a/gateway/impl.cpp
+++ b/gateway/impl.cpp
@@ -79,9 +79,9 @@
   }
   if (checked_.peers) {
     peers_.emplace(loop_, *checked_.peers,
-                   peers::Service::Listeners{[this](const peers::Split& split) {
-                                               engine_.copies_changed(split.index, split.count,
-                                                                      split.sharers);
+                   peers::Service::Listeners{[this](const peers::BalancerAssignment& assignment) {
+                                               engine_.copies_changed(assignment.index, assignment.count,
+                                                                      assignment.rate_limit_divisor);
                                              },
                                              {}},
                    [this](const LogEvent& event) { log(event); });
@@ -316,7 +316,7 @@
     if (shut_) return;
     stopped_ = std::move(*done);
     draining_ = true;
-    if (peers_) peers_->leaving();
+    if (peers_) peers_->announce_leaving();
     if (duties_) duties_->leave();
     double longest = 0;
     for (const auto& c : checked_.engine.settings.classes) longest = std::max(longest, c.give_up);
--- a/peers/member.cpp
+++ b/peers/member.cpp
@@ -14,29 +14,29 @@
 
 }  // namespace
 
-Key key_of(const std::string& name) {
-  const Key out = XXH64(name.data(), name.size(), 0);
+MemberKey member_key(const std::string& name) {
+  const MemberKey out = XXH64(name.data(), name.size(), 0);
   return out == 0 ? 1 : out;  // 0 is nobody
 }
 
-const char* name_of(State state) {
+const char* name_of(MemberState state) {
   switch (state) {
-    case State::kAlive:
+    case MemberState::kAlive:
       return "alive";
-    case State::kSuspect:
+    case MemberState::kSuspect:
       return "suspect";
-    case State::kLeaving:
+    case MemberState::kLeaving:
       return "leaving";
-    case State::kDead:
+    case MemberState::kDead:
       return "dead";
     default:
       return "left";
   }
 }
 
-std::size_t bytes_of(const Update& u) {
-  std::size_t out =
-      1 + number(u.key) + number(u.life) + number(u.incarnation) + 1 + number(u.address) + number(u.accuser);
+std::size_t max_encoded_bytes(const Update& u) {
+  std::size_t out = 1 + number(u.key) + number(u.generation) + number(u.incarnation) + 1 + number(u.address) +
+                    number(u.reporter);
   if (u.identity) {
     const Identity& id = *u.identity;
     out += text(id.name) + text(id.zone) + text(id.region) + text(id.version) + number(id.tier) +
@@ -45,11 +45,11 @@
   return out;
 }
 
-std::size_t bytes_of(const Message& m) {
+std::size_t max_encoded_bytes(const Message& m) {
   constexpr std::size_t kCounter = 9;  // the datagram's number, which its sender's wire gives it
-  std::size_t out = 1 + 1 + 5 + kCounter + 1 + number(m.seq) + number(m.from) + number(m.life) +
-                    number(m.target) + number(m.target_life) + 1 + 1 + kSealBytes;
-  for (const Update& u : m.updates) out += bytes_of(u);
+  std::size_t out = 1 + 1 + 5 + kCounter + 1 + number(m.seq) + number(m.from) + number(m.generation) +
+                    number(m.target) + number(m.target_generation) + 1 + 1 + kMacBytes;
+  for (const Update& u : m.updates) out += max_encoded_bytes(u);
   return out;
 }
 
--- a/peers/service.cpp
+++ b/peers/service.cpp
@@ -20,16 +20,17 @@
 using asio::ip::udp;
 using boost::system::error_code;
 
-constexpr int kTurn = 64;            // datagrams that are read before others on the loop have their turn
-constexpr double kMostTaken = 1000;  // datagrams a second that are looked at; what is over is dropped
-constexpr std::size_t kMostElsewhere = 4096;  // endpoints beyond the list that are remembered
-constexpr double kCountsEvery = 10;           // s between lines on what was dropped
-constexpr int kTellAll = 3;                   // times that `all` hears of a start,
-constexpr double kTellAllEvery = 1;           // s apart
-constexpr int kReceiveBuffer = 256 * 1024;
+constexpr int kMaxReadsPerTurn = 64;  // datagrams that are read before others on the loop have their turn
+constexpr double kMaxDatagramsPerSecond =
+    1000;  // datagrams a second that are looked at; what is over is dropped
+constexpr std::size_t kMaxUnlistedEndpoints = 4096;  // endpoints beyond the list that are remembered
+constexpr double kDropLogIntervalSeconds = 10;       // s between lines on what was dropped
+constexpr int kStartBroadcasts = 3;                  // times that `all` hears of a start,
+constexpr double kBroadcastIntervalSeconds = 1;      // s apart
+constexpr int kReceiveBufferBytes = 256 * 1024;
 
 // A hint alone: a process whose clock is wrong is told which lives are taken.
-std::uint64_t life_hint() {
+std::uint64_t generation_hint() {
   const auto since = std::chrono::system_clock::now().time_since_epoch();
   return static_cast<std::uint64_t>(
       std::max<std::int64_t>(1, std::chrono::duration_cast<std::chrono::milliseconds>(since).count()));
@@ -50,16 +51,16 @@
 }
 
 // In a list of all its own place, else its address.
-Settings settings_of(const ServiceOptions& o, const udp::endpoint& at) {
-  Settings out = o.settings;
-  out.life = life_hint();
+MembershipSettings settings_of(const ServiceOptions& o, const udp::endpoint& at) {
+  MembershipSettings out = o.settings;
+  out.generation = generation_hint();
   out.seed = o.seed;
-  out.address = o.members.empty() ? packed(at) : static_cast<Address>(o.copies.index) + 1;
+  out.address = o.members.empty() ? packed(at) : static_cast<Address>(o.balancers.index) + 1;
   return out;
 }
 
-CopiesSettings copies_of(const ServiceOptions& o) {
-  CopiesSettings out = o.copies;
+BalancerTrackerSettings tracker_settings_of(const ServiceOptions& o) {
+  BalancerTrackerSettings out = o.balancers;
   out.self = o.settings.self;
   return out;
 }
@@ -71,26 +72,26 @@
         throw std::invalid_argument("peers: an address is not IPv4 with a port");
     }
   }
-  if (!o.members.empty() && static_cast<std::size_t>(o.copies.index) >= o.members.size()) {
+  if (!o.members.empty() && static_cast<std::size_t>(o.balancers.index) >= o.members.size()) {
     throw std::invalid_argument("peers: this node's number is not a place in the list of members");
   }
 }
 
 }  // namespace
 
-void identify(ServiceOptions& options, const Place& place) {
+void set_identity(ServiceOptions& options, const NodePlacement& place) {
   Identity& self = options.settings.self;
-  self.name = place.name.substr(0, kLongestName);
-  self.zone = place.zone.substr(0, kLongestShort);
-  self.version = std::string(NETTLESTAND_VERSION).substr(0, kLongestShort);
+  self.name = place.name.substr(0, kMaxNameBytes);
+  self.zone = place.zone.substr(0, kMaxLabelBytes);
+  self.version = std::string(NETTLESTAND_VERSION).substr(0, kMaxLabelBytes);
   self.tier = static_cast<std::uint8_t>(std::clamp(place.tier, 0, 255));
   self.number = static_cast<std::uint32_t>(std::max(0, place.position));
-  options.copies.index = place.position;
-  options.copies.count = place.count;
+  options.balancers.index = place.position;
+  options.balancers.count = place.count;
   options.seed = place.seed;
 }
 
-std::vector<std::string> read_keys(const std::string& text) {
+std::vector<std::string> parse_keys(const std::string& text) {
   std::vector<std::string> out;
   int number = 0;
   for (std::size_t from = 0; from < text.size();) {
@@ -131,17 +132,17 @@
       log_(std::move(log)),
       socket_(io, udp::v4()),
       timer_(io),
-      wire_(options_.cluster),
-      core_([this] {
-        socket_.set_option(udp::socket::receive_buffer_size(kReceiveBuffer));
+      codec_(options_.cluster),
+      membership_([this] {
+        socket_.set_option(udp::socket::receive_buffer_size(kReceiveBufferBytes));
         socket_.bind(options_.listen);
         socket_.non_blocking(true);
         return settings_of(options_, socket_.local_endpoint());
       }()),
-      copies_(copies_of(options_), now()) {
+      balancers_(tracker_settings_of(options_), now()) {
   for (const udp::endpoint& e : options_.members) {
     endpoints_.push_back(e);
-    places_[e] = endpoints_.size();
+    addresses_[e] = endpoints_.size();
   }
 }
 
@@ -149,49 +150,49 @@
 
 void Service::start() {
   running_ = true;
-  tokens_ = 2 * kMostTaken;
+  tokens_ = 2 * kMaxDatagramsPerSecond;
   tokens_at_ = now();
-  next_counts_ = now() + kCountsEvery;
-  next_all_ = now();
+  next_drop_log_ = now() + kDropLogIntervalSeconds;
+  next_broadcast_ = now();
   log_({LogLevel::kInfo,
         "peers",
         "started",
         "membership on " + text_of(address()) + " as " + options_.settings.self.name,
         {{"address", text_of(address())},
          {"name", options_.settings.self.name},
-         {"life", static_cast<std::int64_t>(core_.life())},
-         {"sealed", wire_.sealed()}}});
-  std::vector<Membership::Out> out;
-  core_.start(now(), asked_first(), out);
-  deliver(out);
-  await();
+         {"life", static_cast<std::int64_t>(membership_.generation())},
+         {"sealed", codec_.authenticated()}}});
+  std::vector<Membership::Outgoing> out;
+  membership_.start(now(), seed_addresses(), out);
+  flush(out);
+  wait_readable();
 }
 
 void Service::reload(const ServiceOptions& next) {
   check(next);
-  if (next.members.empty() != options_.members.empty() || next.copies.index != options_.copies.index) {
+  if (next.members.empty() != options_.members.empty() || next.balancers.index != options_.balancers.index) {
     throw std::invalid_argument(
         "peers: how nodes are named, and which of them this is, holds until the next start");
   }
-  wire_.keys(next.cluster.keys);
+  codec_.set_keys(next.cluster.keys);
   for (std::size_t i = 0; i < next.members.size(); ++i) {
     if (i < options_.members.size() && endpoints_[i] == next.members[i]) continue;
     if (i >= options_.members.size()) {
       throw std::invalid_argument("peers: more members than at the start");
     }
-    if (places_[endpoints_[i]] == i + 1) places_.erase(endpoints_[i]);
+    if (addresses_[endpoints_[i]] == i + 1) addresses_.erase(endpoints_[i]);
     endpoints_[i] = next.members[i];
-    places_[next.members[i]] = i + 1;
+    addresses_[next.members[i]] = i + 1;
   }
   options_.members = next.members;
   options_.join = next.join;
   options_.cluster = next.cluster;
-  core_.join(asked_first());
+  membership_.set_seed_addresses(seed_addresses());
 }
 
-std::vector<Address> Service::asked_first() {
+std::vector<Address> Service::seed_addresses() {
   std::vector<Address> out;
-  if (by_place()) {
+  if (addresses_by_index()) {
     for (std::size_t i = 0; i < options_.members.size(); ++i) out.push_back(i + 1);
   } else {
     for (const udp::endpoint& e : options_.join) out.push_back(packed(e));
@@ -202,17 +203,17 @@
 // ------------------------------------------------------------ addresses
 
 Address Service::address_of(const Endpoint& endpoint) {
-  if (!by_place()) return packed(endpoint);
-  const auto it = places_.find(endpoint);
-  if (it != places_.end()) return it->second;
-  if (endpoints_.size() >= options_.members.size() + kMostElsewhere) return 0;
+  if (!addresses_by_index()) return packed(endpoint);
+  const auto it = addresses_.find(endpoint);
+  if (it != addresses_.end()) return it->second;
+  if (endpoints_.size() >= options_.members.size() + kMaxUnlistedEndpoints) return 0;
   endpoints_.push_back(endpoint);
-  return places_[endpoint] = endpoints_.size();
+  return addresses_[endpoint] = endpoints_.size();
 }
 
 std::optional<udp::endpoint> Service::endpoint_of(Address address) const {
   if (address == 0) return std::nullopt;
-  if (by_place()) {
+  if (addresses_by_index()) {
     if (address > endpoints_.size()) return std::nullopt;
     return endpoints_[address - 1];
   }
@@ -225,52 +226,52 @@
 // ------------------------------------------------------------ sending and taking
 
 // Places beyond the list are one node's own numbers, and mean nothing to another.
-void Service::keep_listed(Message& message) const {
-  if (!by_place()) return;
+void Service::clear_unlisted_addresses(Message& message) const {
+  if (!addresses_by_index()) return;
   for (Update& u : message.updates) {
     if (u.address > options_.members.size()) u.address = 0;
   }
 }
 
 void Service::send(const Endpoint& to, Message message) {
-  keep_listed(message);
-  const std::string bytes = wire_.encode(message);
+  clear_unlisted_addresses(message);
+  const std::string bytes = codec_.encode(message);
   error_code error;
   socket_.send_to(asio::buffer(bytes), to, 0, error);
   if (error) {  // as lost on the way
-    ++counters_.unsent;
+    ++counters_.send_failures;
     return;
   }
   ++counters_.sent;
   counters_.bytes_sent += bytes.size();
 }
 
-void Service::send(std::vector<Membership::Out>& out) {
-  for (Membership::Out& o : out) {
+void Service::send(std::vector<Membership::Outgoing>& out) {
+  for (Membership::Outgoing& o : out) {
     if (const auto to = endpoint_of(o.to)) send(*to, std::move(o.message));
   }
   out.clear();
 }
 
-void Service::deliver(std::vector<Membership::Out>& out) {
+void Service::flush(std::vector<Membership::Outgoing>& out) {
   send(out);
-  follow_changes();
-  arm();
+  publish_changes();
+  arm_timer();
 }
 
-void Service::await() {
+void Service::wait_readable() {
   socket_.async_wait(udp::socket::wait_read, [this, alive = alive_](const error_code& error) {
     if (!*alive || error || !running_) return;
-    take();
-    if (running_) await();
+    read_datagrams();
+    if (running_) wait_readable();
   });
 }
 
 // Guards the node's other work: so many at a time, and so many a second, whatever comes.
-void Service::take() {
+void Service::read_datagrams() {
   std::array<char, 2048> buffer;
-  std::vector<Membership::Out> out;
-  for (int i = 0; i < kTurn && running_; ++i) {
+  std::vector<Membership::Outgoing> out;
+  for (int i = 0; i < kMaxReadsPerTurn && running_; ++i) {
     Endpoint from;
     error_code error;
     const std::size_t size = socket_.receive_from(asio::buffer(buffer), from, 0, error);
@@ -279,92 +280,96 @@
     ++counters_.received;
     counters_.bytes_received += size;
     const double at = now();
-    tokens_ = std::min(2 * kMostTaken, tokens_ + (at - tokens_at_) * kMostTaken);
+    tokens_ = std::min(2 * kMaxDatagramsPerSecond, tokens_ + (at - tokens_at_) * kMaxDatagramsPerSecond);
     tokens_at_ = at;
     if (tokens_ < 1) {
-      ++counters_.flooded;
+      ++counters_.rate_limited;
       continue;
     }
     tokens_ -= 1;
-    Refusal why = Refusal::kNone;
-    auto message = wire_.decode({buffer.data(), size}, why);
+    DecodeError decode_error = DecodeError::kNone;
+    auto message = codec_.decode({buffer.data(), size}, decode_error);
     if (!message) {
-      ++counters_.refused[static_cast<std::size_t>(why)];
+      ++counters_.decode_errors[static_cast<std::size_t>(decode_error)];
       continue;
     }
     const Address address = address_of(from);
     if (address == 0) {
-      ++counters_.strangers;
+      ++counters_.unknown_senders;
       continue;
     }
-    keep_listed(*message);
-    core_.message(at, address, *message, out);
+    clear_unlisted_addresses(*message);
+    membership_.on_message(at, address, *message, out);
     send(out);
   }
-  deliver(out);
+  flush(out);
 }
 
-void Service::turn() {
-  std::vector<Membership::Out> out;
+void Service::on_timer() {
+  std::vector<Membership::Outgoing> out;
   const double at = now();
-  if (at >= core_.next()) core_.tick(at, out);
-  if (options_.all && told_all_ < kTellAll && at >= next_all_ && !core_.refused()) {
-    ++told_all_;
-    next_all_ = at + kTellAllEvery;
-    send(*options_.all, core_.hello());
+  if (at >= membership_.next_tick()) membership_.tick(at, out);
+  if (options_.broadcast && broadcasts_sent_ < kStartBroadcasts && at >= next_broadcast_ &&
+      !membership_.refused()) {
+    ++broadcasts_sent_;
+    next_broadcast_ = at + kBroadcastIntervalSeconds;
+    send(*options_.broadcast, membership_.hello());
   }
-  if (at >= next_counts_) {
-    next_counts_ = at + kCountsEvery;
-    tell_counts();
+  if (at >= next_drop_log_) {
+    next_drop_log_ = at + kDropLogIntervalSeconds;
+    log_drops();
   }
-  deliver(out);
+  flush(out);
 }
 
-void Service::arm() {
+void Service::arm_timer() {
   if (!running_) return;
-  double next = std::min({core_.next(), copies_.next(), next_counts_});
-  if (options_.all && told_all_ < kTellAll) next = std::min(next, next_all_);
+  double next = std::min({membership_.next_tick(), balancers_.next_tick(), next_drop_log_});
+  if (options_.broadcast && broadcasts_sent_ < kStartBroadcasts) next = std::min(next, next_broadcast_);
   timer_.expires_at(at(next));
   timer_.async_wait([this, alive = alive_](const error_code& error) {
-    if (*alive && !error && running_) turn();
+    if (*alive && !error && running_) on_timer();
   });
 }
 
 // ------------------------------------------------------------ what is told
 
-std::string Service::shown(const Member& m) const { return m.described ? m.id.name : hex(m.key); }
+std::string Service::display_name(const Member& m) const {
+  return m.identity_known ? m.identity.name : hex(m.key);
+}
 
-std::string Service::shown(Address address) const {
+std::string Service::display_name(Address address) const {
   const auto to = endpoint_of(address);
   return to ? text_of(*to) : "unknown";
 }
 
-void Service::follow_changes() {
+void Service::publish_changes() {
   const double at = now();
-  for (const Change& change : core_.changes()) {
-    copies_.changed(at, change.member);
-    tell(change);
+  for (const Change& change : membership_.changes()) {
+    balancers_.on_member_changed(at, change.member);
+    log_change(change);
     if (listeners_.changed) listeners_.changed(change);
   }
-  const auto& c = core_.counters();
-  if (c.rebirths > std::exchange(told_rebirths_, c.rebirths)) {
+  const auto& c = membership_.counters();
+  if (c.rejoins > std::exchange(logged_rejoins_, c.rejoins)) {
     log_({LogLevel::kWarning,
           "peers",
           "reborn",
-          "others had taken this node for dead: it goes on as life " + std::to_string(core_.life()),
-          {{"life", static_cast<std::int64_t>(core_.life())}}});
+          "others had taken this node for dead: it goes on as life " +
+              std::to_string(membership_.generation()),
+          {{"life", static_cast<std::int64_t>(membership_.generation())}}});
   }
-  if (c.stood > std::exchange(told_stood_, c.stood)) {
+  if (c.stalls > std::exchange(logged_stalls_, c.stalls)) {
     log_({LogLevel::kWarning, "peers", "stood", "this process stood: it accuses nobody for a while", {}});
   }
-  if (c.namesakes > std::exchange(told_namesakes_, c.namesakes)) {
+  if (c.name_conflicts > std::exchange(logged_name_conflicts_, c.name_conflicts)) {
     log_({LogLevel::kError,
           "peers",
           "namesake",
           "another process is there under the name " + options_.settings.self.name,
           {{"name", options_.settings.self.name}}});
   }
-  if (core_.refused() && !std::exchange(told_refused_, true)) {
+  if (membership_.refused() && !std::exchange(logged_refused_, true)) {
     log_({LogLevel::kError,
           "peers",
           "refused",
@@ -372,80 +377,81 @@
               " is another process's: this one stays out of membership",
           {{"name", options_.settings.self.name}}});
   }
-  if (copies_.next() > at) return;
-  if (const auto split = copies_.tick(at); split && options_.follow) {
+  if (balancers_.next_tick() > at) return;
+  if (const auto assignment = balancers_.tick(at); assignment && options_.follow_balancers) {
     log_({LogLevel::kInfo,
           "peers",
           "copies",
-          "this is copy " + std::to_string(split->index) + " of " + std::to_string(split->count),
-          {{"index", std::int64_t{split->index}},
-           {"count", std::int64_t{split->count}},
-           {"sharers", split->sharers}}});
-    if (listeners_.split) listeners_.split(*split);
+          "this is copy " + std::to_string(assignment->index) + " of " + std::to_string(assignment->count),
+          {{"index", std::int64_t{assignment->index}},
+           {"count", std::int64_t{assignment->count}},
+           {"sharers", assignment->rate_limit_divisor}}});
+    if (listeners_.assignment) listeners_.assignment(*assignment);
   }
 }
 
-void Service::tell(const Change& change) {
+void Service::log_change(const Change& change) {
   const Member& m = change.member;
-  const bool same = change.before == m.state && !change.first;
-  const char* event = same                         ? "member_described"
-                      : m.state == State::kAlive   ? "member_alive"
-                      : m.state == State::kSuspect ? "member_suspect"
-                      : m.state == State::kLeaving ? "member_leaving"
-                      : m.state == State::kDead    ? "member_dead"
-                                                   : "member_left";
-  const LogLevel level = m.state == State::kDead      ? LogLevel::kWarning
-                         : m.state == State::kSuspect ? LogLevel::kDebug
-                                                      : LogLevel::kInfo;
-  std::string by = change.by == core_.key() ? "itself" : "";
+  const bool same = change.before == m.state && !change.first_seen;
+  const char* event = same                               ? "member_described"
+                      : m.state == MemberState::kAlive   ? "member_alive"
+                      : m.state == MemberState::kSuspect ? "member_suspect"
+                      : m.state == MemberState::kLeaving ? "member_leaving"
+                      : m.state == MemberState::kDead    ? "member_dead"
+                                                         : "member_left";
+  const LogLevel level = m.state == MemberState::kDead      ? LogLevel::kWarning
+                         : m.state == MemberState::kSuspect ? LogLevel::kDebug
+                                                            : LogLevel::kInfo;
+  std::string by = change.source == membership_.key() ? "itself" : "";
   if (by.empty()) {
-    const auto who = core_.find(change.by);
-    by = who ? shown(*who) : hex(change.by);
+    const auto who = membership_.find(change.source);
+    by = who ? display_name(*who) : hex(change.source);
   }
   log_({level,
         "peers",
         event,
-        shown(m) + " is " + name_of(m.state) + (change.first ? ", new" : "") + ", told by " + by,
-        {{"member", shown(m)},
+        display_name(m) + " is " + name_of(m.state) + (change.first_seen ? ", new" : "") + ", told by " + by,
+        {{"member", display_name(m)},
          {"key", hex(m.key)},
-         {"life", static_cast<std::int64_t>(m.life)},
-         {"zone", m.id.zone},
-         {"tier", std::int64_t{m.id.tier}},
-         {"before", std::string(change.first ? "unknown" : name_of(change.before))},
+         {"life", static_cast<std::int64_t>(m.generation)},
+         {"zone", m.identity.zone},
+         {"tier", std::int64_t{m.identity.tier}},
+         {"before", std::string(change.first_seen ? "unknown" : name_of(change.before))},
          {"by", by}}});
 }
 
-void Service::tell_counts() {
-  std::uint64_t dropped = counters_.strangers - told_.strangers + counters_.flooded - told_.flooded;
+void Service::log_drops() {
+  std::uint64_t dropped =
+      counters_.unknown_senders - logged_.unknown_senders + counters_.rate_limited - logged_.rate_limited;
   std::vector<LogField> fields = {
-      {"strangers", static_cast<std::int64_t>(counters_.strangers - told_.strangers)},
-      {"flooded", static_cast<std::int64_t>(counters_.flooded - told_.flooded)}};
-  static constexpr const char* kNames[kRefusals] = {"none",          "malformed", "version",
-                                                    "other_cluster", "seal",      "replay"};
-  for (std::size_t i = 1; i < kRefusals; ++i) {
-    const std::uint64_t more = counters_.refused[i] - told_.refused[i];
+      {"strangers", static_cast<std::int64_t>(counters_.unknown_senders - logged_.unknown_senders)},
+      {"flooded", static_cast<std::int64_t>(counters_.rate_limited - logged_.rate_limited)}};
+  static constexpr const char* kNames[kDecodeErrorCount] = {"none",          "malformed", "version",
+                                                            "other_cluster", "seal",      "replay"};
+  for (std::size_t i = 1; i < kDecodeErrorCount; ++i) {
+    const std::uint64_t more = counters_.decode_errors[i] - logged_.decode_errors[i];
     // A repeat now and then is the network's.
-    if (i != static_cast<std::size_t>(Refusal::kReplay) || more > 10) dropped += more;
+    if (i != static_cast<std::size_t>(DecodeError::kReplay) || more > 10) dropped += more;
     fields.push_back({kNames[i], static_cast<std::int64_t>(more)});
   }
-  told_ = counters_;
+  logged_ = counters_;
   if (dropped == 0) return;
   log_({LogLevel::kWarning, "peers", "dropped", std::to_string(dropped) + " datagrams were dropped",
         std::move(fields)});
 }
 
-void Service::leaving() {
-  std::vector<Membership::Out> out;
-  core_.leaving(now(), out);
-  deliver(out);
+void Service::announce_leaving() {
+  std::vector<Membership::Outgoing> out;
+  membership_.announce_leaving(now(), out);
+  flush(out);
 }
 
 void Service::leave() {
   if (!running_) return;
-  std::vector<Membership::Out> out;
-  core_.leave(now(), out);
-  if (options_.all && !out.empty()) send(*options_.all, out.front().message);
-  deliver(out);
+  std::vector<Membership::Outgoing> out;
+  membership_.leave(now(), out);
+  if (options_.broadcast && !out.empty()) send(*options_.broadcast, out.front().message);
+  flush(out);
   running_ = false;
   timer_.cancel();
   error_code ignored;
@@ -477,69 +483,70 @@
   text("cluster", options_.cluster.name);
   text("address", text_of(address()));
   w.Key("sealed");
-  w.Bool(wire_.sealed());
+  w.Bool(codec_.authenticated());
   w.Key("refused");
-  w.Bool(core_.refused());
-  number("life", core_.life());
-  number("health", static_cast<std::uint64_t>(core_.health()));
-  number("living", core_.living());
+  w.Bool(membership_.refused());
+  number("life", membership_.generation());
+  number("health", static_cast<std::uint64_t>(membership_.health()));
+  number("living", membership_.live_count());
   w.Key("copies");
   w.StartObject();
   w.Key("followed");
-  w.Bool(options_.follow);
-  number("index", static_cast<std::uint64_t>(copies_.split().index));
-  number("count", static_cast<std::uint64_t>(copies_.split().count));
+  w.Bool(options_.follow_balancers);
+  number("index", static_cast<std::uint64_t>(balancers_.assignment().index));
+  number("count", static_cast<std::uint64_t>(balancers_.assignment().count));
   w.Key("sharers");
-  w.Double(copies_.split().sharers);
+  w.Double(balancers_.assignment().rate_limit_divisor);
   w.EndObject();
   w.Key("members");
   w.StartArray();
-  for (const Member& m : core_.members()) {
+  for (const Member& m : membership_.members()) {
     w.StartObject();
-    text("name", shown(m));
+    text("name", display_name(m));
     text("key", hex(m.key));
     text("state", name_of(m.state));
-    number("life", m.life);
+    number("life", m.generation);
     number("incarnation", m.incarnation);
-    text("zone", m.id.zone);
-    text("region", m.id.region);
-    number("tier", m.id.tier);
-    number("number", m.id.number);
-    text("version", m.id.version);
-    text("address", m.key == core_.key() ? text_of(address()) : shown(m.address));
+    text("zone", m.identity.zone);
+    text("region", m.identity.region);
+    number("tier", m.identity.tier);
+    number("number", m.identity.number);
+    text("version", m.identity.version);
+    text("address", m.key == membership_.key() ? text_of(address()) : display_name(m.address));
     age("for_s", m.since);
     age("heard_s", m.heard_at);
     number("reached_by", m.reached_by);
-    number("doubted_by", m.doubted_by);
+    number("doubted_by", m.suspected_by);
     w.EndObject();
   }
   w.EndArray();
-  const Membership::Counters& c = core_.counters();
+  const Membership::Counters& c = membership_.counters();
   w.Key("counters");
   w.StartObject();
   number("sent", counters_.sent);
   number("bytes_sent", counters_.bytes_sent);
   number("received", counters_.received);
   number("bytes_received", counters_.bytes_received);
-  number("unsent", counters_.unsent);
-  number("strangers", counters_.strangers);
-  number("flooded", counters_.flooded);
-  for (std::size_t i = 1; i < kRefusals; ++i) {
-    number((std::string("refused_") + (i == 3 ? "other_cluster" : name_of(static_cast<Refusal>(i)))).c_str(),
-           counters_.refused[i]);
+  number("unsent", counters_.send_failures);
+  number("strangers", counters_.unknown_senders);
+  number("flooded", counters_.rate_limited);
+  for (std::size_t i = 1; i < kDecodeErrorCount; ++i) {
+    number(
+        (std::string("refused_") + (i == 3 ? "other_cluster" : name_of(static_cast<DecodeError>(i)))).c_str(),
+        counters_.decode_errors[i]);
   }
   number("probes", c.probes);
   number("failed_probes", c.failed_probes);
-  number("accusations", c.accusations);
+  number("accusations", c.suspicions);
   number("refuted", c.refuted);
   number("deaths_declared", c.deaths_declared);
-  number("rebirths", c.rebirths);
-  number("stood", c.stood);
-  number("namesakes", c.namesakes);
-  number("contested", c.contested);
+  number("rebirths", c.rejoins);
+  number("stood", c.stalls);
+  number("namesakes", c.name_conflicts);
+  number("contested", c.contested_names);
   number("no_room", c.overflow);
-  number("incredible", c.incredible);
-  number("held_back", c.unsent);
+  number("incredible", c.implausible_generations);
+  number("held_back", c.rate_limited_replies);
   w.EndObject();
   w.EndObject();
   return {buffer.GetString(), buffer.GetSize()};
--- a/tests/acceptance/closes_test.cpp
+++ b/tests/acceptance/closes_test.cpp
@@ -10,23 +10,23 @@
 #ifdef CROSSING
 
 // A request crosses the end of a connection: its client sees that end and no reset, and nothing is sent on.
-void cross(Place& place, const Crossing& crossing, Wire& client, const std::string& before) {
+void cross(Place& place, const Crossing& crossing, TcpConnection& client, const std::string& before) {
   crossing.await();
   client.send(place.unsafe("crossing"));
-  client.await_delivery();
+  client.wait_until_delivered();
   crossing.release();
   if (!before.empty()) {
     EXPECT_TRUE(has(client.message(), before));
   }
   EXPECT_TRUE(client.ended_in_order()) << "the client may send it once more elsewhere";
-  EXPECT_TRUE(place.servers[0].quiet()) << "what is read after the end is not sent on";
+  EXPECT_TRUE(place.servers[0].no_data()) << "what is read after the end is not sent on";
 }
 
 TEST_P(Ends, ARequestCrossesTheEndOfAConnectionThatNeverSentAByte) {
   Place w(GetParam());
   const Crossing crossing(w);
   w.serve(host("s0", w.servers[0].port()));
-  Wire client = w.client();
+  TcpConnection client = w.client();
   crossing.arm(client);
   cross(w, crossing, client, "");
 }
@@ -36,11 +36,11 @@
   const Crossing crossing(w);
   w.sockets = 100;
   w.serve(host("s0", w.servers[0].port()));
-  Wire client = w.client();
+  TcpConnection client = w.client();
   client.send("GET /healthz HTTP/1.1\r\n\r\n");
   EXPECT_TRUE(has(client.message(), " 200 "));
   crossing.arm(client);
-  std::vector<Wire> crowd;
+  std::vector<TcpConnection> crowd;
   while (!crossing.held()) {
     crowd.push_back(w.client());
     if (crowd.size() > 200) crowd.erase(crowd.begin());
@@ -52,7 +52,7 @@
   Place w(GetParam());
   const Crossing crossing(w);
   w.serve(host("s0", w.servers[0].port()));
-  Wire client = w.client();
+  TcpConnection client = w.client();
   client.send("POST /api HTTP/1.1\r\nRequest-Id:");
   crossing.arm(client);
   cross(w, crossing, client, "HTTP/1.1 408 ");
@@ -62,7 +62,7 @@
   Place w(GetParam());
   const Crossing crossing(w);
   w.serve(host("s0", w.servers[0].port()));
-  Wire client = w.client();
+  TcpConnection client = w.client();
   crossing.arm(client);
   client.send("GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n");
   cross(w, crossing, client, "HTTP/1.1 200 ");
@@ -72,7 +72,7 @@
   Place w(GetParam());
   const Crossing crossing(w);
   w.serve(host("s0", w.servers[0].port()));
-  Wire client = w.client();
+  TcpConnection client = w.client();
   client.send("GET /healthz HTTP/1.1\r\n\r\n");
   EXPECT_TRUE(has(client.message(), " 200 "));
   crossing.arm(client);
@@ -87,14 +87,14 @@
 TEST_P(Ends, HalfARequestAtTheEndOfTheProcessGetsItsError) {
   Place w(GetParam());
   w.serve(host("s0", w.servers[0].port()));
-  Wire waiting = w.client(), idle = w.client();
+  TcpConnection waiting = w.client(), idle = w.client();
   idle.send("GET /healthz HTTP/1.1\r\n\r\n");
   EXPECT_TRUE(has(idle.message(), " 200 "));
-  Wire half = w.client();
+  TcpConnection half = w.client();
   half.send("GET /healthz HTTP/1.1\r\n\r\n");
   EXPECT_TRUE(has(half.message(), " 200 "));
   waiting.send(w.unsafe());
-  Wire server = w.servers[0].accept();
+  TcpConnection server = w.servers[0].accept();
   server.message();
   w.node->signal(SIGTERM);
   w.node->log("draining");
@@ -114,7 +114,7 @@
   Place w(GetParam());
   w.sockets = 100;  // 33 for callers, 27 for servers
   w.serve(host("s0", w.servers[0].port()));
-  std::vector<Wire> busy, servers, sending;
+  std::vector<TcpConnection> busy, servers, sending;
   for (int i = 0; i < 27; ++i) {
     busy.push_back(w.client());
     busy.back().send(w.unsafe("question", "r" + std::to_string(i)));
@@ -123,11 +123,11 @@
   for (int i = 0; i < 6; ++i) {
     sending.push_back(w.client());
     sending.back().send("GET /healthz HTTP/1.1\r\n");
-    sending.back().await_reading();
+    sending.back().wait_until_read();
   }
-  Wire late = w.client();
+  TcpConnection late = w.client();
   late.send("GET /healthz HTTP/1.1\r\n\r\n");
-  for (const Wire& one : sending) one.send("\r\n");
+  for (const TcpConnection& one : sending) one.send("\r\n");
   EXPECT_TRUE(has(late.message(), " 200 "));
 }
 
@@ -135,18 +135,19 @@
 // after it: each gets its answer within its time, and each connection ends in order.
 TEST_P(Ends, WhatSigtermFindsIsAnswered) {
   Place w(GetParam());
-  w.servers[0].narrow();
+  w.servers[0].shrink_receive_buffer();
   w.serve(host("s0", w.servers[0].port()));
-  Wire waits = w.client(), pipelines = w.client(), writes = w.client(), half = w.client(), fresh = w.client();
+  TcpConnection waits = w.client(), pipelines = w.client(), writes = w.client(), half = w.client(),
+                fresh = w.client();
   waits.send(w.unsafe("waits", "r1"));
-  Wire waiting = w.servers[0].accept();
+  TcpConnection waiting = w.servers[0].accept();
   waiting.message();
   pipelines.send(w.unsafe("one", "r2"));
-  Wire one = w.servers[0].accept();
+  TcpConnection one = w.servers[0].accept();
   one.message();
   pipelines.send(w.unsafe("two", "r3"));
   writes.send(w.unsafe(std::string(65536, 'q'), "r4"));
-  std::vector<Wire> connections;
+  std::vector<TcpConnection> connections;
   connections.push_back(w.servers[0].accept());  // takes a part of it, until it is read
   const std::string last = w.unsafe("half", "r5");
   half.send(last.substr(0, last.size() - 1));
@@ -159,12 +160,12 @@
   one.send(ok());
   connections.push_back(std::move(one));
   EXPECT_TRUE(has(pipelines.message(), "HTTP/1.1 200 "));
-  std::vector<Wire*> clients = {&writes, &half, &fresh, &pipelines};
+  std::vector<TcpConnection*> clients = {&writes, &half, &fresh, &pipelines};
   std::size_t answered = 0;
   until([&] {
-    if (!w.servers[0].quiet()) connections.push_back(w.servers[0].accept());
-    for (Wire& connection : connections) {
-      if (connection.closed() || connection.quiet()) continue;
+    if (!w.servers[0].no_data()) connections.push_back(w.servers[0].accept());
+    for (TcpConnection& connection : connections) {
+      if (connection.closed() || connection.no_data()) continue;
       if (connection.message().empty()) {
         connection.close();
       } else {
@@ -174,12 +175,12 @@
     }
     return answered == clients.size();
   });
-  for (Wire* client : clients) {
+  for (TcpConnection* client : clients) {
     EXPECT_TRUE(has(client->message(), "HTTP/1.1 200 "));
   }
   EXPECT_TRUE(has(waits.message(), "HTTP/1.1 200 "));
   clients.push_back(&waits);
-  for (Wire* client : clients) EXPECT_TRUE(client->ended_in_order());
+  for (TcpConnection* client : clients) EXPECT_TRUE(client->ended_in_order());
   EXPECT_EQ(w.node->exit_code(), 0);
 }
 
--- a/tests/acceptance/discovery_test.cpp
+++ b/tests/acceptance/discovery_test.cpp
@@ -22,7 +22,7 @@
   w.start();
   w.take_watch();
   const double from = seconds();
-  Wire silent = std::move(w.watch);
+  TcpConnection silent = std::move(w.watch);
   w.take_watch();
   EXPECT_LT(seconds() - from, kTold - kSpare);
 }
@@ -31,7 +31,7 @@
   Place w(GetParam());
   w.serve(host("s0", w.servers[0].port()));
   const double from = seconds();
-  Wire silent = std::move(w.watch);
+  TcpConnection silent = std::move(w.watch);
   w.take_watch();
   EXPECT_LT(seconds() - from, kTold - kSpare);
 }
@@ -39,12 +39,12 @@
 TEST_P(Lists, AWatchThatFallsSilentAfterAMoveIsOpenedAnew) {
   Place w(GetParam());
   w.serve(host("s0", w.servers[0].port()));
-  const Peer elsewhere;
+  const TcpListener elsewhere;
   std::string moved = w.config();
   const std::string old = "127.0.0.1:" + std::to_string(w.discovery.port());
   moved.replace(moved.find(old), old.size(), "127.0.0.1:" + std::to_string(elsewhere.port()));
   w.node->reload(moved);
-  Wire next = elsewhere.accept();
+  TcpConnection next = elsewhere.accept();
   next.message();
   next.send(std::string(kWatchHead) + chunk(list(1, true, host("s0", w.servers[0].port()))));
   const double from = seconds();
@@ -62,7 +62,7 @@
   const double longest = customer.pushed ? 0.5 : 4;  // s; an agent on the same machine costs nothing
   double last = seconds();
   for (int i = 0; i < 6; ++i) {
-    Wire call = w.discovery.accept();
+    TcpConnection call = w.discovery.accept();
     call.message();
     EXPECT_LT(seconds() - last, longest + kSpare) << "call " << i;
     call.send(with_length("HTTP/1.1 503 Busy\r\n", ""));
@@ -79,7 +79,7 @@
   w.serve(host("s0", w.servers[0].port()));
   w.watch.close();
   for (int i = 0; i < 4; ++i) {  // so that the pause is long where calls cost
-    Wire call = w.discovery.accept();
+    TcpConnection call = w.discovery.accept();
     call.message();
     call.send(with_length("HTTP/1.1 503 Busy\r\n", ""));
     EXPECT_TRUE(call.ended());
@@ -89,14 +89,14 @@
   w.take_watch();
   EXPECT_LT(seconds() - from, 0.9) << "a second at least without it, where calls cost";
   w.tell(list(9, true, host("s1", w.servers[1].port())));
-  w.watch.await_reading();
+  w.watch.wait_until_read();
 }
 
 // What serves now, whichever connection it keeps.
-std::string served(Place& w, const Peer& server) {
-  Wire caller = w.client();
+std::string served(Place& w, const TcpListener& server) {
+  TcpConnection caller = w.client();
   caller.send(w.unsafe());
-  Wire wire = server.accept();
+  TcpConnection wire = server.accept();
   wire.message();
   wire.send(with_length("HTTP/1.1 200 OK\r\nConnection: close\r\n", "answer"));
   return caller.message();
@@ -120,31 +120,31 @@
   EXPECT_TRUE(has(served(w, w.servers[0]), " 200 "));
   const std::string next = indented(list(8, true, host("s1", w.servers[1].port())));
   for (const char byte : "\n" + next) w.tell(std::string(1, byte));
-  w.watch.await_reading();
+  w.watch.wait_until_read();
   EXPECT_TRUE(has(served(w, w.servers[1]), " 200 ")) << "s0 is gone: the whole list does not name it";
   // Cut inside of an indented list, and then empty lines, as where nothing changes.
   w.tell(next.substr(0, next.size() / 2) + "\n\n");
   EXPECT_TRUE(w.watch.ended());
   EXPECT_TRUE(has(w.take_watch(), "stream=1 ")) << "the whole list";
   w.tell(list(9, true, host("s0", w.servers[0].port())));
-  w.watch.await_reading();
+  w.watch.wait_until_read();
   EXPECT_TRUE(has(served(w, w.servers[0]), " 200 "));
 }
 
 // A watch ends in place of telling, and the first answer to the next call is a whole list that leaves out a
 // server with a kept connection and one with a request that waits for its connection.
 TEST_P(Lists, WhatAWholeListLeavesOutIsGone) {
-  Peer full(0);
+  TcpListener full(0);
   Place w(GetParam());
   w.connect_timeout = 10;
   w.serve(host("s0", w.servers[0].port()));
-  Wire caller = w.client();
+  TcpConnection caller = w.client();
   caller.send(w.unsafe("one"));
-  Wire kept = w.servers[0].accept();
+  TcpConnection kept = w.servers[0].accept();
   kept.message();
   kept.send(ok());
   EXPECT_TRUE(has(caller.message(), " 200 "));
-  const Wire crowd = Wire::to(full.port());
+  const TcpConnection crowd = TcpConnection::to(full.port());
   w.tell(list(8, true, host("s2", full.port())));
   EXPECT_TRUE(kept.ended()) << "what is left out is gone";
   caller.send(w.unsafe("two"));
@@ -152,7 +152,7 @@
   w.watch.close();  // in place of telling that s2 drains
   w.take_watch();
   w.tell(list(9, true, host("s1", w.servers[1].port())));
-  Wire other = w.servers[1].accept();
+  TcpConnection other = w.servers[1].accept();
   EXPECT_TRUE(has(other.message(), "two"));
   other.send(ok());
   EXPECT_TRUE(has(caller.message(), " 200 "));
@@ -168,17 +168,17 @@
   w.discovery.close();
   w.watch.close();
   w.node->log("the last list is kept");
-  std::vector<Wire> crowd;
+  std::vector<TcpConnection> crowd;
   for (int i = 0; i < 300; ++i) crowd.push_back(w.client());
-  const Peer back;
+  const TcpListener back;
   std::string moved = w.config();
   const std::string old = "127.0.0.1:" + std::to_string(w.discovery.port());
   moved.replace(moved.find(old), old.size(), "127.0.0.1:" + std::to_string(back.port()));
   w.node->reload(moved);
-  Wire watch = back.accept();
+  TcpConnection watch = back.accept();
   watch.message();
   watch.send(std::string(kWatchHead) + chunk(list(1, true, host("s1", w.servers[1].port()))));
-  watch.await_reading();
+  watch.wait_until_read();
   EXPECT_TRUE(has(served(w, w.servers[1]), " 200 "));
 }
 
--- a/tests/acceptance/leaves_test.cpp
+++ b/tests/acceptance/leaves_test.cpp
@@ -14,52 +14,52 @@
 TEST_P(Leaves, ACloseThatLiesInTheSocketComesBeforeAFurtherAttempt) {
   Place w(GetParam());
   w.serve(w.both());
-  Wire caller = w.client();
+  TcpConnection caller = w.client();
   caller.send(w.unsafe());
-  Wire server = w.next();
+  TcpConnection server = w.next();
   server.message();
   w.node->pause();
   server.send(kNotStarted);
-  server.await_delivery();
+  server.wait_until_delivered();
   caller.close();
   w.node->signal(SIGCONT);
   EXPECT_TRUE(server.ended()) << "the answer has been read";
   w.catch_up();
-  EXPECT_TRUE(w.servers[0].quiet() && w.servers[1].quiet());
+  EXPECT_TRUE(w.servers[0].no_data() && w.servers[1].no_data());
 }
 
 // A connection with more than is read ahead is not read: its close shows all the same.
 TEST_P(Leaves, AClientThatLeavesBytesBehindHasGone) {
   Place w(GetParam());
   w.serve(w.both());
-  Wire caller = w.client();
+  TcpConnection caller = w.client();
   caller.send(w.unsafe());
-  Wire server = w.next();
+  TcpConnection server = w.next();
   server.message();
   for (int i = 0; i < 3; ++i) {
     caller.send(w.unsafe(std::string(16000, 'q'), "later" + std::to_string(i)));
-    caller.await_delivery();
+    caller.wait_until_delivered();
   }
   caller.close();
   w.catch_up();
   server.send(kNotStarted);
   EXPECT_TRUE(server.ended());
   w.catch_up();
-  EXPECT_TRUE(w.servers[0].quiet() && w.servers[1].quiet()) << "neither again nor the requests behind it";
+  EXPECT_TRUE(w.servers[0].no_data() && w.servers[1].no_data()) << "neither again nor the requests behind it";
 }
 
 // A whole request and its client's close, read together.
 TEST_P(Leaves, ARequestWhoseClientHasGoneIsNotBegun) {
   Place w(GetParam());
   w.serve(w.both());
-  Wire caller = w.client();
+  TcpConnection caller = w.client();
   w.catch_up();
   w.node->pause();
   caller.send(w.unsafe());
   caller.close();
   w.node->signal(SIGCONT);
   w.catch_up();
-  EXPECT_TRUE(w.servers[0].quiet() && w.servers[1].quiet());
+  EXPECT_TRUE(w.servers[0].no_data() && w.servers[1].no_data());
 }
 
 // Its connection comes up later than its client stays. Nothing has run: so it is withdrawn whether work may
@@ -67,12 +67,12 @@
 TEST_P(Leaves, WhatWaitsForItsConnectionIsWithdrawn) {
   Customer customer = GetParam();
   customer.give_up = 30;
-  Peer full(0);
+  TcpListener full(0);
   Place w(customer);
   w.connect_timeout = 30;
-  const Wire crowd = Wire::to(full.port());  // its queue has room for one
+  const TcpConnection crowd = TcpConnection::to(full.port());  // its queue has room for one
   w.serve(host("s0", full.port()));
-  Wire caller = w.client();
+  TcpConnection caller = w.client();
   caller.send(w.unsafe());
   until([&] { return connecting_to(full.port()); });
   caller.close();
@@ -85,12 +85,12 @@
   Customer customer = GetParam();
   customer.give_up = 30;
   Place w(customer);
-  w.servers[0].narrow();
+  w.servers[0].shrink_receive_buffer();
   w.serve(host("s0", w.servers[0].port()));
-  Wire caller = w.client();
+  TcpConnection caller = w.client();
   const std::string whole = w.unsafe(std::string(65536, 'q'));
   caller.send(whole);
-  Wire server = w.servers[0].accept();
+  TcpConnection server = w.servers[0].accept();
   caller.close();
   w.catch_up();
   EXPECT_LT(server.message().size(), whole.size()) << "its last byte is never written";
--- a/tests/acceptance/servers_test.cpp
+++ b/tests/acceptance/servers_test.cpp
@@ -16,21 +16,21 @@
 // A keyed request may have run at s0, and its repeat's connection comes up when servers have forgotten the
 // key.
 TEST_P(Servers, ALateConnectionCarriesNoRepeatPastTheWindow) {
-  Peer full(0);
+  TcpListener full(0);
   Place w(with_short_window(GetParam()));
   w.connect_timeout = 8;
-  const Wire crowd = Wire::to(full.port());  // its queue has room for one
+  const TcpConnection crowd = TcpConnection::to(full.port());  // its queue has room for one
   w.serve(host("s0", w.servers[0].port()));
-  Wire caller = w.client();
+  TcpConnection caller = w.client();
   caller.send(w.keyed());
-  Wire server = w.servers[0].accept();
+  TcpConnection server = w.servers[0].accept();
   server.message();
   const double from = seconds();
   w.tell(list(8, false, host("s1", full.port())));
-  w.watch.await_reading();
+  w.watch.wait_until_read();
   server.reset();
   if (!connecting_to(full.port())) {
-    until([&] { return connecting_to(full.port()) || !caller.quiet(); });
+    until([&] { return connecting_to(full.port()) || !caller.no_data(); });
   }
   EXPECT_TRUE(has(caller.message(), "HTTP/1.1 502 ")) << "it may have run";
   EXPECT_LT(seconds() - from, 4) << "given up with the window, not with the connection's time-out";
@@ -39,18 +39,18 @@
 
 TEST_P(Servers, ASlowReaderGetsNoRepeatPastTheWindow) {
   Place w(with_short_window(GetParam()));
-  w.servers[1].narrow();
+  w.servers[1].shrink_receive_buffer();
   w.serve(host("s0", w.servers[0].port()));
-  Wire caller = w.client();
+  TcpConnection caller = w.client();
   const std::string whole = w.keyed(std::string(65536, 'q'));
   caller.send(whole);
-  Wire server = w.servers[0].accept();
+  TcpConnection server = w.servers[0].accept();
   server.message();
   w.tell(list(8, false, host("s1", w.servers[1].port())));
-  w.watch.await_reading();
+  w.watch.wait_until_read();
   server.reset();
   EXPECT_TRUE(has(caller.message(), "HTTP/1.1 502 "));
-  if (!w.servers[1].quiet()) {
+  if (!w.servers[1].no_data()) {
     EXPECT_LT(w.servers[1].accept().message().size(), whole.size()) << "its last byte is never written";
   }
 }
@@ -60,21 +60,21 @@
 TEST_P(Servers, AConnectionRestsWhereServersSayTooMuch) {
   Place w(GetParam());
   w.serve(host("s0", w.servers[0].port()));
-  Wire caller = w.client();
+  TcpConnection caller = w.client();
   caller.send(w.unsafe("one"));
-  Wire first = w.servers[0].accept();
+  TcpConnection first = w.servers[0].accept();
   first.message();
   first.send(ok("first") + ok("first"));
   EXPECT_TRUE(caller.message().ends_with("first"));
   EXPECT_TRUE(first.ended());
   caller.send(w.unsafe("two", "r2"));
-  Wire second = w.servers[0].accept();
+  TcpConnection second = w.servers[0].accept();
   second.message();
   caller.send(w.unsafe("three", "r3"));  // to be sent on as soon as the second is answered
-  caller.await_reading();
+  caller.wait_until_read();
   second.send(ok("second"));
   EXPECT_TRUE(caller.message().ends_with("second"));
-  Wire third = w.servers[0].accept();
+  TcpConnection third = w.servers[0].accept();
   EXPECT_TRUE(has(third.message(), "three")) << "not on the connection that has just been used";
   second.send(ok("second"));  // late
   EXPECT_TRUE(second.ended());
@@ -86,13 +86,13 @@
 TEST_P(Servers, ASlowWriterHasItsWholeTime) {
   Place w(GetParam());
   w.serve(host("s0", w.servers[0].port()));
-  Wire caller = w.client();
+  TcpConnection caller = w.client();
   std::string slow = w.unsafe();
   slow.insert(slow.find("Content-Length"), "Request-Timeout-Ms: 800\r\n");
   caller.send(slow.substr(0, 20));
-  EXPECT_TRUE(caller.quiet(1000));
+  EXPECT_TRUE(caller.no_data(1000));
   caller.send(slow.substr(20));
-  Wire server = w.servers[0].accept();
+  TcpConnection server = w.servers[0].accept();
   const std::string got = server.message();
   EXPECT_GT(std::stoi(got.substr(got.find("Request-Timeout-Ms: ") + 20)), 400) << got;
   server.send(ok());
--- a/tests/acceptance/world.h
+++ b/tests/acceptance/world.h
@@ -104,7 +104,7 @@
   Crossing& operator=(const Crossing&) = delete;
 
   // From here on, the first call that ends this connection waits.
-  void arm(const Wire& client) const {
+  void arm(const TcpConnection& client) const {
     std::ofstream(folder_ + "/armed.new") << client.local_port() << "\n";
     std::rename((folder_ + "/armed.new").c_str(), (folder_ + "/armed").c_str());
   }
--- a/tests/config/command_line_test.cpp
+++ b/tests/config/command_line_test.cpp
@@ -104,17 +104,17 @@
 }
 
 TEST(CommandLine, RunsANodeOnAFileAlone) {
-  const Peer server, other;
+  const TcpListener server, other;
   const File file(file_for(server.port()));
   Program node("", 1024, {"run", "--config", file.path}, false);
-  Wire caller = Wire::to(node.port());
+  TcpConnection caller = TcpConnection::to(node.port());
   until([&] {
     caller.send("GET /healthz HTTP/1.1\r\n\r\n");
     return has(caller.message(), " 200 ");
   });
-  const auto served_by = [&](const Peer& peer) {
+  const auto served_by = [&](const TcpListener& peer) {
     caller.send(request("close"));
-    Wire wire = peer.accept();
+    TcpConnection wire = peer.accept();
     EXPECT_TRUE(has(wire.message(), "question"));
     wire.send(with_length("HTTP/1.1 200 OK\r\nConnection: close\r\n", "answer"));
     EXPECT_TRUE(has(caller.message(), "\r\n\r\nanswer"));
@@ -129,8 +129,8 @@
   node.signal(SIGHUP);
   until([&] {
     caller.send(request("close"));
-    Wire wire = Peer::accept_either(server, other);
-    while (wire.message().empty()) wire = Peer::accept_either(server, other);
+    TcpConnection wire = TcpListener::accept_either(server, other);
+    while (wire.message().empty()) wire = TcpListener::accept_either(server, other);
     wire.send(with_length("HTTP/1.1 200 OK\r\nConnection: close\r\n", "answer"));
     caller.message();
     return wire.local_port() == other.port();
@@ -141,7 +141,7 @@
 
 // A node on a file with membership and a control socket, and what is asked of it there.
 TEST(CommandLine, ShowsTheMembersThatANodeKnows) {
-  const Peer server;
+  const TcpListener server;
   const std::string socket = ::testing::TempDir() + "/control_" + std::to_string(getpid());
   const auto file = [&](const std::string& more) {
     return file_for(server.port()) + more + "[control]\nsocket = \"" + socket + "\"\n";
@@ -194,7 +194,7 @@
   w.tell(list(7, true, w.both()));
   w.await_ready();
   const double from = seconds();
-  Wire slow = w.client();
+  TcpConnection slow = w.client();
   slow.send("POST /api HTTP/1.1\r\nRequest-Id:");
   EXPECT_TRUE(has(slow.message(), "HTTP/1.1 408 "));
   EXPECT_LT(seconds() - from, 2) << "before the usual 2.2 s";
--- a/tests/config/operator_file_test.cpp
+++ b/tests/config/operator_file_test.cpp
@@ -181,16 +181,16 @@
   EXPECT_EQ(got->peers_key_file, "keys");
   EXPECT_EQ(o.settings.self.region, "kr");
   EXPECT_EQ(o.settings.self.zone, "a");
-  EXPECT_FALSE(o.follow);
-  EXPECT_DOUBLE_EQ(o.settings.period, 0.5);
-  EXPECT_DOUBLE_EQ(o.settings.timeout, 0.08);
-  EXPECT_EQ(o.settings.accusers, 2);
-  EXPECT_DOUBLE_EQ(o.settings.least_doubt, 0.4);
-  EXPECT_DOUBLE_EQ(o.settings.most_doubt, 3);
-  EXPECT_DOUBLE_EQ(o.settings.seek_period, 1);
-  EXPECT_DOUBLE_EQ(o.settings.patience, 4);
-  EXPECT_DOUBLE_EQ(o.copies.hold_new, 0.01);
-  EXPECT_DOUBLE_EQ(o.copies.hold_lost, 0.02);
+  EXPECT_FALSE(o.follow_balancers);
+  EXPECT_DOUBLE_EQ(o.settings.probe_interval, 0.5);
+  EXPECT_DOUBLE_EQ(o.settings.ack_timeout, 0.08);
+  EXPECT_EQ(o.settings.confirmations, 2);
+  EXPECT_DOUBLE_EQ(o.settings.min_suspicion, 0.4);
+  EXPECT_DOUBLE_EQ(o.settings.max_suspicion, 3);
+  EXPECT_DOUBLE_EQ(o.settings.rediscovery_interval, 1);
+  EXPECT_DOUBLE_EQ(o.settings.name_conflict_timeout, 4);
+  EXPECT_DOUBLE_EQ(o.balancers.join_delay, 0.01);
+  EXPECT_DOUBLE_EQ(o.balancers.loss_delay, 0.02);
   EXPECT_EQ(got->control, "/run/x");
 }
 
@@ -237,7 +237,7 @@
   add_operator_file(platform, *file);
   EXPECT_EQ(platform.peers->listen.port(), 77);
   EXPECT_EQ(platform.peers->members.size(), 2U);
-  EXPECT_DOUBLE_EQ(platform.peers->settings.period, 0.5);
+  EXPECT_DOUBLE_EQ(platform.peers->settings.probe_interval, 0.5);
   EXPECT_EQ(platform.peers->settings.self.name, "n3");
 }
 
--- a/tests/forms/forms_test.cpp
+++ b/tests/forms/forms_test.cpp
@@ -10,9 +10,9 @@
 TEST_P(Forms, PassesRequestsOnUnchangedAndKeepsConnections) {
   World w;
   w.serve(host("s0", w.servers[0].port()));
-  Wire caller = w.client();
+  TcpConnection caller = w.client();
   caller.send(request("mark", "Request-Timeout-Ms: 900\r\nCookie: user=u\r\nConnection: keep-alive\r\n"));
-  Wire server = w.servers[0].accept();
+  TcpConnection server = w.servers[0].accept();
   const std::string got = server.message();
   EXPECT_EQ(got.rfind("POST /api?x=1 HTTP/1.1\r\n", 0), 0U) << got;
   for (const char* part :
@@ -29,14 +29,14 @@
   EXPECT_TRUE(has(server.message(), "question")) << "the same connection serves again";
   server.send(ok());
   EXPECT_TRUE(has(caller.message(), " 200 "));
-  EXPECT_TRUE(w.servers[0].quiet());
+  EXPECT_TRUE(w.servers[0].no_data());
 }
 
 TEST_P(Forms, TriesElsewhereWhatWasNeverSent) {
   World w;
   w.servers[0].close();
   w.serve(w.both());
-  Wire caller = w.client(), server;
+  TcpConnection caller = w.client(), server;
   for (int i = 0; i < 6; ++i) {
     caller.send(request("close"));
     if (i == 0) server = w.servers[1].accept();
@@ -49,12 +49,12 @@
 TEST_P(Forms, SendsAgainOnlyWhatTheServerSaysItHasNotBegun) {
   World w;
   w.serve(w.both());
-  Wire caller = w.client();
+  TcpConnection caller = w.client();
   caller.send(request("close"));
-  Wire first = w.next();
+  TcpConnection first = w.next();
   first.message();
   first.send(with_length("HTTP/1.1 503 Busy\r\nNot-Started: 1\r\nConnection: close\r\n", ""));
-  Wire second = w.next();
+  TcpConnection second = w.next();
   EXPECT_TRUE(has(second.message(), "Request-Id: r1"));
   second.send(ok());
   EXPECT_TRUE(has(caller.message(), " 200 "));
@@ -78,15 +78,15 @@
   for (const std::string& answer : answers) {
     World w;
     w.serve(w.both());
-    Wire caller = w.client();
+    TcpConnection caller = w.client();
     caller.send(request("close"));
-    Wire server = w.next();
+    TcpConnection server = w.next();
     server.message();
     server.send(answer);
     server.close();
     const std::string got = caller.message();
     EXPECT_TRUE(has(got, "HTTP/1.1 502 ")) << got.substr(0, 60) << " after " << answer.substr(0, 60);
-    EXPECT_TRUE(w.servers[0].quiet() && w.servers[1].quiet()) << answer.substr(0, 60);
+    EXPECT_TRUE(w.servers[0].no_data() && w.servers[1].no_data()) << answer.substr(0, 60);
   }
 }
 
@@ -98,27 +98,27 @@
     for (const bool at_once : {true, false}) {
       World w;
       w.serve(w.both());
-      Wire caller = w.client();
+      TcpConnection caller = w.client();
       caller.send(request("close"));
-      Wire server = w.next();
+      TcpConnection server = w.next();
       server.message();
       if (at_once) w.node->pause();
       server.send("HTTP/1.1 200 OK\r\n\r\nno length");
-      at_once ? server.await_delivery() : server.await_reading();
+      at_once ? server.wait_until_delivered() : server.wait_until_read();
       in_order ? server.close() : server.reset();
       if (at_once) w.node->signal(SIGCONT);
       const std::string got = caller.message();
       EXPECT_TRUE(in_order ? got.ends_with("\r\n\r\nno length") : has(got, "HTTP/1.1 502 ")) << got;
-      EXPECT_TRUE(w.servers[0].quiet() && w.servers[1].quiet());
+      EXPECT_TRUE(w.servers[0].no_data() && w.servers[1].no_data());
     }
   }
   for (const char* cut : {"", "HTTP/1.1 200 OK\r\n", "HTTP/1.1 100 Continue\r\n\r\n",
                           "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n"}) {
     World w;
     w.serve(host("s0", w.servers[0].port()));
-    Wire caller = w.client();
+    TcpConnection caller = w.client();
     caller.send(request("close", "", "one"));
-    Wire server = w.servers[0].accept();
+    TcpConnection server = w.servers[0].accept();
     server.message();
     server.send(ok("answer of the one"));
     EXPECT_TRUE(has(caller.message(), "answer of the one"));
@@ -149,10 +149,10 @@
   for (const std::string& answer : answers) {
     World w;
     w.serve(host("s0", w.servers[0].port()));
-    Wire caller = w.client();
+    TcpConnection caller = w.client();
     const double from = seconds();
     caller.send(request("close"));
-    Wire server = w.servers[0].accept();
+    TcpConnection server = w.servers[0].accept();
     server.message();
     server.send(answer);
     EXPECT_TRUE(has(caller.message(), "HTTP/1.1 502 ")) << answer.substr(0, 90);
@@ -165,16 +165,16 @@
   for (const bool at_once : {true, false}) {
     World w;
     w.serve(host("s0", w.servers[0].port()));
-    Wire caller = w.client();
+    TcpConnection caller = w.client();
     caller.send(request("close", "", "one"));
-    Wire server = w.servers[0].accept();
+    TcpConnection server = w.servers[0].accept();
     server.message();
     server.send(ok("first") + (at_once ? ok("second") : ""));
     EXPECT_TRUE(has(caller.message(), "\r\n\r\nfirst"));
     if (!at_once) server.send(ok("second"));
     EXPECT_TRUE(server.ended());
     caller.send(request("close", "", "two"));
-    Wire fresh = w.servers[0].accept();
+    TcpConnection fresh = w.servers[0].accept();
     EXPECT_TRUE(has(fresh.message(), "\r\n\r\ntwo"));
     fresh.send(ok("own"));
     EXPECT_TRUE(has(caller.message(), "\r\n\r\nown"));
@@ -184,10 +184,10 @@
 TEST_P(Forms, TakesNoTrailerForAHeader) {
   World w;
   w.serve(host("s0", w.servers[0].port()));
-  Wire caller = w.client();
+  TcpConnection caller = w.client();
   caller.send(head("close") + "Transfer-Encoding: chunked\r\n\r\n" + chunk("question") +
               "0\r\nCookie: user=u\r\nConnection: close\r\nRequest-Info: a=b\r\n\r\n");
-  Wire server = w.servers[0].accept();
+  TcpConnection server = w.servers[0].accept();
   const std::string got = server.message();
   EXPECT_TRUE(has(got, "\r\n\r\nquestion")) << got;
   EXPECT_FALSE(has(got, "user=u") || has(got, "a=b")) << got;
@@ -210,7 +210,7 @@
 TEST_P(Forms, PassesOnLargeAnswersWhole) {
   World w;
   w.serve(host("s0", w.servers[0].port()));
-  Wire caller = w.client(), server;
+  TcpConnection caller = w.client(), server;
   for (int i = 0; i < 3; ++i) {
     caller.send(request("close"));
     if (i == 0) server = w.servers[0].accept();
@@ -226,19 +226,19 @@
 
 TEST_P(Forms, TakesNothingForAnAnswerThatStoodThereBeforeTheRequest) {
   for (const std::string& early : {ok("early"), std::string(kTurnedAway), std::string("x")}) {
-    Peer full(0);
+    TcpListener full(0);
     World w;
     w.connect_timeout = 10;
-    const Wire crowd = Wire::to(full.port());  // its queue has room for one
+    const TcpConnection crowd = TcpConnection::to(full.port());  // its queue has room for one
     w.serve(host("s0", full.port()));
-    Wire caller = w.client();
+    TcpConnection caller = w.client();
     caller.send(request("close"));
     until([&] { return connecting_to(full.port()); });
     w.node->pause();
-    const Wire first = full.accept();
-    Wire server = full.accept();
+    const TcpConnection first = full.accept();
+    TcpConnection server = full.accept();
     server.send(early);
-    server.await_delivery();
+    server.wait_until_delivered();
     w.node->signal(SIGCONT);
     EXPECT_EQ(server.message(), "") << "nothing is written after " << early;
     server = full.accept();
@@ -252,14 +252,14 @@
   const std::string error = with_length("HTTP/1.1 500 Error\r\n", "");
   for (const std::string& early : {ok("early"), error, std::string(kTurnedAway), std::string("x")}) {
     World w;
-    for (const Peer& server : w.servers) server.narrow();
+    for (const TcpListener& server : w.servers) server.shrink_receive_buffer();
     w.serve(w.both());
-    Wire caller = w.client();
+    TcpConnection caller = w.client();
     const std::string whole = request("close", "", std::string(65536, 'q'));
     caller.send(whole);
-    Wire server = w.next();
+    TcpConnection server = w.next();
     server.send(early);
-    Wire second = w.next();
+    TcpConnection second = w.next();
     EXPECT_LT(server.message().size(), whole.size()) << "the rest is not written after " << early;
     EXPECT_TRUE(second.message().ends_with("qqq"));
     second.send(ok("own"));
@@ -270,19 +270,19 @@
 TEST_P(Forms, TakesNothingForAnAnswerThatStoodOnAKeptConnection) {
   World w;
   w.serve(host("s0", w.servers[0].port()));
-  Wire caller = w.client();
+  TcpConnection caller = w.client();
   caller.send(request("close"));
-  Wire old = w.servers[0].accept();
+  TcpConnection old = w.servers[0].accept();
   old.message();
   old.send(ok());
   EXPECT_TRUE(has(caller.message(), " 200 "));
   w.node->pause();
   caller.send(request("close"));
-  caller.await_delivery();
+  caller.wait_until_delivered();
   old.send(ok("early"));
-  old.await_delivery();
+  old.wait_until_delivered();
   w.node->signal(SIGCONT);
-  Wire server = w.servers[0].accept();
+  TcpConnection server = w.servers[0].accept();
   EXPECT_TRUE(has(server.message(), "question"));
   server.send(ok("own"));
   EXPECT_TRUE(caller.message().ends_with("\r\n\r\nown"));
@@ -292,9 +292,9 @@
 TEST_P(Forms, NeverUsesAConnectionToTheProcessBefore) {
   World w;
   w.serve(host("s0", w.servers[0].port()));
-  Wire caller = w.client();
+  TcpConnection caller = w.client();
   caller.send(request("close"));
-  Wire old = w.servers[0].accept();
+  TcpConnection old = w.servers[0].accept();
   old.message();
   w.tell(list(8, false, host("s0", w.servers[0].port(), "active", 5)));  // another process in its place
   w.watch.close();
@@ -303,7 +303,7 @@
   EXPECT_TRUE(has(caller.message(), " 200 "));
   EXPECT_TRUE(old.ended());
   caller.send(request("close"));
-  Wire fresh = w.servers[0].accept();
+  TcpConnection fresh = w.servers[0].accept();
   fresh.message();
   fresh.send(ok());
   EXPECT_TRUE(has(caller.message(), " 200 "));
@@ -312,21 +312,21 @@
 TEST_P(Forms, ResetAfterTheLastByteIsNotRepeated) {
   World w;
   w.serve(w.both());
-  Wire caller = w.client();
+  TcpConnection caller = w.client();
   caller.send(request("close"));
-  Wire server = w.next();
+  TcpConnection server = w.next();
   server.message();
   server.reset();
   EXPECT_TRUE(has(caller.message(), "HTTP/1.1 502 "));
-  EXPECT_TRUE(w.servers[0].quiet() && w.servers[1].quiet());
+  EXPECT_TRUE(w.servers[0].no_data() && w.servers[1].no_data());
 }
 
 TEST_P(Forms, TakesInterimAnswersForWhatTheyAre) {
   World w;
   w.serve(host("s0", w.servers[0].port()));
-  Wire caller = w.client();
+  TcpConnection caller = w.client();
   caller.send(request("close"));
-  Wire server = w.servers[0].accept();
+  TcpConnection server = w.servers[0].accept();
   server.message();
   server.send("HTTP/1.1 100 Continue\r\n\r\n" + ok("final"));
   EXPECT_TRUE(has(caller.message(), "\r\n\r\nfinal"));
@@ -335,9 +335,9 @@
 TEST_P(Forms, DoesNotWriteOnAConnectionThatTheServerHasClosed) {
   World w;
   w.serve(host("s0", w.servers[0].port()));
-  Wire caller = w.client();
+  TcpConnection caller = w.client();
   caller.send(request("close"));
-  Wire server = w.servers[0].accept();
+  TcpConnection server = w.servers[0].accept();
   server.message();
   server.send(ok());
   EXPECT_TRUE(has(caller.message(), " 200 "));
@@ -354,28 +354,28 @@
 TEST_P(Forms, KeepsUnsafeRequestsOffConnectionsThatGoStale) {
   World w;
   w.serve(host("s0", w.servers[0].port()));
-  Wire caller = w.client();
-  const auto served = [&](Wire& server) {
+  TcpConnection caller = w.client();
+  const auto served = [&](TcpConnection& server) {
     EXPECT_TRUE(has(server.message(), "question"));
     server.send(ok());
     EXPECT_TRUE(has(caller.message(), " 200 "));
   };
   caller.send(request("close"));
-  Wire first = w.servers[0].accept();
+  TcpConnection first = w.servers[0].accept();
   served(first);
-  EXPECT_TRUE(first.quiet(150)) << "idle for a while";
+  EXPECT_TRUE(first.no_data(150)) << "idle for a while";
   caller.send(request("close"));
   first.message();
   first.reset();
   EXPECT_TRUE(has(caller.message(), "HTTP/1.1 502 "));
   caller.send(request("close"));
-  Wire second = w.servers[0].accept();
+  TcpConnection second = w.servers[0].accept();
   served(second);
-  EXPECT_TRUE(second.quiet(150));
+  EXPECT_TRUE(second.no_data(150));
   caller.send(request("close"));
-  Wire third = w.servers[0].accept();
+  TcpConnection third = w.servers[0].accept();
   served(third);
-  EXPECT_TRUE(third.quiet(150));
+  EXPECT_TRUE(third.no_data(150));
   caller.send(request("mark"));  // may be repeated: goes on a kept one
   served(third);
 }
@@ -384,9 +384,9 @@
   World w;
   w.idle_close = 4;
   w.serve(host("s0", w.servers[0].port()));
-  Wire caller = w.client();
+  TcpConnection caller = w.client();
   caller.send(request("close"));
-  Wire server = w.servers[0].accept();
+  TcpConnection server = w.servers[0].accept();
   server.message();
   server.send(ok());
   const double from = seconds();
@@ -397,23 +397,23 @@
 TEST_P(Forms, AnswersBeforeTheClientsTimeIsUp) {
   World w;
   w.serve(host("s0", w.servers[0].port()));
-  Wire caller = w.client();
+  TcpConnection caller = w.client();
   const double from = seconds();
   caller.send(request("close", "Request-Timeout-Ms: 700\r\n"));
-  Wire server = w.servers[0].accept();
+  TcpConnection server = w.servers[0].accept();
   server.message();
   EXPECT_TRUE(has(caller.message(), "HTTP/1.1 50")) << "failed, not cut off";
   EXPECT_LT(seconds() - from, 1.2) << "0.7 and what a busy machine adds";
   EXPECT_TRUE(server.ended()) << "the attempt is given up";
-  EXPECT_TRUE(caller.quiet()) << "one final answer";
+  EXPECT_TRUE(caller.no_data()) << "one final answer";
 }
 
 TEST_P(Forms, NoticesAClientThatLeaves) {
   World w;
   w.serve(host("s0", w.servers[0].port()));
-  Wire caller = w.client();
+  TcpConnection caller = w.client();
   caller.send(request("close"));
-  Wire server = w.servers[0].accept();
+  TcpConnection server = w.servers[0].accept();
   server.message();
   caller.close();
   const double from = seconds();
@@ -424,9 +424,9 @@
 TEST_P(Forms, KeepsTheNextRequestsEarlyBytes) {
   World w;
   w.serve(host("s0", w.servers[0].port()));
-  Wire caller = w.client();
+  TcpConnection caller = w.client();
   caller.send(request("mark", "", "one"));
-  Wire server = w.servers[0].accept();
+  TcpConnection server = w.servers[0].accept();
   EXPECT_TRUE(has(server.message(), "\r\n\r\none"));
   caller.send(request("mark", "", "two"));
   server.send(ok("first"));
@@ -440,13 +440,13 @@
 TEST_P(Forms, TurnsAwayAnIdThatIsOpen) {
   World w;
   w.serve(w.both());
-  Wire one = w.client(), two = w.client();
+  TcpConnection one = w.client(), two = w.client();
   one.send(request("mark"));
-  Wire server = w.next();
+  TcpConnection server = w.next();
   server.message();
   two.send(request("close"));
   EXPECT_TRUE(has(two.message(), "HTTP/1.1 409 "));
-  EXPECT_TRUE(w.servers[0].quiet() && w.servers[1].quiet());
+  EXPECT_TRUE(w.servers[0].no_data() && w.servers[1].no_data());
   server.send(ok());
   EXPECT_TRUE(has(one.message(), " 200 "));
   one.send(request("mark"));
@@ -525,14 +525,14 @@
       {"431", head("close") + "Transfer-Encoding: chunked\r\n\r\n1;" + std::string(20000, 'x')},
   };
   for (const auto& [status, text] : cases) {
-    Wire caller = w.client();
+    TcpConnection caller = w.client();
     caller.send(text + (status == "404" ? "" : request("close", "", "hidden", "r9")));
     EXPECT_TRUE(has(caller.message(), "HTTP/1.1 " + status)) << text.substr(0, 300);
     if (status != "404") {
       EXPECT_TRUE(caller.ended()) << text.substr(0, 300);
     }
   }
-  EXPECT_TRUE(w.servers[0].quiet() && w.servers[1].quiet());
+  EXPECT_TRUE(w.servers[0].no_data() && w.servers[1].no_data());
   EXPECT_TRUE(has(w.health(), " 200 "));
 }
 
@@ -540,7 +540,7 @@
   const std::string start = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n";
   World w;
   w.serve(host("s0", w.servers[0].port()));
-  Wire caller = w.client(), server;
+  TcpConnection caller = w.client(), server;
   bool connected = false;
   const auto asked = [&] {
     caller.send(request("close"));
@@ -572,7 +572,7 @@
 TEST_P(Forms, MeasuresCallersHeadsTheSameHoweverTheyAreCut) {
   World w;
   w.serve(host("s0", w.servers[0].port()));
-  Wire caller = w.client(), server;
+  TcpConnection caller = w.client(), server;
   const std::string start = head("close") + "Content-Length: 8\r\n";
   const auto served = [&] {
     server.message();
@@ -592,7 +592,7 @@
     const std::string endless = filled(start, 9000, line).substr(0, 8193);
     for (const std::string& text : {bad, endless, bad + "question"}) {
       for (const std::size_t cut : cuts_of(8193)) {
-        Wire other = w.client();
+        TcpConnection other = w.client();
         send_cut(other, text, cut);
         ASSERT_TRUE(has(other.message(), "HTTP/1.1 431 ")) << "cut at " << cut;
       }
@@ -605,7 +605,7 @@
 TEST_P(Forms, PassesOnEveryHostAndTargetThatIsOne) {
   World w;
   w.serve(host("s0", w.servers[0].port()));
-  Wire caller = w.client(), server;
+  TcpConnection caller = w.client(), server;
   bool first = true;
   const auto passes = [&](const std::string& sent, const std::string& part) {
     caller.send(sent);
@@ -629,28 +629,29 @@
 }
 
 TEST_P(Forms, DrainsStopSendsThatWaitForAConnection) {
-  Peer full(0);
-  std::vector<Wire> crowd;
+  TcpListener full(0);
+  std::vector<TcpConnection> crowd;
   World w;
   w.connect_timeout = 10;
-  crowd.push_back(Wire::to(full.port()));  // its queue has room for one: further connections never come up
+  crowd.push_back(
+      TcpConnection::to(full.port()));  // its queue has room for one: further connections never come up
   w.serve(host("s0", full.port()));
-  Wire caller = w.client();
+  TcpConnection caller = w.client();
   caller.send(request("close"));
   until([&] { return connecting_to(full.port()); });
   w.tell(list(8, false, host("s0", full.port(), "leaving") + "," + host("s1", w.servers[1].port())));
-  Wire server = w.servers[1].accept();
+  TcpConnection server = w.servers[1].accept();
   server.message();
   server.send(ok());
   EXPECT_TRUE(has(caller.message(), " 200 "));
 }
 
 TEST_P(Forms, GivesUpConnectionsThatNeverComeUp) {
-  Peer full(0);
+  TcpListener full(0);
   World w;
-  const Wire crowd = Wire::to(full.port());
+  const TcpConnection crowd = TcpConnection::to(full.port());
   w.serve(host("s0", full.port()));
-  Wire caller = w.client();
+  TcpConnection caller = w.client();
   const double from = seconds();
   caller.send(request("close"));
   EXPECT_TRUE(has(caller.message(), "HTTP/1.1 503 ")) << "it has not run: a refusal";
@@ -660,9 +661,9 @@
 TEST_P(Forms, FollowsAServerToItsNewAddress) {
   World w;
   w.serve(host("s0", w.servers[0].port()));
-  Wire caller = w.client();
+  TcpConnection caller = w.client();
   caller.send(request("close"));
-  Wire old = w.servers[0].accept();
+  TcpConnection old = w.servers[0].accept();
   old.message();
   old.send(ok());
   EXPECT_TRUE(has(caller.message(), " 200 "));
@@ -671,7 +672,7 @@
   EXPECT_TRUE(old.ended());
   EXPECT_LT(seconds() - from, 3) << "long before it would idle out";
   caller.send(request("close"));
-  Wire server = w.servers[1].accept();
+  TcpConnection server = w.servers[1].accept();
   server.message();
   server.send(ok());
   EXPECT_TRUE(has(caller.message(), " 200 "));
@@ -701,9 +702,9 @@
   EXPECT_TRUE(has(w.take_watch(), "stream=1&index=3 "));
   w.tell("{\"seq\":5,\"whole\":true,\"hosts\":[{\"host\":7}]}\n");  // nonsense
   EXPECT_TRUE(has(w.take_watch(), "GET /v1/servers?stream=1 HTTP")) << "the whole list";
-  Wire caller = w.client();
+  TcpConnection caller = w.client();
   caller.send(request("close"));
-  Wire server = w.servers[0].accept();
+  TcpConnection server = w.servers[0].accept();
   server.message();
   server.send(ok());
   EXPECT_TRUE(has(caller.message(), " 200 "));
@@ -736,9 +737,9 @@
     EXPECT_TRUE(w.watch.ended()) << line.substr(0, 100);
     EXPECT_TRUE(has(w.take_watch(), "GET /v1/servers?stream=1 HTTP")) << "the whole list";
   }
-  Wire caller = w.client();
+  TcpConnection caller = w.client();
   caller.send(request("close"));
-  Wire server = w.servers[0].accept();
+  TcpConnection server = w.servers[0].accept();
   server.message();
   server.send(ok());
   EXPECT_TRUE(has(caller.message(), " 200 "));
@@ -749,7 +750,7 @@
 }
 
 // The configuration with discovery at another address.
-std::string moved(const World& w, const Peer& discovery) {
+std::string moved(const World& w, const TcpListener& discovery) {
   std::string out = w.config();
   const std::string old = "\"discovery\":\"127.0.0.1:" + std::to_string(w.discovery.port());
   return out.replace(out.find(old), old.size(),
@@ -760,17 +761,17 @@
   World w;
   w.serve(host("s0", w.servers[0].port()));
   for (int round = 0; round < 2; ++round) {
-    const Peer elsewhere;
+    const TcpListener elsewhere;
     w.node->reload(moved(w, elsewhere));
-    Wire next = elsewhere.accept();
+    TcpConnection next = elsewhere.accept();
     EXPECT_TRUE(has(next.message(), "GET /v1/servers?stream=1 HTTP/1.1\r\n")) << "the whole list";
-    EXPECT_TRUE(w.watch.quiet()) << "the old watch stays until the new one has spoken";
+    EXPECT_TRUE(w.watch.no_data()) << "the old watch stays until the new one has spoken";
     w.tell(list(8, true, host("s1", w.servers[1].port())));
-    Wire caller = w.client();
-    const auto serves = [&](const Peer& peer) {
+    TcpConnection caller = w.client();
+    const auto serves = [&](const TcpListener& peer) {
       until([&] {
         caller.send(request("close"));
-        Wire server = w.next();
+        TcpConnection server = w.next();
         while (server.message().empty()) server = w.next();  // given up: the list changed while it came up
         server.send(with_length("HTTP/1.1 200 OK\r\nConnection: close\r\n", "answer"));
         caller.message();
@@ -779,22 +780,22 @@
     };
     serves(w.servers[1]);  // what the old watch says still counts
     next.send(kWatchHead);
-    EXPECT_TRUE(w.watch.quiet());
+    EXPECT_TRUE(w.watch.no_data());
     next.send(chunk(list(3, true, host("s0", w.servers[0].port()))));
     EXPECT_TRUE(w.watch.ended());
     serves(w.servers[0]);
     w.watch = std::move(next);
-    next = Wire();
+    next = TcpConnection();
   }
 }
 
 TEST_P(Forms, AsksTheNewDiscoveryAgainUntilItSpeaks) {
   World w;
   w.serve(host("s0", w.servers[0].port()));
-  const Peer elsewhere;
+  const TcpListener elsewhere;
   w.node->reload(moved(w, elsewhere));
   elsewhere.accept().send(with_length("HTTP/1.1 503 Busy\r\n", ""));
-  Wire second = elsewhere.accept();
+  TcpConnection second = elsewhere.accept();
   w.watch.close();  // and the old one has gone by then
   second.reset();
   EXPECT_TRUE(has(elsewhere.accept().message(), "GET /v1/servers?stream=1 HTTP/1.1\r\n"));
@@ -807,15 +808,15 @@
   w.discovery.close();
   w.watch.close();
   w.node->log("the last list is kept");
-  const Peer second, third;
+  const TcpListener second, third;
   w.node->reload(moved(w, second));
-  Wire watch = second.accept();
+  TcpConnection watch = second.accept();
   EXPECT_TRUE(has(watch.message(), "GET /v1/servers?stream=1 HTTP/1.1\r\n"));
   watch.send(kWatchHead);
   watch.send(chunk(list(1, true, host("s0", w.servers[0].port()))));
-  Wire caller = w.client();
+  TcpConnection caller = w.client();
   caller.send(request("close"));
-  Wire server = w.servers[0].accept();
+  TcpConnection server = w.servers[0].accept();
   server.message();
   w.node->signal(SIGTERM);
   w.node->log("draining");
@@ -829,7 +830,7 @@
 TEST_P(Forms, KeepsItsConfigurationWhereTheNextCantBeUsed) {
   World w;
   w.serve(host("s0", w.servers[0].port()));
-  const Peer elsewhere;
+  const TcpListener elsewhere;
   const std::string good = moved(w, elsewhere);
   w.node->reload_without_file();
   EXPECT_TRUE(has(w.node->log("stays as it was: can't read"), "stays as it was: can't read"));
@@ -837,8 +838,8 @@
   EXPECT_TRUE(has(w.node->log("stays as it was: not valid"), "stays as it was: not valid"));
   w.node->reload(R"({"discovery":"nowhere"})");
   EXPECT_TRUE(has(w.node->log("stays as it was: field"), "stays as it was: field"));
-  EXPECT_TRUE(w.watch.quiet());
-  EXPECT_TRUE(elsewhere.quiet());
+  EXPECT_TRUE(w.watch.no_data());
+  EXPECT_TRUE(elsewhere.no_data());
   w.node->reload(good);
   EXPECT_TRUE(has(elsewhere.accept().message(), "GET /v1/servers?stream=1 HTTP/1.1\r\n"));
 }
@@ -846,11 +847,11 @@
 TEST_P(Forms, DrainsOnSigterm) {
   World w;
   w.serve(host("s0", w.servers[0].port()));
-  Wire kept = w.client(), busy = w.client();
+  TcpConnection kept = w.client(), busy = w.client();
   kept.send("GET /healthz HTTP/1.1\r\n\r\n");
   EXPECT_TRUE(has(kept.message(), "HTTP/1.1 200 "));
   busy.send(request("close"));
-  Wire server = w.servers[0].accept();
+  TcpConnection server = w.servers[0].accept();
   server.message();
   w.node->signal(SIGTERM);
   const double from = seconds();
@@ -859,11 +860,11 @@
   EXPECT_TRUE(has(kept.message(), "HTTP/1.1 503 "));
   kept.send(request("close", "", "question",
                     "r2"));  // clients go on using what they have, and may have no other node
-  Wire second = w.servers[0].accept();
+  TcpConnection second = w.servers[0].accept();
   second.message();
   second.send(ok());
   EXPECT_TRUE(has(kept.message(), " 200 "));
-  Wire late = w.client();  // the node has long been told: it still accepts
+  TcpConnection late = w.client();  // the node has long been told: it still accepts
   late.send("GET /healthz HTTP/1.1\r\n\r\n");
   EXPECT_TRUE(has(late.message(), "HTTP/1.1 503 "));
   EXPECT_TRUE(late.ended()) << "idle connections are closed before the end";
@@ -880,9 +881,9 @@
 TEST_P(Forms, AnswersWhatIsOpenBeforeItIsKilled) {
   World w;
   w.serve(host("s0", w.servers[0].port()));
-  Wire caller = w.client();
+  TcpConnection caller = w.client();
   caller.send(request("close", "Request-Timeout-Ms: 60000\r\n"));
-  Wire server = w.servers[0].accept();
+  TcpConnection server = w.servers[0].accept();
   server.message();
   w.node->signal(SIGTERM);
   const double from = seconds();
@@ -896,22 +897,22 @@
   World w;
   w.memory_mb = 16;
   w.serve(host("s0", w.servers[0].port()));
-  std::vector<Wire> held;
+  std::vector<TcpConnection> held;
   bool full = false;
   for (int i = 0; i < 100 && !full; ++i) {
     held.push_back(w.client());
     held.back().send(head("close", "h" + std::to_string(i)) + "Content-Length: 65536\r\n\r\nhalf");
-    Wire probe = w.client();
+    TcpConnection probe = w.client();
     probe.send(head("close", "p") + "Content-Length: 65536\r\n\r\n");
-    full = !probe.quiet(20) && has(probe.message(), "HTTP/1.1 503 ");
+    full = !probe.no_data(20) && has(probe.message(), "HTTP/1.1 503 ");
   }
   EXPECT_TRUE(full);
   EXPECT_GT(held.size(), 20U);
   held.clear();
   until([&] {
-    Wire caller = w.client();
+    TcpConnection caller = w.client();
     caller.send(request("close"));
-    if (caller.quiet(50)) return true;
+    if (caller.no_data(50)) return true;
     caller.message();
     return false;
   });
@@ -921,7 +922,7 @@
   World w;
   w.sockets = 64;  // ten of them for servers
   w.serve(host("s0", w.servers[0].port()));
-  std::vector<Wire> callers, taken;
+  std::vector<TcpConnection> callers, taken;
   for (int i = 0; i < 10; ++i) {
     callers.push_back(w.client());
     callers.back().send(request("close", "", "question", "r" + std::to_string(i)));
@@ -933,21 +934,21 @@
     EXPECT_TRUE(has(callers[i].message(), " 200 "));
   }
   w.tell(list(8, false, host("s1", w.servers[1].port())));
-  for (int i = 0; i < 60 && w.servers[1].quiet(); ++i) {
+  for (int i = 0; i < 60 && w.servers[1].no_data(); ++i) {
     callers[0].send(request("close"));
     until([&] {
-      for (Wire& server : taken) {
-        if (server.quiet() || server.message().empty()) continue;
+      for (TcpConnection& server : taken) {
+        if (server.no_data() || server.message().empty()) continue;
         server.send(ok());
         return true;
       }
-      return !w.servers[1].quiet();
+      return !w.servers[1].no_data();
     });
-    if (w.servers[1].quiet()) {
+    if (w.servers[1].no_data()) {
       EXPECT_TRUE(has(callers[0].message(), " 200 "));
     }
   }
-  Wire server = w.servers[1].accept();
+  TcpConnection server = w.servers[1].accept();
   server.message();
   server.send(ok());
   EXPECT_TRUE(has(callers[0].message(), " 200 "));
--- a/tests/forms/middleware_test.cpp
+++ b/tests/forms/middleware_test.cpp
@@ -13,7 +13,7 @@
 TEST_P(Middleware, GivesOtherRoutesToTheApplicationWhole) {
   World w;
   w.serve(host("s0", w.servers[0].port()));
-  Wire caller = w.client();
+  TcpConnection caller = w.client();
   caller.send(own("as it came"));
   EXPECT_TRUE(caller.message().ends_with("\r\n\r\nas it came"));
   caller.send("POST /own HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk("in ") +
@@ -24,22 +24,22 @@
   caller.send(own(std::string(60000, 'x')));
   EXPECT_TRUE(caller.message().ends_with(std::string(60000, 'x')))
       << "the most that its door lets in is 64 KiB";
-  Wire large = w.client();
+  TcpConnection large = w.client();
   large.send("POST /own HTTP/1.1\r\nHost: a\r\nContent-Length: 65537\r\n\r\n");
   EXPECT_TRUE(has(large.message(), "HTTP/1.1 413 "));
   EXPECT_TRUE(large.ended());
-  EXPECT_TRUE(w.servers[0].quiet());
+  EXPECT_TRUE(w.servers[0].no_data());
 }
 
 TEST_P(Middleware, ServesBothOnOneConnectionInTheirOrder) {
   World w;
   w.serve(host("s0", w.servers[0].port()));
-  Wire caller = w.client();
+  TcpConnection caller = w.client();
   caller.send(own("first") + request("close", "", "second") + own("third"));
-  Wire server = w.servers[0].accept();
+  TcpConnection server = w.servers[0].accept();
   EXPECT_TRUE(server.message().ends_with("\r\n\r\nsecond"));
   EXPECT_TRUE(caller.message().ends_with("first"));
-  EXPECT_TRUE(caller.quiet(30)) << "the third waits for the second";
+  EXPECT_TRUE(caller.no_data(30)) << "the third waits for the second";
   server.send(ok("served"));
   EXPECT_TRUE(caller.message().ends_with("\r\n\r\nserved"));
   EXPECT_TRUE(caller.message().ends_with("third"));
@@ -49,9 +49,9 @@
 TEST_P(Middleware, TakesNoClientsWordForItsOwn) {
   World w;
   w.serve(host("s0", w.servers[0].port()));
-  Wire waiting = w.client(), liar = w.client();
+  TcpConnection waiting = w.client(), liar = w.client();
   waiting.send(request("close", "", "waits"));
-  Wire server = w.servers[0].accept();
+  TcpConnection server = w.servers[0].accept();
   server.message();
   for (int token = 0; token < 8; ++token) {
     const std::string lie = "Nettlestand-Token: " + std::to_string(token) + "\r\n";
@@ -70,7 +70,7 @@
                     "chunked\r\n\r\n0\r\n\r\n"),
         std::string("POST /own HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab"),
         own("x", "X: a\r\n b\r\n"), std::string("nonsense\r\n\r\n")}) {
-    Wire caller = w.client();
+    TcpConnection caller = w.client();
     caller.send(text + own("hidden"));
     EXPECT_TRUE(has(caller.message(), "HTTP/1.1 400 ")) << text;
     EXPECT_TRUE(caller.ended()) << text;
@@ -80,11 +80,11 @@
 TEST_P(Middleware, AnswersARequestThatIsTurnedAwayBehindOneThatWaits) {
   World w;
   w.serve(host("s0", w.servers[0].port()));
-  Wire caller = w.client();
+  TcpConnection caller = w.client();
   caller.send(request("close", "", "good") + "nonsense\r\n\r\n");
-  Wire server = w.servers[0].accept();
+  TcpConnection server = w.servers[0].accept();
   EXPECT_TRUE(server.message().ends_with("good"));
-  EXPECT_TRUE(caller.quiet(30));
+  EXPECT_TRUE(caller.no_data(30));
   server.send(ok("kept its place"));
   EXPECT_TRUE(caller.message().ends_with("kept its place"));
   EXPECT_TRUE(has(caller.message(), "HTTP/1.1 400 "));
@@ -94,11 +94,11 @@
 TEST_P(Middleware, LetsAClientWaitForContinue) {
   World w;
   w.serve(host("s0", w.servers[0].port()));
-  Wire caller = w.client();
+  TcpConnection caller = w.client();
   caller.send(head("close") + "Expect: 100-continue\r\nContent-Length: 8\r\n\r\n");
   EXPECT_TRUE(has(caller.message(), "HTTP/1.1 100 "));
   caller.send("question");
-  Wire server = w.servers[0].accept();
+  TcpConnection server = w.servers[0].accept();
   EXPECT_TRUE(server.message().ends_with("question"));
   server.send(ok());
   EXPECT_TRUE(has(caller.message(), " 200 "));
--- a/tests/forms/world.h
+++ b/tests/forms/world.h
@@ -82,10 +82,10 @@
 }
 
 // Sends it in two parts, the second once the first has been read.
-inline void send_cut(const Wire& to, const std::string& text, std::size_t cut) {
+inline void send_cut(const TcpConnection& to, const std::string& text, std::size_t cut) {
   to.send(text.substr(0, cut));
   if (cut == text.size()) return;
-  to.await_reading();
+  to.wait_until_read();
   to.send(text.substr(cut));
 }
 
@@ -113,13 +113,13 @@
 
 // A node past tier 0, so that each request is sent on, with what the tests need to script its surroundings.
 struct World {
-  Peer discovery;
-  std::array<Peer, 2> servers;
+  TcpListener discovery;
+  std::array<TcpListener, 2> servers;
   double connect_timeout = 0.25, idle_close = 5;
   int sockets = 1024, memory_mb = 64;
   std::string known;
   std::unique_ptr<Program> node;
-  Wire watch;
+  TcpConnection watch;
 
   World() = default;
   virtual ~World() = default;
@@ -157,13 +157,13 @@
     until([&] { return has(health(), " 200 "); });
   }
   std::string health() const {
-    Wire caller = client();
+    TcpConnection caller = client();
     caller.send("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
     return caller.message();
   }
-  Wire client() const { return Wire::to(node->port()); }
+  TcpConnection client() const { return TcpConnection::to(node->port()); }
   // The connection on which the next request comes, whichever server it goes to.
-  Wire next() const { return Peer::accept_either(servers[0], servers[1]); }
+  TcpConnection next() const { return TcpListener::accept_either(servers[0], servers[1]); }
 };
 
 }  // namespace nettlestand::testing
--- a/tests/fuzz/peers_fuzz.cpp
+++ b/tests/fuzz/peers_fuzz.cpp
@@ -6,8 +6,8 @@
 #include <string>
 #include <vector>
 
-#include "peers/decide.h"
-#include "peers/wire.h"
+#include "peers/datagram_codec.h"
+#include "peers/membership.h"
 
 namespace np = nettlestand::peers;
 
@@ -23,22 +23,23 @@
 
 // The input is a row of pieces: how long, how much time passes, from whom, and a datagram's inside.
 extern "C" int LLVMFuzzerTestOneInput(const unsigned char* data, std::size_t size) {
-  np::Settings settings;
+  np::MembershipSettings settings;
   settings.self.name = "n1";
   settings.address = 1;
-  settings.life = 100;
-  settings.most_members = 32;
+  settings.generation = 100;
+  settings.max_members = 32;
   np::Membership core(settings);
-  np::Wire wire({}), other({});
-  std::vector<np::Membership::Out> out;
+  np::DatagramCodec wire({}), other({});
+  std::vector<np::Membership::Outgoing> out;
   double now = 10;
   const auto sent = [&] {
     check(out.size() <= 4096, "too much is sent at once");
-    for (np::Membership::Out& o : out) {
+    for (np::Membership::Outgoing& o : out) {
       const std::string bytes = wire.encode(o.message);  // throws where it is too long
-      check(bytes.size() <= np::kMostBytes && np::bytes_of(o.message) >= bytes.size(), "a datagram's length");
-      np::Refusal why;
-      check(other.decode(bytes, why).has_value(), "what is sent can't be read");
+      check(bytes.size() <= np::kMaxDatagramBytes && np::max_encoded_bytes(o.message) >= bytes.size(),
+            "a datagram's length");
+      np::DecodeError error;
+      check(other.decode(bytes, error).has_value(), "what is sent can't be read");
     }
     out.clear();
     core.changes();
@@ -52,18 +53,19 @@
     at += 3;
     const std::string body(reinterpret_cast<const char*>(data + at), std::min(length, size - at));
     at += body.size();
-    for (int i = 0; i < 100 && core.next() <= now; ++i) {
-      core.tick(core.next(), out);
+    for (int i = 0; i < 100 && core.next_tick() <= now; ++i) {
+      core.tick(core.next_tick(), out);
       sent();
     }
     std::uint64_t number = 0;
-    np::Refusal why;
-    if (const auto message = wire.read(body, number, why)) {
-      core.message(now, from, *message, out);
+    np::DecodeError error;
+    if (const auto message = wire.decode_body(body, number, error)) {
+      core.on_message(now, from, *message, out);
       sent();
     }
-    check(core.members().size() <= settings.most_members + 1, "more members than there is room for");
-    check(core.living() >= 1 && core.living() <= settings.most_members + 1, "the number of the living");
+    check(core.members().size() <= settings.max_members + 1, "more members than there is room for");
+    check(core.live_count() >= 1 && core.live_count() <= settings.max_members + 1,
+          "the number of the living");
   }
   return 0;
 }
--- a/tests/fuzz/peers_seeds.cpp
+++ b/tests/fuzz/peers_seeds.cpp
@@ -4,40 +4,40 @@
 #include <string>
 #include <vector>
 
-#include "peers/wire.h"
+#include "peers/datagram_codec.h"
 
 namespace np = nettlestand::peers;
 
 int main(int argc, char** argv) {
   if (argc != 2) return 2;
-  np::Wire wire({});
+  np::DatagramCodec wire({});
   std::string all;
-  for (int kind = 0; kind <= static_cast<int>(np::kLastKind); ++kind) {
+  for (int kind = 0; kind <= static_cast<int>(np::kLastMessageKind); ++kind) {
     for (int state = 0; state < 5; ++state) {
       np::Message m;
-      m.kind = static_cast<np::Kind>(kind);
+      m.kind = static_cast<np::MessageKind>(kind);
       m.seq = static_cast<std::uint32_t>(kind + 1);
-      m.from = np::key_of("n" + std::to_string(2 + state));
-      m.life = 7;
-      m.target = np::key_of(state % 2 == 0 ? "n1" : "n3");
-      m.target_life = 100;
-      m.reaches = state % 2 == 0;
+      m.from = np::member_key("n" + std::to_string(2 + state));
+      m.generation = 7;
+      m.target = np::member_key(state % 2 == 0 ? "n1" : "n3");
+      m.target_generation = 100;
+      m.direct_ack = state % 2 == 0;
       np::Update u;
-      u.key = np::key_of(state < 3 ? "n1" : "n4");
-      u.life = 100;
-      u.state = static_cast<np::State>(state);
+      u.key = np::member_key(state < 3 ? "n1" : "n4");
+      u.generation = 100;
+      u.state = static_cast<np::MemberState>(state);
       u.address = 3;
-      u.accuser = state == 1 ? m.from : 0;
+      u.reporter = state == 1 ? m.from : 0;
       m.updates.push_back(u);
       np::Update self;
       self.key = m.from;
-      self.life = m.life;
+      self.generation = m.generation;
       self.address = static_cast<np::Address>(2 + state);
       self.identity = std::make_shared<const np::Identity>(
           np::Identity{"n" + std::to_string(2 + state), "z", "", "1", 0, 2});
       m.updates.push_back(self);
       std::string body = wire.encode(m);
-      body.resize(body.size() - np::kSealBytes);
+      body.resize(body.size() - np::kMacBytes);
       const std::string piece = std::string(1, static_cast<char>(body.size())) +
                                 static_cast<char>(20 * kind) + static_cast<char>(state + 1) + body;
       all += piece;
--- a/tests/fuzz/run.sh
+++ b/tests/fuzz/run.sh
@@ -6,7 +6,7 @@
 build=${FUZZ_BUILD:-build-fuzz}
 mkdir -p "$build/corpus"
 clang++ -std=c++20 -O1 -g -fsanitize=fuzzer,address,undefined -fno-sanitize-recover=all -I. -Iinclude \
-        peers/decide.cpp peers/member.cpp peers/wire.cpp tests/fuzz/peers_fuzz.cpp -lsodium -o "$build/peers_fuzz"
-c++ -std=c++20 -O1 -I. -Iinclude peers/member.cpp peers/wire.cpp tests/fuzz/peers_seeds.cpp -lsodium -o "$build/peers_seeds"
+        peers/datagram_codec.cpp peers/member.cpp peers/membership.cpp tests/fuzz/peers_fuzz.cpp -lsodium -o "$build/peers_fuzz"
+c++ -std=c++20 -O1 -I. -Iinclude peers/datagram_codec.cpp peers/member.cpp tests/fuzz/peers_seeds.cpp -lsodium -o "$build/peers_seeds"
 "$build/peers_seeds" "$build/corpus"
 "$build/peers_fuzz" -seed=1 -artifact_prefix="$build/" -runs="${1:-60000}" -max_len=1500 -timeout=10 -print_final_stats=1 "$build/corpus"
--- a/tests/library/application.h
+++ b/tests/library/application.h
@@ -13,7 +13,7 @@
 
 #include "nettlestand/asio.h"
 #include "nettlestand/gateway.h"
-#include "tests/peers.h"
+#include "tests/tcp_peer.h"
 
 namespace nettlestand::testing {
 
@@ -68,7 +68,7 @@
   // Waits until so many have come.
   std::vector<std::pair<int, Response>> wait(std::size_t count) {
     std::unique_lock lock(mutex_);
-    if (!changed_.wait_for(lock, std::chrono::milliseconds(kPatience),
+    if (!changed_.wait_for(lock, std::chrono::milliseconds(kTimeoutMs),
                            [&] { return all_.size() >= count; })) {
       throw std::runtime_error("only " + std::to_string(all_.size()) + " of " + std::to_string(count) +
                                " came");
--- a/tests/library/gateway_test.cpp
+++ b/tests/library/gateway_test.cpp
@@ -15,7 +15,7 @@
 namespace asio = boost::asio;
 
 TEST(Gateway, ServesOnAThreadOfItsOwn) {
-  Peer peer;
+  TcpListener peer;
   const auto gateway = open(options({peer.port()}));
   until([&] { return gateway->ready(); });
   Answers answers;
@@ -25,7 +25,7 @@
   asked.content_type = "text/odd";
   asked.timeout = std::chrono::milliseconds(900);
   EXPECT_NE(gateway->submit(std::move(asked), answers.next()), 0U);
-  Wire wire = peer.accept();
+  TcpConnection wire = peer.accept();
   const std::string got = wire.message();
   EXPECT_EQ(got.rfind("POST /api?x=1 HTTP/1.1\r\n", 0), 0U) << got;
   for (const char* part : {"Host: service.internal\r\n", "Idempotency-Key: k1\r\n", "Cookie: user=u\r\n",
@@ -50,7 +50,7 @@
 
 // Two gateways of one application and one of another: they find each other, and hear of an end.
 TEST(Gateway, KnowsOfOthersWhereItIsToldTo) {
-  Peer peer;
+  TcpListener peer;
   struct Told {
     std::mutex mutex;
     std::vector<std::string> events;  // with the member, and the count of copies
@@ -124,12 +124,12 @@
 }
 
 TEST(Gateway, FailsRefusesAndTimesOutAsTheDaemonDoes) {
-  Peer peer, gone;
+  TcpListener peer, gone;
   gone.close();
   const auto gateway = open(options({peer.port()}));
   Answers answers;
   gateway->submit(request("close"), answers.next());
-  Wire wire = peer.accept();
+  TcpConnection wire = peer.accept();
   wire.message();
   wire.reset();
   Response got = answers.one();
@@ -154,7 +154,7 @@
 }
 
 TEST(Gateway, TellsOfAnIdThatIsOpenAndOfAFullHouse) {
-  Peer peer;
+  TcpListener peer;
   Options narrow = options({peer.port()});
   narrow.max_open = 2;
   const auto gateway = open(narrow);
@@ -162,14 +162,14 @@
   Request one = request("close");
   one.id = "same";
   gateway->submit(one, first.next());
-  Wire wire = peer.accept();
+  TcpConnection wire = peer.accept();
   wire.message();
   gateway->submit(one, second.next());
   Response got = second.one();
   EXPECT_EQ(got.error.code, Errc::kIdIsOpen);
   EXPECT_EQ(got.status(), 409);
   gateway->submit(request("close"), third.next());
-  Wire other = peer.accept();
+  TcpConnection other = peer.accept();
   other.message();
   gateway->submit(request("close"), fourth.next());
   got = fourth.one();
@@ -184,14 +184,14 @@
 }
 
 TEST(Gateway, CompletionsRunWhereTheApplicationSays) {
-  Peer peer;
+  TcpListener peer;
   const auto held = std::make_shared<HeldExecutor>();
   Options with = options({peer.port()});
   with.executor = held;
   const auto gateway = open(with);
   Answers answers;
   gateway->submit(request("close"), answers.next());
-  Wire wire = peer.accept();
+  TcpConnection wire = peer.accept();
   wire.message();
   wire.send(ok());
   until([&] { return held->waiting() == 1; });
@@ -206,7 +206,7 @@
 }
 
 TEST(Gateway, RunsOnTheApplicationsLoopWithFuturesAndExecutors) {
-  Peer peer;
+  TcpListener peer;
   asio::io_context loop, other;
   auto keep = asio::make_work_guard(loop);
   std::thread thread([&] { loop.run(); });
@@ -214,7 +214,7 @@
   with.executor = executor_of(other.get_executor());
   auto gateway = open_on(loop, with);
   std::future<Response> future = async_submit(*gateway, loop, request("close"), asio::use_future);
-  Wire wire = peer.accept();
+  TcpConnection wire = peer.accept();
   wire.message();
   wire.send(ok("by a future"));
   until([&] {
@@ -229,18 +229,18 @@
 }
 
 TEST(Gateway, FollowsItsServers) {
-  Peer a, b;
+  TcpListener a, b;
   const auto gateway = open(options({a.port()}));
   Answers answers;
   gateway->submit(request("close"), answers.next());
-  Wire wire = a.accept();
+  TcpConnection wire = a.accept();
   wire.message();
   wire.send(ok());
   answers.wait(1);
   EXPECT_FALSE(gateway->set_servers({server("s1", b.port())}));
   EXPECT_TRUE(wire.ended()) << "what is idle there is closed";
   gateway->submit(request("close"), answers.next());
-  Wire next = b.accept();
+  TcpConnection next = b.accept();
   next.message();
   next.send(ok());
   EXPECT_EQ(answers.wait(2)[1].second.outcome, Outcome::kServed);
@@ -251,12 +251,12 @@
 }
 
 TEST(Gateway, AsksDiscoveryAndMovesWithIt) {
-  Peer discovery, elsewhere, a, b;
+  TcpListener discovery, elsewhere, a, b;
   Options with = options({});
   with.discovery = "127.0.0.1:" + std::to_string(discovery.port());
   const auto gateway = open(with);
-  const auto watch_at = [](const Peer& peer, const Peer& listed) {
-    Wire watch = peer.accept();
+  const auto watch_at = [](const TcpListener& peer, const TcpListener& listed) {
+    TcpConnection watch = peer.accept();
     EXPECT_EQ(watch.message().rfind("GET /v1/servers?stream=1 HTTP/1.1\r\n", 0), 0U);
     const std::string line = R"({"seq":1,"whole":true,"hosts":[{"host":"s)" + std::to_string(listed.port()) +
                              R"(","dial":"127.0.0.1:)" + std::to_string(listed.port()) +
@@ -267,30 +267,30 @@
     return watch;
   };
   EXPECT_FALSE(gateway->ready());
-  Wire watch = watch_at(discovery, a);
+  TcpConnection watch = watch_at(discovery, a);
   until([&] { return gateway->ready(); });
   Answers answers;
-  const auto serves = [&](const Peer& peer) {
+  const auto serves = [&](const TcpListener& peer) {
     const std::size_t before = answers.count();
     gateway->submit(request("close"), answers.next());
-    Wire wire = peer.accept();
+    TcpConnection wire = peer.accept();
     wire.message();
     wire.send(ok());
     EXPECT_EQ(answers.wait(before + 1).back().second.outcome, Outcome::kServed);
   };
   serves(a);
   EXPECT_FALSE(gateway->move_discovery("127.0.0.1:" + std::to_string(elsewhere.port())));
-  Wire moved = watch_at(elsewhere, b);
+  TcpConnection moved = watch_at(elsewhere, b);
   EXPECT_TRUE(watch.ended());
   serves(b);
 }
 
 TEST(Gateway, StopsAsADrain) {
-  Peer peer;
+  TcpListener peer;
   const auto gateway = open(options({peer.port()}));
   Answers open_one, late;
   gateway->submit(request("close"), open_one.next());
-  Wire wire = peer.accept();
+  TcpConnection wire = peer.accept();
   wire.message();
   std::promise<void> stopped;
   gateway->stop([&] { stopped.set_value(); });
@@ -307,13 +307,13 @@
 }
 
 TEST(Gateway, StopsWithinItsGrace) {
-  Peer peer;
+  TcpListener peer;
   const auto gateway = open(options({peer.port()}, 1000));
   Answers answers;
   Request patient = request("close");
   patient.timeout = std::chrono::seconds(60);
   gateway->submit(std::move(patient), answers.next());
-  Wire wire = peer.accept();
+  TcpConnection wire = peer.accept();
   wire.message();
   std::promise<void> stopped;
   gateway->stop([&] { stopped.set_value(); });
--- a/tests/library/hard_cases_test.cpp
+++ b/tests/library/hard_cases_test.cpp
@@ -25,8 +25,9 @@
 };
 
 TEST(Cancel, BeforeTheFirstByteNothingIsEverWritten) {
-  Peer full(0);
-  const Wire crowd = Wire::to(full.port());  // its queue has room for one: further connections never come up
+  TcpListener full(0);
+  const TcpConnection crowd =
+      TcpConnection::to(full.port());  // its queue has room for one: further connections never come up
   Options patient = options({full.port()});
   patient.connect_timeout = std::chrono::seconds(60);
   const auto gateway = open(patient);
@@ -38,27 +39,27 @@
   EXPECT_EQ(answers.one().status(), 499);
   EXPECT_FALSE(gateway->cancel(ticket)) << "once";
   until([&] { return !connecting_to(full.port()); });
-  const Wire first = full.accept();
-  EXPECT_TRUE(full.quiet(50)) << "nobody came behind the crowd";
+  const TcpConnection first = full.accept();
+  EXPECT_TRUE(full.no_data(50)) << "nobody came behind the crowd";
   EXPECT_EQ(gateway->open_requests(), 0U);
 }
 
 TEST(Cancel, AfterTheLastByteTheAttemptIsAbandonedAndNotRepeated) {
-  Peer a, b;
+  TcpListener a, b;
   const auto gateway = open(options({a.port(), b.port()}));
   Answers answers;
   const Ticket ticket = gateway->submit(request("close"), answers.next());
-  Wire wire = Peer::accept_either(a, b);
+  TcpConnection wire = TcpListener::accept_either(a, b);
   EXPECT_TRUE(has(wire.message(), "question"));
   EXPECT_TRUE(gateway->cancel(ticket));
   EXPECT_EQ(answers.one().outcome, Outcome::kCancelled);
   EXPECT_TRUE(wire.ended()) << "its connection is closed, as for a client that leaves";
-  EXPECT_TRUE(a.quiet(50) && b.quiet(50));
+  EXPECT_TRUE(a.no_data(50) && b.no_data(50));
   EXPECT_EQ(answers.count(), 1U);
 }
 
 TEST(Cancel, BeforeTheLoopHasSeenTheRequestNothingIsBegun) {
-  Peer peer;
+  TcpListener peer;
   asio::io_context io;
   auto gateway = open_on(io, options({peer.port()}));
   Answers answers;
@@ -66,7 +67,7 @@
   EXPECT_TRUE(gateway->cancel(ticket));
   io.poll();
   EXPECT_EQ(answers.one().outcome, Outcome::kCancelled);
-  EXPECT_TRUE(peer.quiet(50));
+  EXPECT_TRUE(peer.no_data(50));
   gateway.reset();
   io.restart();
   io.run();
@@ -75,31 +76,31 @@
 // The loop has been told of both by the system: first it runs what cancels, then what the server has said.
 // The cancel itself waits its turn behind that, and the request must not be sent again meanwhile.
 TEST(Cancel, AFurtherAttemptDoesNotOvertakeACancelThatWaitsItsTurn) {
-  Peer a, b;
+  TcpListener a, b;
   asio::io_context io;
   auto gateway = open_on(io, options({a.port(), b.port()}));
   Answers answers;
   const Ticket ticket = gateway->submit(request("close"), answers.next());
-  while (a.quiet() && b.quiet()) io.run_one();
-  Wire wire = Peer::accept_either(a, b);
-  while (wire.quiet()) io.run_one();
+  while (a.no_data() && b.no_data()) io.run_one();
+  TcpConnection wire = TcpListener::accept_either(a, b);
+  while (wire.no_data()) io.run_one();
   wire.message();
   io.poll();
-  Peer trigger;
+  TcpListener trigger;
   asio::ip::tcp::socket told(io);
   told.connect({asio::ip::address_v4::loopback(), static_cast<unsigned short>(trigger.port())});
-  const Wire other = trigger.accept();
+  const TcpConnection other = trigger.accept();
   told.async_wait(asio::socket_base::wait_read,
                   [&](const boost::system::error_code&) { EXPECT_TRUE(gateway->cancel(ticket)); });
   io.poll();
   other.send("x");  // ready first
-  other.await_delivery();
+  other.wait_until_delivered();
   wire.send("HTTP/1.1 503 Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
-  wire.await_delivery();
+  wire.wait_until_delivered();
   while (answers.count() == 0) io.run_one();
   io.poll();
   EXPECT_EQ(answers.one().outcome, Outcome::kCancelled);
-  EXPECT_TRUE(wire.quiet() && a.quiet(50) && b.quiet(50)) << "neither there again nor elsewhere";
+  EXPECT_TRUE(wire.no_data() && a.no_data(50) && b.no_data(50)) << "neither there again nor elsewhere";
   gateway.reset();
   io.restart();
   io.run();
@@ -107,13 +108,13 @@
 
 // Ten connections carry ten requests; ten more wait for room. Cancelling the first ten lets the others go.
 TEST(Cancel, TheQueueBehindMovesOnAtOnce) {
-  Peer peer;
+  TcpListener peer;
   Options narrow = options({peer.port()});
   narrow.sockets = 10;
   const auto gateway = open(narrow);
   Answers cancelled, behind;
   std::vector<Ticket> tickets;
-  std::vector<Wire> wires;
+  std::vector<TcpConnection> wires;
   for (int i = 0; i < 10; ++i) {
     tickets.push_back(gateway->submit(request("close"), cancelled.next(i)));
     wires.push_back(peer.accept());
@@ -123,10 +124,10 @@
   for (int i = 0; i < 10; ++i) gateway->submit(request("close"), behind.next(i));
   cancelled.wait(10);
   for (int i = 0; i < 10; ++i) {
-    Wire next = peer.accept();
+    TcpConnection next = peer.accept();
     next.message();
     next.send(ok());
-    next.await_reading();
+    next.wait_until_read();
     wires.push_back(std::move(next));
   }
   for (const auto& [name, response] : behind.wait(10)) EXPECT_EQ(response.outcome, Outcome::kServed) << name;
@@ -134,14 +135,14 @@
 }
 
 TEST(Cancel, CrossingTheAnswerOnAnotherThreadTheOutcomeComesOnce) {
-  Peer peer;
+  TcpListener peer;
   const auto gateway = open(options({peer.port()}));
   std::map<Outcome, int> seen;
-  Wire wire;
+  TcpConnection wire;
   for (int i = 0; i < 400; ++i) {
     Answers answers;
     const Ticket ticket = gateway->submit(request("close"), answers.next());
-    if (!peer.quiet(wire.closed() ? kPatience : 0)) wire = peer.accept();
+    if (!peer.no_data(wire.closed() ? kTimeoutMs : 0)) wire = peer.accept();
     if (wire.message().empty()) {
       wire = peer.accept();
       wire.message();
@@ -166,10 +167,10 @@
 }
 
 TEST(End, AGatewayThatIsDestroyedAnswersWhatIsOpen) {
-  Peer peer;
+  TcpListener peer;
   Answers answers;
   auto gateway = open(options({peer.port()}));
-  std::vector<Wire> wires;
+  std::vector<TcpConnection> wires;
   for (int i = 0; i < 5; ++i) {
     gateway->submit(request("close"), answers.next(i));
     wires.push_back(peer.accept());
@@ -178,17 +179,17 @@
   gateway.reset();
   for (const auto& [name, response] : answers.wait(5))
     EXPECT_EQ(response.outcome, Outcome::kShutDown) << name;
-  for (Wire& wire : wires) EXPECT_TRUE(wire.ended());
+  for (TcpConnection& wire : wires) EXPECT_TRUE(wire.ended());
   for (const auto& [name, count] : answers.counts()) EXPECT_EQ(count, 1) << name;
 }
 
 TEST(End, OnAnApplicationsLoopThatRuns) {
-  Peer peer;
+  TcpListener peer;
   Loop loop;
   Answers answers;
   auto gateway = open_on(loop.io, options({peer.port()}));
   gateway->submit(request("close"), answers.next());
-  Wire wire = peer.accept();
+  TcpConnection wire = peer.accept();
   wire.message();
   gateway.reset();  // from another thread than the loop's
   EXPECT_EQ(answers.one().outcome, Outcome::kShutDown);
@@ -199,19 +200,19 @@
 // The loop has stopped with requests open: whatever comes first, the gateway or the loop's end, completions
 // come on the executor that the application named.
 TEST(End, OnALoopThatHasStopped) {
-  Peer peer;
+  TcpListener peer;
   const auto held = std::make_shared<HeldExecutor>();
   Answers answers;
-  Wire wire;
+  TcpConnection wire;
   {
     asio::io_context io;
     Options with = options({peer.port()});
     with.executor = held;
     auto gateway = open_on(io, with);
     gateway->submit(request("close"), answers.next(1));
-    while (peer.quiet()) io.run_one();
+    while (peer.no_data()) io.run_one();
     wire = peer.accept();
-    while (wire.quiet()) io.run_one();
+    while (wire.no_data()) io.run_one();
     wire.message();
     gateway->submit(request("close"), answers.next(2));  // never seen by the loop
     io.stop();
@@ -227,7 +228,7 @@
 
 TEST(End, FromWithinACompletion) {
   for (const bool own_thread : {true, false}) {
-    Peer peer;
+    TcpListener peer;
     Loop loop;
     Answers answers;
     auto gateway = own_thread ? open(options({peer.port()})) : open_on(loop.io, options({peer.port()}));
@@ -236,10 +237,10 @@
       gateway.reset();
       destroyed.set_value();
     });
-    Wire wire = peer.accept();
+    TcpConnection wire = peer.accept();
     wire.message();
     gateway->submit(request("close"), answers.next());
-    Wire second = peer.accept();
+    TcpConnection second = peer.accept();
     second.message();
     wire.send(ok());
     destroyed.get_future().get();
@@ -250,7 +251,7 @@
 }
 
 TEST(Completions, MaySubmitAgain) {
-  Peer peer;
+  TcpListener peer;
   const auto gateway = open(options({peer.port()}));
   std::promise<int> done;
   std::function<void(int)> again = [&](int left) {
@@ -261,7 +262,7 @@
     });
   };
   again(20);
-  Wire wire = peer.accept();
+  TcpConnection wire = peer.accept();
   for (int i = 0; i <= 20; ++i) {
     wire.message();
     wire.send(ok());
@@ -270,7 +271,7 @@
 }
 
 TEST(Completions, ThatThrowHarmNobody) {
-  Peer peer;
+  TcpListener peer;
   std::mutex mutex;
   std::string log;
   Options with = options({peer.port()});
@@ -281,7 +282,7 @@
   };
   const auto gateway = open(with);
   Answers answers;
-  Wire wire;
+  TcpConnection wire;
   for (int i = 0; i < 3; ++i) {
     gateway->submit(request("close"), [&, i](Response) {
       if (i == 0) throw std::runtime_error("first");
@@ -302,15 +303,15 @@
 }
 
 TEST(End, AThousandSubmitsFromEightThreadsWhileADrainBegins) {
-  Peer peer(1024);
+  TcpListener peer(1024);
   std::atomic<int> arrived = 0;
   std::atomic<bool> over = false;
   std::thread server([&] {
-    std::vector<Wire> wires;
+    std::vector<TcpConnection> wires;
     while (!over) {
-      while (!peer.quiet(1)) wires.push_back(peer.accept());
-      for (Wire& wire : wires) {
-        if (wire.closed() || wire.quiet()) continue;
+      while (!peer.no_data(1)) wires.push_back(peer.accept());
+      for (TcpConnection& wire : wires) {
+        if (wire.closed() || wire.no_data()) continue;
         if (wire.message().empty()) {
           wire.close();
           continue;
@@ -354,7 +355,7 @@
 // The application holds its loop up: deadlines that have passed are answered at once, nothing is lost, and
 // nothing is sent for them.
 TEST(Loop, ThatIsBlockedLosesNothing) {
-  Peer peer;
+  TcpListener peer;
   Loop loop;
   const auto gateway = open_on(loop.io, options({peer.port()}));
   until([&] { return gateway->ready(); });
@@ -362,7 +363,7 @@
   Request hurried = request("close");
   hurried.timeout = std::chrono::milliseconds(100);
   gateway->submit(hurried, before.next());
-  Wire wire = peer.accept();
+  TcpConnection wire = peer.accept();
   wire.message();
   std::promise<void> blocked, release;
   asio::post(loop.io, [&] {
@@ -379,14 +380,14 @@
   }
   const int status = before.one().status();
   EXPECT_TRUE(status == 504 || status == 502) << status;
-  EXPECT_TRUE(peer.quiet(50)) << "no attempt for what was over";
+  EXPECT_TRUE(peer.no_data(50)) << "no attempt for what was over";
   EXPECT_TRUE(wire.ended());
 }
 
 // One of two gateways on a loop is at all its limits; the other does not notice.
 TEST(Loop, TwoGatewaysDoNotDisturbEachOther) {
-  Peer full(0), good;
-  const Wire crowd = Wire::to(full.port());
+  TcpListener full(0), good;
+  const TcpConnection crowd = TcpConnection::to(full.port());
   Loop loop;
   Options small = options({full.port()});
   small.tenants = {{"acme", 10}};
@@ -404,7 +405,7 @@
     large.tenant = "acme";
     one->submit(std::move(large), stuck.next(i));
   }
-  Wire wire;
+  TcpConnection wire;
   for (int i = 0; i < 50; ++i) {
     Request usual_one = request("close");
     usual_one.tenant = "beta";
--- a/tests/library/options_test.cpp
+++ b/tests/library/options_test.cpp
@@ -104,7 +104,7 @@
       {[](Request& r) { r.timeout = std::chrono::milliseconds(-1); }, Errc::kBadRequest,
        "bad Request-Timeout-Ms", 400},
   };
-  Peer peer;
+  TcpListener peer;
   Options with_tenant = options({peer.port()});
   with_tenant.tenants = {{"acme", 1000}};
   const auto gateway = open(with_tenant);
@@ -120,7 +120,7 @@
     EXPECT_EQ(got.error.text.rfind(wrong.says, 0), 0U) << got.error.text;
     EXPECT_EQ(got.status(), wrong.status) << wrong.says;
   }
-  EXPECT_TRUE(peer.quiet()) << "nothing reaches a server";
+  EXPECT_TRUE(peer.no_data()) << "nothing reaches a server";
   EXPECT_EQ(gateway->open_requests(), 0U);
   EXPECT_EQ(make_error_code(Errc::kIdIsOpen).message(), "a request with this id is open");
 }
--- a/tests/node_harness.h
+++ b/tests/node_harness.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "tests/peers.h"
+#include "tests/tcp_peer.h"
 
 namespace nettlestand::testing {
 
@@ -62,7 +62,7 @@
 
   // The log so far, read until `part` stands in it, from a place on, or the program ends.
   const std::string& log(const std::string& part, std::size_t from = 0) {
-    while (text_.find(part, from) == std::string::npos && readable(log_, kPatience)) {
+    while (text_.find(part, from) == std::string::npos && readable(log_, kTimeoutMs)) {
       char bytes[1024];
       const ssize_t got = read(log_, bytes, sizeof bytes);
       if (got <= 0) break;
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -84,11 +84,11 @@
   World w;
   w.sockets = 100;
   w.serve(host("s0", w.servers[0].port()));
-  std::vector<Wire> silent;
+  std::vector<TcpConnection> silent;
   for (int i = 0; i < 120; ++i) silent.push_back(w.client());
-  Wire caller = w.client();
+  TcpConnection caller = w.client();
   caller.send(request("close"));
-  Wire server = w.servers[0].accept();
+  TcpConnection server = w.servers[0].accept();
   server.message();
   server.send(ok());
   EXPECT_TRUE(has(caller.message(), " 200 "));
@@ -98,7 +98,7 @@
   World w;
   w.serve(host("s0", w.servers[0].port()));
   const double from = seconds();
-  Wire silent = w.client(), slow = w.client(), bodiless = w.client();
+  TcpConnection silent = w.client(), slow = w.client(), bodiless = w.client();
   slow.send("POST /api HTTP/1.1\r\nRequest-Id:");
   bodiless.send(head("close") + "Content-Length: 100\r\n\r\nhalf");
   EXPECT_TRUE(silent.ended());
@@ -111,18 +111,18 @@
   World w;
   w.sockets = 100;
   w.serve(host("s0", w.servers[0].port()));
-  std::vector<Wire> crowd;
+  std::vector<TcpConnection> crowd;
   for (int i = 0; i < 100; ++i) {
     crowd.push_back(w.client());
     const bool slow = i % 2 == 0;
     crowd.back().send(slow ? "POST /api HTTP/1.1\r\nRequest-Id:" : "GET /healthz HTTP/1.1\r\n\r\n");
     if (!slow) crowd.back().message();
   }
-  Wire caller = w.client();
+  TcpConnection caller = w.client();
   caller.send(request("close"));
-  if (w.servers[0].quiet(6000))
-    FAIL() << "the caller got: " << (caller.quiet() ? "nothing" : caller.message());
-  Wire server = w.servers[0].accept();
+  if (w.servers[0].no_data(6000))
+    FAIL() << "the caller got: " << (caller.no_data() ? "nothing" : caller.message());
+  TcpConnection server = w.servers[0].accept();
   server.message();
   server.send(ok());
   EXPECT_TRUE(has(caller.message(), " 200 "));
@@ -133,19 +133,19 @@
   World w;
   w.sockets = 100;
   w.serve(host("s0", w.servers[0].port()));
-  std::vector<Wire> kept;
+  std::vector<TcpConnection> kept;
   for (int i = 0; i < 40; ++i) {
     kept.push_back(w.client());
     kept.back().send("GET /healthz HTTP/1.1\r\n\r\n");
     kept.back().message();
   }
-  Wire caller = w.client();
-  std::vector<Wire> crowd;
+  TcpConnection caller = w.client();
+  std::vector<TcpConnection> crowd;
   for (int i = 0; i < 10; ++i) crowd.push_back(w.client());
   crowd.back().send("GET /healthz HTTP/1.1\r\n\r\n");
   EXPECT_TRUE(has(crowd.back().message(), " 200 ")) << "all of the crowd are connected";
   caller.send(request("close"));
-  Wire server = w.servers[0].accept();
+  TcpConnection server = w.servers[0].accept();
   server.message();
   server.send(ok());
   EXPECT_TRUE(has(caller.message(), " 200 "));
@@ -157,14 +157,14 @@
   w.take_watch();
   w.tell(list(7, true, host("s0", w.servers[0].port())));
   w.await_ready();
-  std::vector<Wire> silent;
+  std::vector<TcpConnection> silent;
   for (int i = 0; i < 40; ++i) silent.push_back(w.client());
   silent.back().send("GET /healthz HTTP/1.1\r\n\r\n");
   EXPECT_TRUE(has(silent.back().message(), " 200 ")) << "those before it made room";
   silent.clear();
-  Wire caller = w.client();
+  TcpConnection caller = w.client();
   caller.send(request("close"));
-  Wire server = w.servers[0].accept();
+  TcpConnection server = w.servers[0].accept();
   server.message();
   server.send(ok());
   EXPECT_TRUE(has(caller.message(), " 200 "));
--- a/tests/peers/rules_test.cpp
+++ b/tests/peers/membership_rules_test.cpp
@@ -1,9 +1,9 @@
 // The rules over what nodes say of each other, on timelines made by hand: each finds what it is for, and
 // nothing in what is allowed.
-#include <gtest/gtest.h>
-
 #include "standins/world/membership_rules.h"
 
+#include <gtest/gtest.h>
+
 namespace nettlestand::standins {
 namespace {
 
--- a/tests/peers/decide_test.cpp
+++ b/tests/peers/membership_test.cpp
@@ -25,26 +25,26 @@
 }
 
 // Over everything that was said: no life comes back from the dead, incarnations only grow within a life.
-void keeps_the_rules(const Fleet& fleet) {
-  struct Held {
-    std::uint64_t life = 0;
+void check_history(const Fleet& fleet) {
+  struct Known {
+    std::uint64_t generation = 0;
     std::uint32_t incarnation = 0;
-    State state = State::kAlive;
+    MemberState state = MemberState::kAlive;
     bool ended = false;
   };
-  std::map<std::pair<emulator::ActorId, Key>, Held> held;
-  for (const Said& s : fleet.said) {
+  std::map<std::pair<emulator::ActorId, MemberKey>, Known> known_by;
+  for (const RecordedChange& s : fleet.changes) {
     const Member& m = s.change.member;
-    Held& h = held[{s.by, m.key}];
-    if (s.change.first) h = {};
-    ASSERT_GE(m.life, h.life) << "an earlier life came after a later one";
-    if (m.life == h.life) {
+    Known& h = known_by[{s.observer, m.key}];
+    if (s.change.first_seen) h = {};
+    ASSERT_GE(m.generation, h.generation) << "an earlier life came after a later one";
+    if (m.generation == h.generation) {
       EXPECT_GE(m.incarnation, h.incarnation);
-      const bool over = m.state == State::kDead || m.state == State::kLeft;
+      const bool over = m.state == MemberState::kDead || m.state == MemberState::kLeft;
       EXPECT_TRUE(!h.ended || over) << "a life that had ended came back";
     }
-    const bool over = m.state == State::kDead || m.state == State::kLeft;
-    h = {m.life, m.incarnation, m.state, over};
+    const bool over = m.state == MemberState::kDead || m.state == MemberState::kLeft;
+    h = {m.generation, m.incarnation, m.state, over};
   }
 }
 
@@ -55,11 +55,11 @@
     fleet.start_all();
     EXPECT_TRUE(fleet.converge(60)) << count;
     EXPECT_EQ(fleet.deaths_declared(), 0U);
-    const auto m = fleet.at(0).core.find(key_of("n1"));
+    const auto m = fleet.at(0).membership.find(member_key("n1"));
     ASSERT_TRUE(m);
-    EXPECT_EQ(m->id.name, "n1");
-    EXPECT_EQ(m->id.zone, "z1");
-    keeps_the_rules(fleet);
+    EXPECT_EQ(m->identity.name, "n1");
+    EXPECT_EQ(m->identity.zone, "z1");
+    check_history(fleet);
   }
 }
 
@@ -72,12 +72,12 @@
   EXPECT_TRUE(fleet.converge(10));
   for (emulator::ActorId i = 0; i < 30; ++i) {
     if (i != 7) {
-      EXPECT_EQ(fleet.view(i, 7), State::kDead);
+      EXPECT_EQ(fleet.view(i, 7), MemberState::kDead);
     }
   }
   fleet.sim.start(7);
   EXPECT_TRUE(fleet.converge(10)) << "under its name, with another life";
-  keeps_the_rules(fleet);
+  check_history(fleet);
 }
 
 TEST(Peers, WhoStoodLearnsThatItWasThoughtDeadAndComesBackWithinASecond) {
@@ -85,26 +85,26 @@
   fleet.sim.set_network(loss(0));
   fleet.start_all();
   ASSERT_TRUE(fleet.converge(60));
-  const std::uint64_t life = fleet.at(4).core.life();
+  const std::uint64_t generation = fleet.at(4).membership.generation();
   fleet.sim.pause(4);
   fleet.sim.run_until(fleet.sim.now() + 30);
   for (emulator::ActorId i = 0; i < 12; ++i) {
     if (i != 4) {
-      EXPECT_EQ(fleet.view(i, 4), State::kDead);
+      EXPECT_EQ(fleet.view(i, 4), MemberState::kDead);
     }
   }
-  const std::size_t before = fleet.said.size();
+  const std::size_t before = fleet.changes.size();
   fleet.sim.resume(4);
   fleet.sim.run_until(fleet.sim.now() + 1);
-  EXPECT_GT(fleet.at(4).core.life(), life);
-  EXPECT_EQ(fleet.at(4).core.counters().rebirths, 1U);
-  for (std::size_t i = before; i < fleet.said.size(); ++i) {
-    const Said& s = fleet.said[i];
-    EXPECT_FALSE(s.by == 4 && s.change.member.state == State::kDead)
+  EXPECT_GT(fleet.at(4).membership.generation(), generation);
+  EXPECT_EQ(fleet.at(4).membership.counters().rejoins, 1U);
+  for (std::size_t i = before; i < fleet.changes.size(); ++i) {
+    const RecordedChange& s = fleet.changes[i];
+    EXPECT_FALSE(s.observer == 4 && s.change.member.state == MemberState::kDead)
         << "it accused somebody in its old belief";
   }
   EXPECT_TRUE(fleet.converge(10));
-  keeps_the_rules(fleet);
+  check_history(fleet);
 }
 
 TEST(Peers, WhoDiesWhileItIsLeavingIsDeadAndNotLeavingForEver) {
@@ -112,19 +112,19 @@
   fleet.sim.set_network(loss(0.02));
   fleet.start_all();
   ASSERT_TRUE(fleet.converge(60));
-  fleet.at(4).leaves = fleet.at(7).leaves = true;
+  fleet.at(4).announces_leaving = fleet.at(7).announces_leaving = true;
   fleet.sim.run_until(fleet.sim.now() + 3);
   for (emulator::ActorId i = 0; i < 10; ++i) {
     if (i != 4 && i != 7) {
-      EXPECT_EQ(fleet.view(i, 4), State::kLeaving);
+      EXPECT_EQ(fleet.view(i, 4), MemberState::kLeaving);
     }
   }
   fleet.sim.kill(4);
   fleet.sim.run_until(fleet.sim.now() + 10);
   for (emulator::ActorId i = 0; i < 10; ++i) {
     if (i != 4 && i != 7) {
-      EXPECT_EQ(fleet.view(i, 4), State::kDead) << i;
-      EXPECT_EQ(fleet.view(i, 7), State::kLeaving) << "who only takes its time is not, " << i;
+      EXPECT_EQ(fleet.view(i, 4), MemberState::kDead) << i;
+      EXPECT_EQ(fleet.view(i, 7), MemberState::kLeaving) << "who only takes its time is not, " << i;
     }
   }
   // Nor is it where nobody doubts it rightly: what is doubted says that it still leaves.
@@ -132,35 +132,35 @@
   fleet.sim.run_until(fleet.sim.now() + 300);
   for (emulator::ActorId i = 0; i < 10; ++i) {
     if (i != 4 && i != 7) {
-      EXPECT_EQ(fleet.view(i, 7), State::kLeaving) << i;
+      EXPECT_EQ(fleet.view(i, 7), MemberState::kLeaving) << i;
     }
   }
-  keeps_the_rules(fleet);
+  check_history(fleet);
 }
 
 // Which of a socket and a timer is seen to first after a pause is the loop's to say.
 TEST(Peers, WhoStoodNoticesItAlsoWhenADatagramComesBeforeItsTimer) {
-  Settings s;
+  MembershipSettings s;
   s.self.name = "a";
   s.address = 1;
   Membership a(s);
-  std::vector<Membership::Out> out;
+  std::vector<Membership::Outgoing> out;
   a.start(0, {}, out);
   Message hello;
-  hello.from = key_of("b");
-  hello.life = 1;
+  hello.from = member_key("b");
+  hello.generation = 1;
   double now = 0;
   for (int i = 0; i < 20; ++i) {
-    a.message(now, 2, hello, out);
-    while (a.next() <= now + 0.25) a.tick(now = a.next(), out);
+    a.on_message(now, 2, hello, out);
+    while (a.next_tick() <= now + 0.25) a.tick(now = a.next_tick(), out);
   }
-  ASSERT_EQ(a.counters().stood, 0U);
-  const std::uint64_t accused = a.counters().accusations;
-  a.message(now += 30, 2, hello, out);
-  EXPECT_EQ(a.counters().stood, 1U);
+  ASSERT_EQ(a.counters().stalls, 0U);
+  const std::uint64_t accused = a.counters().suspicions;
+  a.on_message(now += 30, 2, hello, out);
+  EXPECT_EQ(a.counters().stalls, 1U);
   a.tick(now, out);
-  EXPECT_EQ(a.counters().stood, 1U) << "once";
-  EXPECT_EQ(a.counters().accusations, accused);
+  EXPECT_EQ(a.counters().stalls, 1U) << "once";
+  EXPECT_EQ(a.counters().suspicions, accused);
 }
 
 TEST(Peers, AShortPauseIsForgiven) {
@@ -238,7 +238,7 @@
     c.set(fleet);
     fleet.sim.run_until(fleet.sim.now() + 600);
     EXPECT_EQ(fleet.deaths_declared(), 0U) << c.what;
-    keeps_the_rules(fleet);
+    check_history(fleet);
   }
 }
 
@@ -258,7 +258,7 @@
     fleet.sim.heal();
     fleet.sim.set_network(loss(0.01));
     EXPECT_TRUE(fleet.converge(90)) << lasts;
-    keeps_the_rules(fleet);
+    check_history(fleet);
   }
 }
 
@@ -271,7 +271,7 @@
   EXPECT_TRUE(fleet.converge(40));
   for (emulator::ActorId i = 10; i < 20; ++i) fleet.sim.start(i);
   EXPECT_TRUE(fleet.converge(40));
-  keeps_the_rules(fleet);
+  check_history(fleet);
 }
 
 // All orders of some faults on three nodes, to a depth, against the rules; and all agree once it is quiet.
@@ -316,7 +316,7 @@
     fleet.sim.resume(1);
     fleet.sim.start(0);
     EXPECT_TRUE(fleet.converge(60)) << "order " << order;
-    keeps_the_rules(fleet);
+    check_history(fleet);
     if (HasFailure()) return;
   }
 }
@@ -368,7 +368,7 @@
     fleet.sim.start(i);
   }
   EXPECT_TRUE(fleet.converge(180));
-  keeps_the_rules(fleet);
+  check_history(fleet);
 }
 INSTANTIATE_TEST_SUITE_P(Peers, Walks, ::testing::Range<std::uint64_t>(1, 31));
 
@@ -376,18 +376,18 @@
 
 Message sample() {
   Message m;
-  m.kind = Kind::kAck;
+  m.kind = MessageKind::kAck;
   m.seq = 0xFFFFFFFF;
-  m.from = key_of("n1");
-  m.life = ~std::uint64_t{0};
+  m.from = member_key("n1");
+  m.generation = ~std::uint64_t{0};
   m.target = m.from;
-  m.target_life = m.life;
-  m.reaches = true;
+  m.target_generation = m.generation;
+  m.direct_ack = true;
   Update u;
-  u.key = key_of(std::string(32, 'n'));
-  u.life = u.address = u.accuser = ~std::uint64_t{0};
+  u.key = member_key(std::string(32, 'n'));
+  u.generation = u.address = u.reporter = ~std::uint64_t{0};
   u.incarnation = 0xFFFFFFFF;
-  u.state = State::kSuspect;
+  u.state = MemberState::kSuspect;
   m.updates.push_back(u);
   u.identity =
       std::make_shared<const Identity>(Identity{std::string(32, 'n'), std::string(12, 'z'),
@@ -397,55 +397,56 @@
 }
 
 TEST(PeersWire, WhatIsLargestFitsAndComesBackAsItWas) {
-  Wire sealed({"c", {std::string(32, 'k')}}), reader({"c", {std::string(32, 'o'), std::string(32, 'k')}});
+  DatagramCodec sealed({"c", {std::string(32, 'k')}}),
+      reader({"c", {std::string(32, 'o'), std::string(32, 'k')}});
   const std::string bytes = sealed.encode(sample());
-  EXPECT_LE(bytes.size(), kMostBytes);
-  Refusal why;
-  const auto m = reader.decode(bytes, why);
-  ASSERT_TRUE(m) << name_of(why);
+  EXPECT_LE(bytes.size(), kMaxDatagramBytes);
+  DecodeError error;
+  const auto m = reader.decode(bytes, error);
+  ASSERT_TRUE(m) << name_of(error);
   EXPECT_EQ(m->updates.size(), 2U);
   EXPECT_EQ(m->updates[1].identity->version, std::string(12, 'v'));
-  EXPECT_EQ(m->updates[0].accuser, ~std::uint64_t{0});
+  EXPECT_EQ(m->updates[0].reporter, ~std::uint64_t{0});
   Message four = sample();
   four.updates = std::vector<Update>(4, sample().updates[0]);
-  EXPECT_LE(sealed.encode(four).size(), kMostBytes);
+  EXPECT_LE(sealed.encode(four).size(), kMaxDatagramBytes);
   four.updates = std::vector<Update>(8, sample().updates[0]);
   EXPECT_THROW(sealed.encode(four), std::length_error);
 }
 
 TEST(PeersWire, StrangersOldNewsAndForgeriesAreDropped) {
   const std::string key(32, 'k');
-  Wire a({"c", {key}}), b({"c", {key}}), other({"d", {key}}), open({"c", {}}),
+  DatagramCodec a({"c", {key}}), b({"c", {key}}), other({"d", {key}}), open({"c", {}}),
       wrong({"c", {std::string(32, 'x')}});
-  Refusal why;
+  DecodeError error;
   const std::string bytes = a.encode(sample());
-  EXPECT_TRUE(b.decode(bytes, why));
-  EXPECT_FALSE(b.decode(bytes, why));
-  EXPECT_EQ(why, Refusal::kReplay);
-  EXPECT_FALSE(other.decode(bytes, why));
-  EXPECT_EQ(why, Refusal::kOtherCluster);
-  EXPECT_FALSE(open.decode(bytes, why));
-  EXPECT_FALSE(wrong.decode(bytes, why));
-  EXPECT_EQ(why, Refusal::kSeal);
-  EXPECT_FALSE(b.decode(open.encode(sample()), why));
+  EXPECT_TRUE(b.decode(bytes, error));
+  EXPECT_FALSE(b.decode(bytes, error));
+  EXPECT_EQ(error, DecodeError::kReplay);
+  EXPECT_FALSE(other.decode(bytes, error));
+  EXPECT_EQ(error, DecodeError::kOtherCluster);
+  EXPECT_FALSE(open.decode(bytes, error));
+  EXPECT_FALSE(wrong.decode(bytes, error));
+  EXPECT_EQ(error, DecodeError::kBadMac);
+  EXPECT_FALSE(b.decode(open.encode(sample()), error));
   for (std::size_t i = 0; i < bytes.size(); ++i) {
     std::string forged = a.encode(sample());
     forged[i] = static_cast<char>(forged[i] ^ 0x10);
-    EXPECT_FALSE(b.decode(forged, why)) << i;
+    EXPECT_FALSE(b.decode(forged, error)) << i;
   }
   // In any order, each once.
   std::vector<std::string> many;
   for (int i = 0; i < 60; ++i) many.push_back(a.encode(sample()));
   std::mt19937_64 random(3);
   std::shuffle(many.begin(), many.end(), random);
-  for (const std::string& one : many) EXPECT_TRUE(b.decode(one, why));
-  for (const std::string& one : many) EXPECT_FALSE(b.decode(one, why));
+  for (const std::string& one : many) EXPECT_TRUE(b.decode(one, error));
+  for (const std::string& one : many) EXPECT_FALSE(b.decode(one, error));
 }
 
 TEST(PeersWire, NoBytesAreMisread) {
-  Wire wire({});
+  DatagramCodec wire({});
   std::mt19937_64 random(11);
-  Refusal why;
+  DecodeError error;
   int read = 0;
   for (int i = 0; i < 200'000; ++i) {
     const std::string whole = wire.encode(sample());
@@ -466,10 +467,11 @@
       if (bytes.empty()) break;
     }
     if (bytes == whole) continue;
-    if (const auto m = wire.decode(bytes, why)) {
+    if (const auto m = wire.decode(bytes, error)) {
       ++read;
       EXPECT_LE(m->updates.size(), 8U);
-      for (const Update& u : m->updates) EXPECT_LE(static_cast<int>(u.state), static_cast<int>(State::kLeft));
+      for (const Update& u : m->updates)
+        EXPECT_LE(static_cast<int>(u.state), static_cast<int>(MemberState::kLeft));
     }
   }
   EXPECT_EQ(read, 0);
--- a/tests/peers/processes_test.cpp
+++ b/tests/peers/processes_test.cpp
@@ -15,7 +15,7 @@
 
 #include "../faults/parallel.h"
 #include "daemon/control.h"
-#include "peers/wire.h"
+#include "peers/datagram_codec.h"
 #include "standins/common/loop.h"
 #include "world.h"
 
@@ -23,7 +23,7 @@
 namespace {
 
 // A world in which nodes can be asked what they know.
-WorldSettings asked_world(std::size_t nodes, std::size_t servers = 4, std::size_t zones = 1) {
+WorldSettings world_with_control(std::size_t nodes, std::size_t servers = 4, std::size_t zones = 1) {
   WorldSettings s = peers_world(nodes, servers, zones);
   s.process.operator_file = peers_file("[control]\nsocket = \"{state}/control\"\n");
   return s;
@@ -37,7 +37,7 @@
     }
     return "unknown";
   }
-  std::int64_t life(const std::string& name) const {
+  std::int64_t generation(const std::string& name) const {
     for (const auto& m : report["members"].GetArray()) {
       if (m["name"].GetString() == name) return m["life"].GetInt64();
     }
@@ -56,7 +56,7 @@
 std::string n(std::size_t i) { return "n" + std::to_string(i); }
 
 // Whether each of some nodes holds each other one for alive.
-bool agree(ProcessWorld& w, const std::vector<std::size_t>& who) {
+bool all_see_alive(ProcessWorld& w, const std::vector<std::size_t>& who) {
   for (const std::size_t i : who) {
     try {
       const View v = view(w, i);
@@ -92,9 +92,9 @@
 // ------------------------------------------------------------ who is there
 
 TEST(PeersProcesses, FindEachOtherAndHearOfDeathsAndGoodbyes) {
-  ProcessWorld w(asked_world(5));
+  ProcessWorld w(world_with_control(5));
   w.start();
-  UNTIL(agree(w, up_to(5)));
+  UNTIL(all_see_alive(w, up_to(5)));
   w.end_node(3, SIGKILL);
   UNTIL(hold(w, {0, 1, 2, 4}, "n3", "dead"));
   w.node(4).signal(SIGTERM);
@@ -103,17 +103,17 @@
   UNTIL(hold(w, {0, 1, 2}, "n4", "left"));
   w.end_node(4, SIGKILL);
   for (const std::size_t i : {3, 4}) w.start_node(i);
-  UNTIL(agree(w, up_to(5)));
+  UNTIL(all_see_alive(w, up_to(5)));
   const Timeline t = w.finish();
   EXPECT_EQ(broken_rules(membership_rules(bounds()), t), "");
 }
 
 TEST(PeersProcesses, TheDecisionModuleFollowsTheLiving) {
-  ProcessWorld w(asked_world(4));
+  ProcessWorld w(world_with_control(4));
   w.start();
-  UNTIL(agree(w, up_to(4)));
+  UNTIL(all_see_alive(w, up_to(4)));
   w.end_node(0, SIGKILL);
-  UNTIL(told(w.node(3).log(), "copies") >= 1);
+  UNTIL(count_events(w.node(3).log(), "copies") >= 1);
   EXPECT_NE(w.node(3).log().find(R"("event":"copies","index":2,"count":3)"), std::string::npos)
       << w.node(3).log();
   w.start_node(0);
@@ -122,23 +122,23 @@
 }
 
 TEST(PeersProcesses, TheDecisionModuleFollowsNobodyWhereItIsSaidSo) {
-  WorldSettings s = asked_world(3);
+  WorldSettings s = world_with_control(3);
   s.process.operator_file = peers_file("follow = false\n[control]\nsocket = \"{state}/control\"\n");
   ProcessWorld w(s);
   w.start();
-  UNTIL(agree(w, up_to(3)));
+  UNTIL(all_see_alive(w, up_to(3)));
   w.end_node(0, SIGKILL);
   UNTIL(view(w, 2).copies() == 2);  // it knows how many they are,
-  EXPECT_EQ(told(w.node(2).log(), "copies"), 0U) << "and tells nobody";
+  EXPECT_EQ(count_events(w.node(2).log(), "copies"), 0U) << "and tells nobody";
   EXPECT_FALSE(view(w, 2).report["copies"]["followed"].GetBool());
   w.finish();
 }
 
 // Lists that lead nowhere, and then ones that lead to each other.
 TEST(PeersProcesses, TakeOverAddressesAfterSighup) {
-  ProcessWorld w(asked_world(2));
+  ProcessWorld w(world_with_control(2));
   w.start();
-  UNTIL(agree(w, up_to(2)));
+  UNTIL(all_see_alive(w, up_to(2)));
   std::vector<std::unique_ptr<NodeProcess>> nodes;
   for (std::size_t i = 0; i < 2; ++i) {
     w.end_node(i, SIGKILL);
@@ -150,13 +150,13 @@
   UNTIL(view(w, 0).counter("sent") >= 4);  // asked, and nobody was there
   EXPECT_EQ(view(w, 0).report["living"].GetInt(), 1);
   for (std::size_t i = 0; i < 2; ++i) nodes[i]->reload(w.config_of(i));
-  UNTIL(agree(w, up_to(2)));
+  UNTIL(all_see_alive(w, up_to(2)));
   nodes.clear();
   w.finish();
 }
 
 TEST(PeersProcesses, WhereThePlatformForbidsItNothingOfItRuns) {
-  WorldSettings s = asked_world(2);
+  WorldSettings s = world_with_control(2);
   s.peers = false;
   ProcessWorld w(s);
   w.start();
@@ -167,7 +167,7 @@
 
 // Their lists lead nowhere; what reaches all at once does.
 TEST(PeersProcesses, AreFoundByWhatReachesAllAtOnceAndTakeTheirLeaveByIt) {
-  ProcessWorld w(asked_world(2));
+  ProcessWorld w(world_with_control(2));
   w.start();
   std::vector<std::unique_ptr<NodeProcess>> nodes;
   for (std::size_t i = 0; i < 2; ++i) {
@@ -177,10 +177,14 @@
     config.everyone = w.network().udp_all(w.machine(i), w.peer_port()).text();
     nodes.push_back(std::make_unique<NodeProcess>(NODE, config, w.options_of(i)));
   }
-  UNTIL(told(nodes[0]->log(), "member_alive", "n1") + told(nodes[0]->log(), "member_described", "n1") >= 1);
-  UNTIL(told(nodes[1]->log(), "member_alive", "n0") + told(nodes[1]->log(), "member_described", "n0") >= 1);
+  UNTIL(count_events(nodes[0]->log(), "member_alive", "n1") +
+            count_events(nodes[0]->log(), "member_described", "n1") >=
+        1);
+  UNTIL(count_events(nodes[1]->log(), "member_alive", "n0") +
+            count_events(nodes[1]->log(), "member_described", "n0") >=
+        1);
   nodes[1]->signal(SIGTERM);
-  UNTIL(told(nodes[0]->log(), "member_left", "n1") == 1);
+  UNTIL(count_events(nodes[0]->log(), "member_left", "n1") == 1);
   nodes.clear();
   w.finish();
 }
@@ -188,15 +192,15 @@
 // ------------------------------------------------------------ processes that stand
 
 TEST(PeersProcesses, AShortPauseIsForgivenAndALongOneEndsInANewLife) {
-  ProcessWorld w(asked_world(6));
+  ProcessWorld w(world_with_control(6));
   w.start();
-  UNTIL(agree(w, up_to(6)));
+  UNTIL(all_see_alive(w, up_to(6)));
   w.node(2).pause();
   std::this_thread::sleep_for(std::chrono::milliseconds(200));  // half a period
   w.node(2).resume();
-  UNTIL(agree(w, up_to(6)));
+  UNTIL(all_see_alive(w, up_to(6)));
   EXPECT_EQ(view(w, 2).counter("rebirths"), 0);
-  const std::int64_t life = view(w, 0).life("n2");
+  const std::int64_t generation = view(w, 0).generation("n2");
   w.node(2).pause();
   UNTIL(hold(w, {0, 1, 3, 4, 5}, "n2", "dead"));
   std::this_thread::sleep_for(std::chrono::seconds(2));
@@ -204,23 +208,23 @@
   w.node(2).resume();
   UNTIL(view(w, 2).counter("rebirths") >= 1);
   EXPECT_LT(now() - woke, 5) << "bounds only what would hang; see the measurement";
-  UNTIL(agree(w, up_to(6)));
-  EXPECT_GT(view(w, 0).life("n2"), life);
+  UNTIL(all_see_alive(w, up_to(6)));
+  EXPECT_GT(view(w, 0).generation("n2"), generation);
   // What it did on waking: it accused nobody in its old belief.
-  EXPECT_EQ(told(w.node(2).log(), "member_dead"), 0U) << w.node(2).log();
+  EXPECT_EQ(count_events(w.node(2).log(), "member_dead"), 0U) << w.node(2).log();
   const Timeline t = w.finish();
   EXPECT_EQ(broken_rules(membership_rules(bounds()), t), "");
 }
 
 TEST(PeersProcesses, ASlowNodeDoesNotAccuseTheFleet) {
-  ProcessWorld w(asked_world(8));
+  ProcessWorld w(world_with_control(8));
   w.start();
-  UNTIL(agree(w, up_to(8)));
+  UNTIL(all_see_alive(w, up_to(8)));
   w.play("at 0.1 n3: starve 0.2 for 6", 7);
   for (std::size_t i = 0; i < 8; ++i) {
     for (std::size_t j = 0; j < 8; ++j) {
       if (i != j) {
-        EXPECT_EQ(told(w.node(i).log(), "member_dead", n(j)), 0U) << i << " called " << j << " dead";
+        EXPECT_EQ(count_events(w.node(i).log(), "member_dead", n(j)), 0U) << i << " called " << j << " dead";
       }
     }
   }
@@ -249,15 +253,15 @@
   EXPECT_EQ(each(static_cast<int>(cases.size()), 4,
                  [&](int c) -> std::string {
                    const auto& [what, set] = cases[static_cast<std::size_t>(c)];
-                   ProcessWorld w(asked_world(9));
+                   ProcessWorld w(world_with_control(9));
                    w.start();
-                   if (!ProcessWorld::until([&] { return agree(w, up_to(9)); }))
+                   if (!ProcessWorld::until([&] { return all_see_alive(w, up_to(9)); }))
                      return std::string(what) + ": apart\n";
                    set(w);
                    w.play("", 10);  // 25 periods
                    std::string out;
                    for (std::size_t i = 0; i < 9; ++i) {
-                     if (told(w.node(i).log(), "member_dead") > 0)
+                     if (count_events(w.node(i).log(), "member_dead") > 0)
                        out += std::string(what) + ": said by " + n(i) + "\n";
                    }
                    w.finish();
@@ -267,28 +271,28 @@
 }
 
 TEST(PeersProcesses, AQuarterLostAndBurstsOfAllMakeNobodyDead) {
-  ProcessWorld w(asked_world(10));
+  ProcessWorld w(world_with_control(10));
   w.start();
-  UNTIL(agree(w, up_to(10)));
+  UNTIL(all_see_alive(w, up_to(10)));
   w.play(
       "nodes -> nodes: loss 0.25 for 12\nat 5 nodes -> nodes: cut for 0.5\nat 9 nodes -> nodes: loss 0.3 "
       "burst 4 for 2",
       13);
-  for (std::size_t i = 0; i < 10; ++i) EXPECT_EQ(told(w.node(i).log(), "member_dead"), 0U) << i;
-  UNTIL(agree(w, up_to(10)));
+  for (std::size_t i = 0; i < 10; ++i) EXPECT_EQ(count_events(w.node(i).log(), "member_dead"), 0U) << i;
+  UNTIL(all_see_alive(w, up_to(10)));
   w.finish();
 }
 
 TEST(PeersProcesses, DuplicatesReorderingAndCorruptionAcrossARestartAreBorne) {
-  ProcessWorld w(asked_world(6));
+  ProcessWorld w(world_with_control(6));
   w.start();
-  UNTIL(agree(w, up_to(6)));
+  UNTIL(all_see_alive(w, up_to(6)));
   w.play(
       "nodes -> nodes: duplicate 0.4 for 6\nnodes -> nodes: delay 0.01 jitter 0.1 for 6\nnodes -> nodes: "
       "reorder 0.4 "
       "for 6\nnodes -> nodes: corrupt 0.1 for 6\nat 2 n2: restart\nat 3 n4: restart",
       7);
-  UNTIL(agree(w, up_to(6)));
+  UNTIL(all_see_alive(w, up_to(6)));
   EXPECT_GT(view(w, 0).counter("refused_seal"), 0) << "what was corrupted is counted";
   EXPECT_GT(view(w, 0).counter("refused_replay"), 0) << "so are repeats";
   const Timeline t = w.finish();
@@ -300,9 +304,9 @@
   EXPECT_EQ(each(2, 2,
                  [&](int c) -> std::string {
                    const std::size_t zones = static_cast<std::size_t>(c) + 2;
-                   ProcessWorld w(asked_world(9, 4, zones));
+                   ProcessWorld w(world_with_control(9, 4, zones));
                    w.start();
-                   if (!ProcessWorld::until([&] { return agree(w, up_to(9)); })) return "apart\n";
+                   if (!ProcessWorld::until([&] { return all_see_alive(w, up_to(9)); })) return "apart\n";
                    w.end_node(8, SIGKILL);
                    std::vector<std::uint64_t> faults;
                    for (std::size_t i = 0; i < 9; ++i) {
@@ -330,7 +334,7 @@
                    for (const std::uint64_t f : faults) w.network().end(f);
                    const std::vector<std::size_t> living = {0, 1, 2, 4, 5, 6, 7, 8};
                    std::string out;
-                   if (!ProcessWorld::until([&] { return agree(w, living); }, 30))
+                   if (!ProcessWorld::until([&] { return all_see_alive(w, living); }, 30))
                      out = "they do not find each other\n";
                    w.finish();
                    return out;
@@ -341,34 +345,35 @@
 // ------------------------------------------------------------ many at once
 
 TEST(PeersProcesses, SevenInTenKilledAtOnceAndAllRestartedAtOnce) {
-  ProcessWorld w(asked_world(10));
+  ProcessWorld w(world_with_control(10));
   w.start();
-  UNTIL(agree(w, up_to(10)));
+  UNTIL(all_see_alive(w, up_to(10)));
   for (std::size_t i = 3; i < 10; ++i) w.end_node(i, SIGKILL);
-  UNTIL(agree(w, {0, 1, 2}));
+  UNTIL(all_see_alive(w, {0, 1, 2}));
   UNTIL(view(w, 1).copies() == 3);
   for (std::size_t i = 3; i < 10; ++i) w.start_node(i);
-  UNTIL(agree(w, up_to(10)));
+  UNTIL(all_see_alive(w, up_to(10)));
   UNTIL(view(w, 1).copies() == 10);
   for (std::size_t i = 0; i < 10; ++i) w.end_node(i, SIGKILL);
   for (std::size_t i = 0; i < 10; ++i) w.start_node(i);
-  UNTIL(agree(w, up_to(10)));
+  UNTIL(all_see_alive(w, up_to(10)));
   w.finish();
 }
 
 TEST(PeersProcesses, ARollingRestartOfAllLosesNoRequestAndMovesNoCopies) {
-  WorldSettings s = asked_world(5);
+  WorldSettings s = world_with_control(5);
   s.process.operator_file = peers_file("hold_lost_ms = 6000\n[control]\nsocket = \"{state}/control\"\n");
   s.process.operator_file.replace(s.process.operator_file.find("hold_lost_ms = 800\n"), 19, "");
   ProcessWorld w(s);
   w.start();
-  UNTIL(agree(w, up_to(5)));
+  UNTIL(all_see_alive(w, up_to(5)));
   w.play(
       "at 0.2 n0: term for 0.1\nat 2.2 n1: term for 0.1\nat 4.2 n2: term for 0.1\nat 6.2 n3: term for "
       "0.1\nat 8.2 n4: term for 0.1",
       11);
-  UNTIL(agree(w, up_to(5)));
-  for (std::size_t i = 0; i < 5; ++i) EXPECT_EQ(told(w.node(i).log(), "copies"), 0U) << w.node(i).log();
+  UNTIL(all_see_alive(w, up_to(5)));
+  for (std::size_t i = 0; i < 5; ++i)
+    EXPECT_EQ(count_events(w.node(i).log(), "copies"), 0U) << w.node(i).log();
   const Timeline t = w.finish();
   EXPECT_EQ(broken_rules(four_rules(w.checked()), t), "");
 }
@@ -376,8 +381,8 @@
 // ------------------------------------------------------------ names, clocks, addresses
 
 // A further process beside those of a world, on a machine of its own that all nodes reach.
-struct Further {
-  Further(ProcessWorld& w, std::size_t nodes, std::size_t as) {
+struct ExtraNode {
+  ExtraNode(ProcessWorld& w, std::size_t nodes, std::size_t as) {
     machine = w.network().machine();
     NodeConfig config = w.config_of(as);
     config.ip = w.network().ip(machine);
@@ -401,55 +406,55 @@
 };
 
 TEST(PeersProcesses, OfTwoUnderOneNameTheNewcomerIsRefusedAndBothAreTold) {
-  ProcessWorld w(asked_world(5));
+  ProcessWorld w(world_with_control(5));
   w.start();
-  UNTIL(agree(w, up_to(5)));
+  UNTIL(all_see_alive(w, up_to(5)));
   UNTIL(view(w, 2).counter("probes") >= 4);  // it is at home
-  const std::int64_t life = view(w, 0).life("n2");
-  Further twin(w, 5, 2);
-  ASSERT_TRUE(ProcessWorld::until([&] { return told(twin.process->log(), "refused") == 1; }))
+  const std::int64_t generation = view(w, 0).generation("n2");
+  ExtraNode twin(w, 5, 2);
+  ASSERT_TRUE(ProcessWorld::until([&] { return count_events(twin.process->log(), "refused") == 1; }))
       << twin.process->log() << ask_control(twin.socket, "peers") << w.node(0).log();
-  EXPECT_GE(told(twin.process->log(), "namesake"), 1U);
-  UNTIL(told(w.node(2).log(), "namesake") >= 1);
-  EXPECT_EQ(told(w.node(2).log(), "refused"), 0U);
-  EXPECT_EQ(view(w, 0).life("n2"), life) << "who was there stayed";
+  EXPECT_GE(count_events(twin.process->log(), "namesake"), 1U);
+  UNTIL(count_events(w.node(2).log(), "namesake") >= 1);
+  EXPECT_EQ(count_events(w.node(2).log(), "refused"), 0U);
+  EXPECT_EQ(view(w, 0).generation("n2"), generation) << "who was there stayed";
   EXPECT_EQ(twin.process->health(), 200) << "the one that was refused serves on";
-  UNTIL(agree(w, up_to(5)));
+  UNTIL(all_see_alive(w, up_to(5)));
   w.finish();
 }
 
 TEST(PeersProcesses, WhoComesBackAtAnotherAddressIsTakenInUnderItsName) {
-  ProcessWorld w(asked_world(5));
+  ProcessWorld w(world_with_control(5));
   w.start();
-  UNTIL(agree(w, up_to(5)));
-  const std::int64_t life = view(w, 0).life("n2");
+  UNTIL(all_see_alive(w, up_to(5)));
+  const std::int64_t generation = view(w, 0).generation("n2");
   w.end_node(2, SIGKILL);
-  Further moved(w, 5, 2);  // before its death is known
+  ExtraNode moved(w, 5, 2);  // before its death is known
   const std::vector<std::size_t> others = {0, 1, 3, 4};
   UNTIL(std::all_of(others.begin(), others.end(), [&](std::size_t i) {
     const View v = view(w, i);
-    return v.state("n2") == "alive" && v.life("n2") > life;
+    return v.state("n2") == "alive" && v.generation("n2") > generation;
   }));
-  EXPECT_EQ(told(moved.process->log(), "refused"), 0U);
+  EXPECT_EQ(count_events(moved.process->log(), "refused"), 0U);
   w.finish();
 }
 
 #ifdef SEAMS  // which are loaded before the program, where a sanitizer's library wants to be
 TEST(PeersProcesses, NothingDependsOnWallClocks) {
-  WorldSettings s = asked_world(5);
+  WorldSettings s = world_with_control(5);
   s.seams = std::string("LD_PRELOAD=") + SEAMS;
   ProcessWorld w(s);
   w.start();
-  UNTIL(agree(w, up_to(5)));
+  UNTIL(all_see_alive(w, up_to(5)));
   w.play(
       "at 0.1 n1: clock -7200\nat 0.1 n2: clock 7200\nat 0.5 n1: restart\nat 0.5 n2: restart\nat 1.5 n2: "
       "clock -90000\nat 2 n2: restart\nat 2.5 n1: clock 40",
       4);
-  UNTIL(agree(w, up_to(5)));
+  UNTIL(all_see_alive(w, up_to(5)));
   w.end_node(2, SIGKILL);
   UNTIL(hold(w, {0, 1, 3, 4}, "n2", "dead"));
   w.start_node(2);  // with a life far below the one that has ended
-  UNTIL(agree(w, up_to(5)));
+  UNTIL(all_see_alive(w, up_to(5)));
   w.finish();
 }
 #endif
@@ -457,8 +462,8 @@
 // ------------------------------------------------------------ who lies, floods or repeats
 
 // A socket that sends to a node from where another one's datagrams come.
-struct Liar {
-  Liar(ProcessWorld& w, std::size_t target) : network(w.network()), machine(network.machine()) {
+struct ForgedSender {
+  ForgedSender(ProcessWorld& w, std::size_t target) : network(w.network()), machine(network.machine()) {
     fd = Fd(::socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
     sockaddr_in at = address({network.ip(machine), 0});
     socklen_t size = sizeof at;
@@ -484,36 +489,36 @@
 };
 
 TEST(PeersProcesses, ALiarInEveryFieldAndAFloodHarmNobodyForLong) {
-  ProcessWorld w(asked_world(5));
+  ProcessWorld w(world_with_control(5));
   w.start();
-  UNTIL(agree(w, up_to(5)));
-  Liar liar(w, 1);
-  peers::Wire wire({});
+  UNTIL(all_see_alive(w, up_to(5)));
+  ForgedSender forger(w, 1);
+  peers::DatagramCodec wire({});
   std::mt19937_64 random(5);
   const std::vector<std::uint64_t> odd = {
       0, 1, 2, 255, std::uint64_t{1} << 41, std::uint64_t{1} << 62, ~std::uint64_t{0}};
   const auto any = [&] { return random() % 2 == 0 ? odd[random() % odd.size()] : random(); };
   for (int i = 0; i < 3000; ++i) {
     peers::Message m;
-    m.kind = static_cast<peers::Kind>(random() % (static_cast<int>(peers::kLastKind) + 1));
+    m.kind = static_cast<peers::MessageKind>(random() % (static_cast<int>(peers::kLastMessageKind) + 1));
     m.seq = static_cast<std::uint32_t>(any());
-    m.from = random() % 3 == 0 ? peers::key_of(n(random() % 5)) : any() | 1;
-    m.life = any() | 1;
-    m.target = random() % 2 == 0 ? peers::key_of(n(random() % 5)) : any();
-    m.target_life = any();
-    m.reaches = random() % 2 == 0;
+    m.from = random() % 3 == 0 ? peers::member_key(n(random() % 5)) : any() | 1;
+    m.generation = any() | 1;
+    m.target = random() % 2 == 0 ? peers::member_key(n(random() % 5)) : any();
+    m.target_generation = any();
+    m.direct_ack = random() % 2 == 0;
     for (std::size_t k = random() % 4; k > 0; --k) {
       peers::Update u;
-      u.key = random() % 2 == 0 ? peers::key_of(n(random() % 5)) : any() | 1;
-      u.life = any() | 1;
+      u.key = random() % 2 == 0 ? peers::member_key(n(random() % 5)) : any() | 1;
+      u.generation = any() | 1;
       u.incarnation = static_cast<std::uint32_t>(any());
-      u.state = static_cast<peers::State>(random() % 5);
+      u.state = static_cast<peers::MemberState>(random() % 5);
       u.address = any();
-      u.accuser = any();
+      u.reporter = any();
       m.updates.push_back(u);
     }
-    liar.send(wire.encode(m));
-    if (i % 100 == 0) liar.send(std::string(200 + random() % 200, static_cast<char>(random())));
+    forger.send(wire.encode(m));
+    if (i % 100 == 0) forger.send(std::string(200 + random() % 200, static_cast<char>(random())));
   }
   // The node that was told all this serves on, its view heals, and the others' too.
   const auto serving = [&] { return w.node(1).health() == 200; };
@@ -533,7 +538,7 @@
 }
 
 TEST(PeersProcesses, ASealedClusterTakesNothingWithoutItsKeyAndChangesItsKey) {
-  WorldSettings s = asked_world(4);
+  WorldSettings s = world_with_control(4);
   const std::string folder = ::testing::TempDir() + "nettlestand_peers_" + std::to_string(getpid());
   const std::string keys = folder + ".keys";
   const std::string one(64, 'a'), two(64, 'b');
@@ -542,21 +547,21 @@
       peers_file("key_file = \"" + keys + "\"\n[control]\nsocket = \"{state}/control\"\n");
   ProcessWorld w(s);
   w.start();
-  UNTIL(agree(w, up_to(4)));
+  UNTIL(all_see_alive(w, up_to(4)));
   EXPECT_TRUE(view(w, 0).report["sealed"].GetBool());
-  Liar liar(w, 1);
-  peers::Wire open({}), other({"nettlestand", {std::string(32, 'x')}});
+  ForgedSender forger(w, 1);
+  peers::DatagramCodec open({}), other({"nettlestand", {std::string(32, 'x')}});
   peers::Message m;
-  m.kind = peers::Kind::kNews;
-  m.from = peers::key_of("stranger");
-  m.life = 5;
+  m.kind = peers::MessageKind::kGossip;
+  m.from = peers::member_key("stranger");
+  m.generation = 5;
   for (int i = 0; i < 20; ++i) {
-    liar.send(open.encode(m));
-    liar.send(other.encode(m));
+    forger.send(open.encode(m));
+    forger.send(other.encode(m));
   }
   UNTIL(view(w, 1).counter("refused_seal") >= 40);
   EXPECT_EQ(view(w, 1).report["living"].GetInt(), 4);
-  UNTIL(told(w.node(1).log(), "dropped") >= 1);
+  UNTIL(count_events(w.node(1).log(), "dropped") >= 1);
   // The second key is taken by all before the first of them seals with it, and then the first one goes.
   for (const std::string& text : {one + "\n" + two + "\n", two + "\n" + one + "\n", two + "\n"}) {
     std::ofstream(keys, std::ios::trunc) << text;
@@ -569,8 +574,8 @@
       UNTIL(view(w, i).counter("received") > before + 10);
     }
   }
-  UNTIL(agree(w, up_to(4)));
-  for (std::size_t i = 0; i < 4; ++i) EXPECT_EQ(told(w.node(i).log(), "member_dead"), 0U);
+  UNTIL(all_see_alive(w, up_to(4)));
+  for (std::size_t i = 0; i < 4; ++i) EXPECT_EQ(count_events(w.node(i).log(), "member_dead"), 0U);
   w.finish();
   std::remove(keys.c_str());
 }
--- a/tests/peers/world.h
+++ b/tests/peers/world.h
@@ -49,7 +49,8 @@
 }
 
 // A node's log so far says so: an event of the component peers, with a field that has a value.
-inline std::size_t told(const std::string& log, const std::string& event, const std::string& member = "") {
+inline std::size_t count_events(const std::string& log, const std::string& event,
+                                const std::string& member = "") {
   std::size_t count = 0;
   for (std::size_t at = 0; at < log.size();) {
     const std::size_t end = std::min(log.find('\n', at), log.size());
--- a/tests/peers.h
+++ b/tests/tcp_peer.h
@@ -25,7 +25,7 @@
 
 namespace nettlestand::testing {
 
-constexpr int kPatience = 15000;  // ms
+constexpr int kTimeoutMs = 15000;  // ms
 
 inline double seconds() {
   return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
@@ -35,7 +35,7 @@
 template <class Condition>
 void until(Condition holds) {
   for (const double from = seconds(); !holds();) {
-    if (seconds() - from > kPatience / 1000.0) throw std::runtime_error("it did not come about");
+    if (seconds() - from > kTimeoutMs / 1000.0) throw std::runtime_error("it did not come about");
   }
 }
 
@@ -56,23 +56,24 @@
 }
 
 // A connection of a peer or a client.
-class Wire {
+class TcpConnection {
  public:
-  explicit Wire(int fd = -1) : fd_(fd) {
+  explicit TcpConnection(int fd = -1) : fd_(fd) {
     const int on = 1;
     setsockopt(fd_, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
   }
-  Wire(Wire&& other) noexcept : fd_(std::exchange(other.fd_, -1)), held_(std::move(other.held_)) {}
-  Wire& operator=(Wire&& other) noexcept {
+  TcpConnection(TcpConnection&& other) noexcept
+      : fd_(std::exchange(other.fd_, -1)), buffered_(std::move(other.buffered_)) {}
+  TcpConnection& operator=(TcpConnection&& other) noexcept {
     close();
     fd_ = std::exchange(other.fd_, -1);
-    held_ = std::move(other.held_);
+    buffered_ = std::move(other.buffered_);
     return *this;
   }
-  ~Wire() { close(); }
+  ~TcpConnection() { close(); }
 
-  static Wire to(int port) {
-    Wire out(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
+  static TcpConnection to(int port) {
+    TcpConnection out(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
     sockaddr_in at{};
     at.sin_family = AF_INET;
     at.sin_port = htons(static_cast<std::uint16_t>(port));
@@ -104,7 +105,7 @@
     close();
   }
   // Waits until the other side's machine has all that was sent.
-  void await_delivery() const {
+  void wait_until_delivered() const {
     until([&] {
       int left = 0;
       ioctl(fd_, SIOCOUTQ, &left);
@@ -112,7 +113,7 @@
     });
   }
   // Waits until the other side's program has read what has come, or has closed.
-  void await_reading() const {
+  void wait_until_read() const {
     sockaddr_in to{};
     socklen_t size = sizeof to;
     getpeername(fd_, reinterpret_cast<sockaddr*>(&to), &size);
@@ -128,18 +129,18 @@
     });
   }
   bool closed() const { return fd_ < 0; }
-  bool quiet(int wait_ms = 0) const { return held_.empty() && !readable(fd_, wait_ms); }
+  bool no_data(int wait_ms = 0) const { return buffered_.empty() && !readable(fd_, wait_ms); }
 
   // Whether the other side has ended the connection, after no further bytes.
   bool ended() {
-    if (!held_.empty() || !readable(fd_, kPatience)) return false;
+    if (!buffered_.empty() || !readable(fd_, kTimeoutMs)) return false;
     char byte = 0;
     return recv(fd_, &byte, 1, 0) <= 0;
   }
 
   // Whether the other side has ended the connection in order, not by a reset, after no further bytes.
   bool ended_in_order() {
-    if (!held_.empty() || !readable(fd_, kPatience)) return false;
+    if (!buffered_.empty() || !readable(fd_, kTimeoutMs)) return false;
     char byte = 0;
     return recv(fd_, &byte, 1, 0) == 0;
   }
@@ -148,33 +149,33 @@
   std::string message() {
     std::size_t whole = std::string::npos;
     while (true) {
-      const std::size_t head = held_.find("\r\n\r\n");
+      const std::size_t head = buffered_.find("\r\n\r\n");
       if (head != std::string::npos) {
-        const std::size_t at = held_.find("Content-Length: ");
-        const std::size_t body = at < head ? std::stoul(held_.substr(at + 16)) : 0;
+        const std::size_t at = buffered_.find("Content-Length: ");
+        const std::size_t body = at < head ? std::stoul(buffered_.substr(at + 16)) : 0;
         whole = head + 4 + body;
-        if (held_.size() >= whole) break;
+        if (buffered_.size() >= whole) break;
       }
       char bytes[4096];
-      if (!readable(fd_, kPatience)) break;
+      if (!readable(fd_, kTimeoutMs)) break;
       const ssize_t got = recv(fd_, bytes, sizeof bytes, 0);
       if (got <= 0) break;
-      held_.append(bytes, static_cast<std::size_t>(got));
+      buffered_.append(bytes, static_cast<std::size_t>(got));
     }
-    std::string out = held_.substr(0, whole);
-    held_.erase(0, out.size());
+    std::string out = buffered_.substr(0, whole);
+    buffered_.erase(0, out.size());
     return out;
   }
 
  private:
   int fd_;
-  std::string held_;
+  std::string buffered_;
 };
 
 // Something that listens.
-class Peer {
+class TcpListener {
  public:
-  explicit Peer(int backlog = 64) : fd_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
+  explicit TcpListener(int backlog = 64) : fd_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
     sockaddr_in at{};
     at.sin_family = AF_INET;
     at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
@@ -185,28 +186,28 @@
     }
     port_ = ntohs(at.sin_port);
   }
-  Peer(const Peer&) = delete;
-  Peer& operator=(const Peer&) = delete;
-  ~Peer() { close(); }
+  TcpListener(const TcpListener&) = delete;
+  TcpListener& operator=(const TcpListener&) = delete;
+  ~TcpListener() { close(); }
   int port() const { return port_; }
   void close() {
     if (fd_ >= 0) ::close(fd_);
     fd_ = -1;
   }
-  bool quiet(int wait_ms = 0) const { return !readable(fd_, wait_ms); }
+  bool no_data(int wait_ms = 0) const { return !readable(fd_, wait_ms); }
   // Connections from now on take little before they are read: large writes to them have to wait.
-  void narrow() const {
+  void shrink_receive_buffer() const {
     const int segment = 536, buffer = 2048;
     setsockopt(fd_, IPPROTO_TCP, TCP_MAXSEG, &segment, sizeof segment);
     setsockopt(fd_, SOL_SOCKET, SO_RCVBUF, &buffer, sizeof buffer);
   }
-  Wire accept() const {
-    if (!readable(fd_, kPatience)) throw std::runtime_error("the node did not connect");
-    return Wire(accept4(fd_, nullptr, nullptr, SOCK_CLOEXEC));
+  TcpConnection accept() const {
+    if (!readable(fd_, kTimeoutMs)) throw std::runtime_error("the node did not connect");
+    return TcpConnection(accept4(fd_, nullptr, nullptr, SOCK_CLOEXEC));
   }
-  static Wire accept_either(const Peer& a, const Peer& b) {
+  static TcpConnection accept_either(const TcpListener& a, const TcpListener& b) {
     pollfd both[] = {{a.fd_, POLLIN, 0}, {b.fd_, POLLIN, 0}};
-    poll(both, 2, kPatience);
+    poll(both, 2, kTimeoutMs);
     return ((both[0].revents & POLLIN) != 0 ? a : b).accept();
   }
 
--- a/tests/zones/course_test.cpp
+++ b/tests/zones/failover_test.cpp
@@ -9,8 +9,8 @@
 #include <memory>
 #include <random>
 
-#include "zones/evidence.h"
-#include "zones/follower.h"
+#include "zones/plan_follower.h"
+#include "zones/report_aggregator.h"
 
 namespace nettlestand::zones {
 namespace {
@@ -20,17 +20,18 @@
 constexpr double kBears = 100;               // calls/s: a zone's servers, warm
 constexpr std::size_t kNodes = 3;            // a zone
 
-struct World {
-  explicit World(std::size_t zones, unsigned seed)
+struct ZoneSimulation {
+  explicit ZoneSimulation(std::size_t zones, unsigned seed)
       : random(seed), capacity(zones, kBears), demand(zones, 50), nodes_gone(zones) {
-    s.classes = {Hold::kNone};
-    s.per_weight = 1000;
+    s.classes = {Affinity::kNone};
+    s.load_per_weight = 1000;
     s.distance.assign(zones, std::vector<double>(zones));
     for (std::size_t a = 0; a < zones; ++a) {
       s.zones.push_back({std::string(1, static_cast<char>('a' + a)), a < 2 ? "west" : "east"});
       for (std::size_t b = 0; b < zones; ++b) s.distance[a][b] = a == b ? 0 : (a < 2) == (b < 2) ? 1 : 8;
       for (std::size_t i = 0; i < kNodes; ++i) {
-        followers.push_back(std::make_unique<Follower>(FollowerSettings{s.zones[a].zone, s.classes, 10}));
+        followers.push_back(
+            std::make_unique<PlanFollower>(PlanFollowerSettings{s.zones[a].zone, s.classes, 10}));
       }
     }
     over_since.assign(zones, -1);
@@ -41,7 +42,7 @@
   void elect() {
     ++token;
     epoch = 0;
-    evidence = std::make_unique<Evidence>(s);
+    evidence = std::make_unique<ReportAggregator>(s);
     PlannerSettings p;
     p.classes = s.classes;
     planner = std::make_unique<Planner>(p);
@@ -57,11 +58,11 @@
   double draw(double most) { return std::uniform_real_distribution<>(0, most)(random); }
 
   // From now until `until`; `change` is asked at each step.
-  void run(double until, const std::function<void(World&)>& change = {}) {
+  void run(double until, const std::function<void(ZoneSimulation&)>& change = {}) {
     for (; at < until - 1e-9; at += kStep) {
       if (change) change(*this);
-      const auto beat = static_cast<std::int64_t>(std::llround(at / kStep));
-      if (beat % static_cast<std::int64_t>(std::llround(kEvery / kStep)) == 0) {
+      const auto step = static_cast<std::int64_t>(std::llround(at / kStep));
+      if (step % static_cast<std::int64_t>(std::llround(kEvery / kStep)) == 0) {
         for (std::size_t i = 0; i < followers.size(); ++i) tell(i);
         if (decides) decide();
       }
@@ -76,18 +77,18 @@
   void tell(std::size_t i) {
     const std::size_t zone = i / kNodes;
     if (nodes_gone[zone] || draw(1) < loss) return;
-    Report r{
+    NodeReport r{
         "n" + std::to_string(i), s.zones[zone].zone, {static_cast<Load>(1000 * demand[zone] / kNodes)}, {}};
     for (std::size_t b = 0; b < zones(); ++b) {
-      View v{std::max(0.0, capacity[b]), 1, 1};
+      ZoneView v{std::max(0.0, capacity[b]), 1, 1};
       if (bad_view) bad_view(zone, b, v);
       r.views[s.zones[b].zone] = v;
     }
-    evidence->report(r, at);
+    evidence->add_report(r, at);
   }
 
   void decide() {
-    Plan plan = planner->decide(evidence->facts(at));
+    Plan plan = planner->make_plan(evidence->plan_input(at));
     plan.token = token;
     plan.epoch = ++epoch;
     plan.lease = kLease;
@@ -107,11 +108,11 @@
       if (nodes_gone[a]) continue;
       const double mine = demand[a] / kNodes;
       asked += mine;
-      const Shares shares = followers[i]->shares(std::min(1.0, capacity[a] / std::max(demand[a], 1e-9)),
-                                                 growth(a), s.distance[a], at);
+      const TrafficSplit shares = followers[i]->split(std::min(1.0, capacity[a] / std::max(demand[a], 1e-9)),
+                                                      growth(a), s.distance[a], at);
       for (std::size_t z = 0; z < shares.zones.size(); ++z) {
         const auto b = static_cast<std::size_t>(shares.zones[z][0] - 'a');
-        (a == b ? near[a] : came[b]) += mine * shares.to[0][z];
+        (a == b ? near[a] : came[b]) += mine * shares.fractions[0][z];
       }
     }
     moved = served = 0;
@@ -144,19 +145,19 @@
     return then == 0 ? 1 : 1000 * demand[a] / static_cast<double>(then);
   }
 
-  EvidenceSettings s;
+  ReportAggregatorSettings s;
   std::mt19937_64 random;
   std::vector<double> capacity, demand;
   std::vector<bool> nodes_gone;
-  std::function<void(std::size_t, std::size_t, View&)> bad_view;
+  std::function<void(std::size_t, std::size_t, ZoneView&)> bad_view;
   double loss = 0;
   bool decides = true;
 
   double at = 0;
   std::uint64_t token = 0, epoch = 0;
-  std::unique_ptr<Evidence> evidence;
+  std::unique_ptr<ReportAggregator> evidence;
   std::unique_ptr<Planner> planner;
-  std::vector<std::unique_ptr<Follower>> followers;
+  std::vector<std::unique_ptr<PlanFollower>> followers;
   std::deque<Late> late;
   Plan last;
 
@@ -172,18 +173,18 @@
 
 class Courses : public ::testing::TestWithParam<unsigned> {
  protected:
-  World three() const { return World(3, GetParam()); }
-  World four() const { return World(4, GetParam()); }
+  ZoneSimulation three() const { return ZoneSimulation(3, GetParam()); }
+  ZoneSimulation four() const { return ZoneSimulation(4, GetParam()); }
 };
 
 TEST_P(Courses, AZoneIsLostForFiveSecondsAndReturnsCold) {
-  World w = three();
+  ZoneSimulation w = three();
   w.loss = 0.1;
   w.run(10);
   EXPECT_NEAR(w.moved, 0, 0.1);
-  w.run(15, [](World& x) { x.capacity[0] = 0; });
+  w.run(15, [](ZoneSimulation& x) { x.capacity[0] = 0; });
   EXPECT_NEAR(w.refused, 0, 0.5);
-  w.run(45, [](World& x) { x.capacity[0] = ramp(x.at - 15); });
+  w.run(45, [](ZoneSimulation& x) { x.capacity[0] = ramp(x.at - 15); });
   EXPECT_NEAR(w.moved, 0, 0.1);
   EXPECT_NEAR(w.refused, 0, 0.5);
   EXPECT_LE(w.longest_over, 1);
@@ -191,24 +192,24 @@
 }
 
 TEST_P(Courses, ALostZonesTrafficIsHomeTwoSecondsAfterItIsSeen) {
-  World w = three();
+  ZoneSimulation w = three();
   w.run(10);
-  w.run(12.5, [](World& x) { x.capacity[1] = 0; });  // 0.5 s for news of it
+  w.run(12.5, [](ZoneSimulation& x) { x.capacity[1] = 0; });  // 0.5 s for news of it
   EXPECT_NEAR(w.refused, 0, 0.5);
   EXPECT_LE(w.longest_over, 1);
-  w.run(310, [](World& x) { x.capacity[1] = 0; });
+  w.run(310, [](ZoneSimulation& x) { x.capacity[1] = 0; });
   EXPECT_EQ(w.reversals, 0);
 }
 
 TEST_P(Courses, ItsServersAreThereAndItsNodesAreNot) {
-  World w = three();
+  ZoneSimulation w = three();
   w.run(10);
   w.nodes_gone[0] = true;
   w.demand[1] += 25;  // its clients go to the others' nodes
   w.demand[2] += 25;
   w.run(30);
   EXPECT_NEAR(w.refused, 0, 0.5);
-  EXPECT_GT(w.last.alone[1][0], 0) << "its servers are still room for the others";
+  EXPECT_GT(w.last.fallback_limits[1][0], 0) << "its servers are still room for the others";
   w.demand[1] = 180;
   w.run(40);
   EXPECT_NEAR(w.refused, 0, 0.5);
@@ -217,10 +218,10 @@
 
 TEST_P(Courses, AZoneAtAThirdOfItsSpeedAndOneThatFailsHalf) {
   for (const bool slow : {true, false}) {
-    World w = three();
+    ZoneSimulation w = three();
     w.run(10);
-    w.bad_view = [slow](std::size_t, std::size_t b, View& v) {
-      if (b == 0) (slow ? v.slow : v.well) = slow ? 3 : 0.5;
+    w.bad_view = [slow](std::size_t, std::size_t b, ZoneView& v) {
+      if (b == 0) (slow ? v.latency_factor : v.success_ratio) = slow ? 3 : 0.5;
     };
     w.run(30);
     EXPECT_NEAR(w.moved, slow ? 50 - 100.0 / 3 : 0, 0.5) << "what is over, and no more";
@@ -230,9 +231,9 @@
 }
 
 TEST_P(Courses, AZoneThatOnlyLooksBadFromAnotherOneIsNotLeft) {
-  World w = three();
-  w.bad_view = [](std::size_t a, std::size_t b, View& v) {
-    if (a == 1 && b == 0) v.well = 0;
+  ZoneSimulation w = three();
+  w.bad_view = [](std::size_t a, std::size_t b, ZoneView& v) {
+    if (a == 1 && b == 0) v.success_ratio = 0;
   };
   for (int i = 1; i <= 50; ++i) {
     w.run(i);
@@ -242,34 +243,34 @@
 
 // It stops in the middle of a change, another one decides, and it wakes with plans of its own.
 TEST_P(Courses, TheDeciderStopsAndWakesAfterTheNextOneHasDecided) {
-  World w = three();
+  ZoneSimulation w = three();
   w.run(10);
-  w.run(10.6, [](World& x) { x.capacity[0] = 0; });
+  w.run(10.6, [](ZoneSimulation& x) { x.capacity[0] = 0; });
   w.decides = false;
   const Plan old = w.last;
-  w.run(16, [](World& x) { x.capacity[0] = 0; });
+  w.run(16, [](ZoneSimulation& x) { x.capacity[0] = 0; });
   EXPECT_LE(w.longest_over, 1);
   for (const auto& f : w.followers) EXPECT_EQ(f->plan(w.at), nullptr) << "it has lapsed";
   w.elect();
   w.decides = true;
-  w.run(20, [](World& x) { x.capacity[0] = 0; });
+  w.run(20, [](ZoneSimulation& x) { x.capacity[0] = 0; });
   for (const auto& f : w.followers) {
     Plan late = old;
     late.epoch += 100;
     EXPECT_FALSE(f->offer(late, 0, w.at));
     EXPECT_EQ(f->plan(w.at)->token, 2U);
   }
-  w.run(30, [](World& x) { x.capacity[0] = 0; });
+  w.run(30, [](ZoneSimulation& x) { x.capacity[0] = 0; });
   EXPECT_NEAR(w.refused, 0, 0.5);
   EXPECT_LE(w.longest_over, 1);
 }
 
 TEST_P(Courses, NobodyDecidesAnyMore) {
-  World w = three();
+  ZoneSimulation w = three();
   w.run(10);
   w.decides = false;
   double sent = 1e9;
-  w.run(60, [&](World& x) {
+  w.run(60, [&](ZoneSimulation& x) {
     x.capacity[0] = 0;
     x.capacity[1] = 70;
     if (x.at < 14) return;
@@ -280,19 +281,19 @@
 }
 
 TEST_P(Courses, AllAtFourFifthsAndOneIsLost) {
-  World w = three();
+  ZoneSimulation w = three();
   std::fill(w.demand.begin(), w.demand.end(), 80);
   w.run(10);
-  w.run(60, [](World& x) { x.capacity[2] = 0; });
+  w.run(60, [](ZoneSimulation& x) { x.capacity[2] = 0; });
   EXPECT_NEAR(w.refused, 60, 0.5) << "the others serve theirs, and a half of their head-room";
   EXPECT_LE(w.longest_over, 1);
   EXPECT_EQ(w.reversals, 0);
 }
 
 TEST_P(Courses, AZoneThatFlapsEveryFourSeconds) {
-  World w = three();
+  ZoneSimulation w = three();
   w.run(10);
-  w.run(70, [](World& x) { x.capacity[0] = std::fmod(x.at, 4) < 2 ? 0 : kBears; });
+  w.run(70, [](ZoneSimulation& x) { x.capacity[0] = std::fmod(x.at, 4) < 2 ? 0 : kBears; });
   EXPECT_NEAR(w.refused, 0, 0.5);
   EXPECT_NEAR(w.moved, 50, 0.5);
   EXPECT_EQ(w.reversals, 0);
@@ -300,9 +301,9 @@
 }
 
 TEST_P(Courses, TwoZonesFailInTurn) {
-  World w = four();
+  ZoneSimulation w = four();
   w.run(10);
-  w.run(70, [](World& x) {
+  w.run(70, [](ZoneSimulation& x) {
     const bool first = std::fmod(x.at, 12) < 6;
     x.capacity[0] = first ? 0 : kBears;
     x.capacity[1] = first ? kBears : 0;
@@ -312,7 +313,7 @@
 }
 
 TEST_P(Courses, DemandJumpsTenfoldWhileAnotherZoneDrains) {
-  World w = four();
+  ZoneSimulation w = four();
   std::fill(w.demand.begin(), w.demand.end(), 20);
   w.run(10);
   ASSERT_TRUE(w.evidence->drain("a", 5, w.at));
--- a/tests/zones/flow_test.cpp
+++ b/tests/zones/min_cost_flow_test.cpp
@@ -1,5 +1,5 @@
 // The cheapest largest flow, against every flow that there is.
-#include "zones/flow.h"
+#include "zones/min_cost_flow.h"
 
 #include <gtest/gtest.h>
 
@@ -25,14 +25,14 @@
     for (auto& row : most) {
       for (auto& m : row) m = draw(5);
     }
-    Flow flow(6);
+    MinCostFlow flow(6);
     std::vector<std::size_t> ways;
     for (std::size_t a = 0; a < 2; ++a) {
-      flow.add(4, a, supply[a], 0);
-      flow.add(2 + a, 5, room[a], 0);
-      for (std::size_t b = 0; b < 2; ++b) ways.push_back(flow.add(a, 2 + b, most[a][b], cost[a][b]));
+      flow.add_edge(4, a, supply[a], 0);
+      flow.add_edge(2 + a, 5, room[a], 0);
+      for (std::size_t b = 0; b < 2; ++b) ways.push_back(flow.add_edge(a, 2 + b, most[a][b], cost[a][b]));
     }
-    flow.run(4, 5);
+    flow.solve(4, 5);
     std::int64_t best = 0, cheapest = 0;
     for (std::int64_t w = 0; w <= most[0][0]; ++w) {
       for (std::int64_t x = 0; x <= most[0][1]; ++x) {
@@ -49,7 +49,7 @@
     }
     std::int64_t sent = 0, costs = 0;
     for (std::size_t i = 0; i < 4; ++i) {
-      const std::int64_t over = flow.over(ways[i]);
+      const std::int64_t over = flow.flow_on(ways[i]);
       ASSERT_GE(over, 0);
       ASSERT_LE(over, most[i / 2][i % 2]);
       sent += over;
@@ -62,16 +62,17 @@
 
 TEST(Flow, TakesBackWhatStandsInTheWay) {
   // The cheap way of the first would shut out the second altogether.
-  Flow flow(6);
-  flow.add(4, 0, 1, 0);
-  flow.add(4, 1, 1, 0);
-  const std::size_t near = flow.add(0, 2, 1, 0), far = flow.add(0, 3, 1, 9), only = flow.add(1, 2, 1, 1);
-  flow.add(2, 5, 1, 0);
-  flow.add(3, 5, 1, 0);
-  flow.run(4, 5);
-  EXPECT_EQ(flow.over(near), 0);
-  EXPECT_EQ(flow.over(far), 1);
-  EXPECT_EQ(flow.over(only), 1);
+  MinCostFlow flow(6);
+  flow.add_edge(4, 0, 1, 0);
+  flow.add_edge(4, 1, 1, 0);
+  const std::size_t near = flow.add_edge(0, 2, 1, 0), far = flow.add_edge(0, 3, 1, 9),
+                    only = flow.add_edge(1, 2, 1, 1);
+  flow.add_edge(2, 5, 1, 0);
+  flow.add_edge(3, 5, 1, 0);
+  flow.solve(4, 5);
+  EXPECT_EQ(flow.flow_on(near), 0);
+  EXPECT_EQ(flow.flow_on(far), 1);
+  EXPECT_EQ(flow.flow_on(only), 1);
 }
 
 }  // namespace
