--- a/tests/zones/follower_test.cpp
+++ b/tests/zones/plan_follower_test.cpp
@@ -1,5 +1,5 @@
 // What a node does with plans, and without one.
-#include "zones/follower.h"
+#include "zones/plan_follower.h"
 
 #include <gtest/gtest.h>
 
@@ -11,12 +11,12 @@
 namespace nettlestand::zones {
 namespace {
 
-const std::vector<Hold> kClasses = {Hold::kNone, Hold::kZone};
+const std::vector<Affinity> kClasses = {Affinity::kNone, Affinity::kZone};
 const std::vector<double> kDistance = {0, 1, 8};
 
-Facts facts(double at, const std::vector<Load>& capacity, const std::vector<std::vector<Load>>& demand) {
-  Facts out;
-  out.at = at;
+PlanInput facts(double at, const std::vector<Load>& capacity, const std::vector<std::vector<Load>>& demand) {
+  PlanInput out;
+  out.now = at;
   const char* const names[] = {"a", "b", "c"};
   for (std::size_t i = 0; i < 3; ++i) out.zones.push_back({names[i], "west", capacity[i], 1, demand[i]});
   out.distance = {{0, 1, 8}, {1, 0, 7}, {8, 7, 0}};
@@ -34,7 +34,7 @@
   Planner planner(planner_settings());
   Plan out;
   for (int i = 0; i < 4; ++i) {
-    out = planner.decide(facts(i, {0, 100'000, 100'000}, {{40'000, 10'000}, {60'000, 0}, {50'000, 0}}));
+    out = planner.make_plan(facts(i, {0, 100'000, 100'000}, {{40'000, 10'000}, {60'000, 0}, {50'000, 0}}));
   }
   out.token = token;
   out.epoch = epoch;
@@ -42,12 +42,12 @@
   return out;
 }
 
-FollowerSettings in(const std::string& zone) { return {zone, kClasses, 10}; }
+PlanFollowerSettings in(const std::string& zone) { return {zone, kClasses, 10}; }
 
 TEST(Follower, TakesNewerPlansAloneInWhateverOrderTheyCome) {
   std::vector<std::pair<std::uint64_t, std::uint64_t>> order = {{1, 1}, {1, 2}, {2, 1}, {2, 9}, {3, 1}};
   do {
-    Follower follower(in("a"));
+    PlanFollower follower(in("a"));
     auto newest = std::pair<std::uint64_t, std::uint64_t>(0, 0);
     for (const auto& [token, epoch] : order) {
       const bool newer = std::pair(token, epoch) > newest;
@@ -61,15 +61,15 @@
 }
 
 TEST(Follower, FollowsAPlanForItsLeaseFromWhenItWasMade) {
-  Follower follower(in("a"));
+  PlanFollower follower(in("a"));
   EXPECT_EQ(follower.plan(0), nullptr);
-  EXPECT_EQ(follower.until(), std::numeric_limits<double>::infinity());
+  EXPECT_EQ(follower.lease_end(), std::numeric_limits<double>::infinity());
   ASSERT_TRUE(follower.offer(plan_of(1, 1, 3), 1, 10));
   EXPECT_NE(follower.plan(11.9), nullptr);
-  EXPECT_EQ(follower.until(), 12);
+  EXPECT_EQ(follower.lease_end(), 12);
   EXPECT_EQ(follower.age(11), 2) << "to be handed on with it";
   EXPECT_EQ(follower.plan(12), nullptr);
-  EXPECT_FALSE(follower.shares(1, 1, kDistance, 12).planned);
+  EXPECT_FALSE(follower.split(1, 1, kDistance, 12).from_plan);
   // One that has lapsed on its way is known, and not followed.
   ASSERT_TRUE(follower.offer(plan_of(1, 2, 3), 5, 13));
   EXPECT_EQ(follower.plan(13), nullptr);
@@ -77,37 +77,39 @@
 }
 
 TEST(Follower, SendsItsDemandWhereThePlanHasIt) {
-  Follower follower(in("a"));
+  PlanFollower follower(in("a"));
   ASSERT_TRUE(follower.offer(plan_of(1, 1), 0, 10));
-  const Shares s = follower.shares(1, 1, kDistance, 10);
-  EXPECT_TRUE(s.planned);
+  const TrafficSplit s = follower.split(1, 1, kDistance, 10);
+  EXPECT_TRUE(s.from_plan);
   EXPECT_EQ(s.zones, (std::vector<std::string>{"a", "b", "c"}));
-  EXPECT_EQ(s.to[0], (std::vector<double>{0, 0.75, 0.25})) << "30 of 40 to b, up to its head-room, 10 to c";
-  EXPECT_EQ(s.to[1], (std::vector<double>{0, 0, 0})) << "held to its zone: refused rather than moved";
-  Follower other(in("b"));
+  EXPECT_EQ(s.fractions[0], (std::vector<double>{0, 0.75, 0.25}))
+      << "30 of 40 to b, up to its head-room, 10 to c";
+  EXPECT_EQ(s.fractions[1], (std::vector<double>{0, 0, 0})) << "held to its zone: refused rather than moved";
+  PlanFollower other(in("b"));
   ASSERT_TRUE(other.offer(plan_of(1, 1), 0, 10));
-  EXPECT_EQ(other.shares(1, 1, {1, 0, 7}, 10).to[0], (std::vector<double>{0, 1, 0}));
-  EXPECT_EQ(other.shares(1, 1, {1, 0, 7}, 10).to[1], (std::vector<double>{0, 1, 0}))
+  EXPECT_EQ(other.split(1, 1, {1, 0, 7}, 10).fractions[0], (std::vector<double>{0, 1, 0}));
+  EXPECT_EQ(other.split(1, 1, {1, 0, 7}, 10).fractions[1], (std::vector<double>{0, 1, 0}))
       << "nobody asked for it: near";
 }
 
 // Ten times the demand, and no new plan yet: others get what they were to get, and no more.
 TEST(Follower, WhatGoesToOthersDoesNotGrowWithTheDemand) {
-  Follower follower(in("a"));
+  PlanFollower follower(in("a"));
   ASSERT_TRUE(follower.offer(plan_of(1, 1), 0, 10));
-  const Shares s = follower.shares(1, 10, kDistance, 10);
-  EXPECT_NEAR(s.to[0][1], 0.075, 1e-9);
-  EXPECT_NEAR(s.to[0][2], 0.025, 1e-9);
-  EXPECT_NEAR(s.to[0][0], 0.9, 1e-9);
-  EXPECT_EQ(follower.shares(1, 0.1, kDistance, 10).to[0], follower.shares(1, 1, kDistance, 10).to[0]);
+  const TrafficSplit s = follower.split(1, 10, kDistance, 10);
+  EXPECT_NEAR(s.fractions[0][1], 0.075, 1e-9);
+  EXPECT_NEAR(s.fractions[0][2], 0.025, 1e-9);
+  EXPECT_NEAR(s.fractions[0][0], 0.9, 1e-9);
+  EXPECT_EQ(follower.split(1, 0.1, kDistance, 10).fractions[0],
+            follower.split(1, 1, kDistance, 10).fractions[0]);
 }
 
 TEST(Follower, WithoutAPlanAllStaysNear) {
-  const Follower follower(in("a"));
-  const Shares s = follower.shares(0, 1, kDistance, 10);
-  EXPECT_FALSE(s.planned);
+  const PlanFollower follower(in("a"));
+  const TrafficSplit s = follower.split(0, 1, kDistance, 10);
+  EXPECT_FALSE(s.from_plan);
   EXPECT_EQ(s.zones, std::vector<std::string>{"a"});
-  EXPECT_EQ(s.to, (std::vector<std::vector<double>>{{1}, {1}}));
+  EXPECT_EQ(s.fractions, (std::vector<std::vector<double>>{{1}, {1}}));
 }
 
 // Whatever each of them sees, however many of them lost their plan, and however long ago.
@@ -122,11 +124,11 @@
       demand.push_back({draw(100'000), draw(60'000), draw(30'000)});
     }
     PlannerSettings settings = planner_settings();
-    settings.classes = {Hold::kNone, Hold::kRegion, Hold::kZone};
+    settings.classes = {Affinity::kNone, Affinity::kRegion, Affinity::kZone};
     Planner planner(settings);
     Plan plan;
-    Facts f;
-    for (int i = 0; i < 4; ++i) plan = planner.decide(f = facts(i, capacity, demand));
+    PlanInput f;
+    for (int i = 0; i < 4; ++i) plan = planner.make_plan(f = facts(i, capacity, demand));
     plan.token = plan.epoch = 1;
     plan.lease = 3;
     std::vector<double> into(3);
@@ -134,24 +136,24 @@
     for (double at = 3; at < 60; at += 7) {
       std::fill(into.begin(), into.end(), 0);
       for (std::size_t a = 0; a < 3; ++a) {
-        Follower follower({plan.zones[a], settings.classes, 10});
+        PlanFollower follower({plan.zones[a], settings.classes, 10});
         ASSERT_TRUE(follower.offer(plan, 0, 0));
         const double near = static_cast<double>(draw(11)) / 10, growth = static_cast<double>(draw(100)) / 10;
-        const Shares s = follower.shares(near, growth, f.distance[a], at);
-        ASSERT_FALSE(s.planned);
+        const TrafficSplit s = follower.split(near, growth, f.distance[a], at);
+        ASSERT_FALSE(s.from_plan);
         for (std::size_t c = 0; c < 3; ++c) {
           double all = 0;
           for (std::size_t b = 0; b < 3; ++b) {
-            ASSERT_GE(s.to[c][b], 0);
-            all += s.to[c][b];
-            into[b] += s.to[c][b] * static_cast<double>(demand[a][c]) * growth * (a == b ? 0 : 1);
+            ASSERT_GE(s.fractions[c][b], 0);
+            all += s.fractions[c][b];
+            into[b] += s.fractions[c][b] * static_cast<double>(demand[a][c]) * growth * (a == b ? 0 : 1);
           }
           ASSERT_LE(all, 1 + 1e-9);
         }
         // All of what is near fails: the most that it may send, and never more as time goes by.
-        const Shares most = follower.shares(0, 1, f.distance[a], at);
+        const TrafficSplit most = follower.split(0, 1, f.distance[a], at);
         double away = 0;
-        for (std::size_t b = 0; b < 3; ++b) away += b == a ? 0 : most.to[0][b];
+        for (std::size_t b = 0; b < 3; ++b) away += b == a ? 0 : most.fractions[0][b];
         ASSERT_LE(away, last[a] + 1e-9);
         last[a] = away;
       }
@@ -165,44 +167,44 @@
 }
 
 TEST(Follower, AwayGoesOnlyWhatFailsNearAndTheNearestWayFirst) {
-  Follower follower(in("a"));
+  PlanFollower follower(in("a"));
   ASSERT_TRUE(follower.offer(plan_of(1, 1, 3), 0, 0));
-  EXPECT_EQ(follower.shares(1, 1, kDistance, 3).to[0], (std::vector<double>{1, 0, 0}));
-  const Shares half = follower.shares(0.9, 1, kDistance, 3);
-  EXPECT_NEAR(half.to[0][1], 0.1, 1e-9);
-  EXPECT_EQ(half.to[0][2], 0);
-  EXPECT_EQ(follower.shares(0, 1, {0, kUnreached, 8}, 3).to[0][1], 0)
+  EXPECT_EQ(follower.split(1, 1, kDistance, 3).fractions[0], (std::vector<double>{1, 0, 0}));
+  const TrafficSplit half = follower.split(0.9, 1, kDistance, 3);
+  EXPECT_NEAR(half.fractions[0][1], 0.1, 1e-9);
+  EXPECT_EQ(half.fractions[0][2], 0);
+  EXPECT_EQ(follower.split(0, 1, {0, kUnreachable, 8}, 3).fractions[0][1], 0)
       << "where nothing gets through nothing goes";
 }
 
 TEST(Follower, WhatIsHeldStaysWhereItIsHeldAlsoWithoutAPlan) {
   PlannerSettings settings;
-  settings.classes = {Hold::kNone, Hold::kRegion, Hold::kZone};
+  settings.classes = {Affinity::kNone, Affinity::kRegion, Affinity::kZone};
   Planner planner(settings);
-  Facts f = facts(0, {100'000, 100'000, 100'000}, {{20'000, 20'000, 20'000}, {0, 0, 0}, {0, 0, 0}});
+  PlanInput f = facts(0, {100'000, 100'000, 100'000}, {{20'000, 20'000, 20'000}, {0, 0, 0}, {0, 0, 0}});
   f.zones[2].region = "east";
-  Plan plan = planner.decide(f);
+  Plan plan = planner.make_plan(f);
   plan.token = plan.epoch = 1;
   plan.lease = 3;
-  Follower follower({"a", settings.classes, 10});
+  PlanFollower follower({"a", settings.classes, 10});
   ASSERT_TRUE(follower.offer(plan, 0, 0));
   // The nearest target is the one in the other region, and has room.
-  const Shares s = follower.shares(0, 1, {0, 8, 1}, 3);
-  EXPECT_EQ(s.to[0], (std::vector<double>{0, 0, 1}));
-  EXPECT_EQ(s.to[1], (std::vector<double>{0, 1, 0}));
-  EXPECT_EQ(s.to[2], (std::vector<double>{0, 0, 0}));
-  EXPECT_EQ(follower.shares(0, 1, {0, 1, 8}, 3).to[1], (std::vector<double>{0, 1, 0}));
+  const TrafficSplit s = follower.split(0, 1, {0, 8, 1}, 3);
+  EXPECT_EQ(s.fractions[0], (std::vector<double>{0, 0, 1}));
+  EXPECT_EQ(s.fractions[1], (std::vector<double>{0, 1, 0}));
+  EXPECT_EQ(s.fractions[2], (std::vector<double>{0, 0, 0}));
+  EXPECT_EQ(follower.split(0, 1, {0, 1, 8}, 3).fractions[1], (std::vector<double>{0, 1, 0}));
 }
 
 TEST(Follower, TurnsAwayWhatIsNoPlan) {
-  Follower follower(in("a"));
+  PlanFollower follower(in("a"));
   ASSERT_TRUE(follower.offer(plan_of(5, 5), 0, 10));
   for (const auto& spoil : std::vector<void (*)(Plan&)>{
            [](Plan& p) { p.token = 0; }, [](Plan& p) { p.lease = 0; },
            [](Plan& p) { p.lease = std::nan(""); }, [](Plan& p) { p.load.pop_back(); },
            [](Plan& p) { p.load[1].pop_back(); }, [](Plan& p) { p.load[1][0].push_back(3); },
            [](Plan& p) { p.load[2][1][0] = -1; }, [](Plan& p) { p.refused[0].clear(); },
-           [](Plan& p) { p.alone[0][0] = -1; }, [](Plan& p) { p.alone.clear(); },
+           [](Plan& p) { p.fallback_limits[0][0] = -1; }, [](Plan& p) { p.fallback_limits.clear(); },
            [](Plan& p) { p.regions.pop_back(); },
            [](Plan& p) {
              p.zones = {"x", "y", "z"};
@@ -214,8 +216,8 @@
   }
   EXPECT_FALSE(follower.offer(plan_of(9, 9), -1, 10));
   EXPECT_FALSE(follower.offer(plan_of(9, 9), std::nan(""), 10));
-  EXPECT_THROW(Follower({"", kClasses, 10}), std::invalid_argument);
-  EXPECT_THROW(Follower({"a", kClasses, 0}), std::invalid_argument);
+  EXPECT_THROW(PlanFollower({"", kClasses, 10}), std::invalid_argument);
+  EXPECT_THROW(PlanFollower({"a", kClasses, 0}), std::invalid_argument);
 }
 
 }  // namespace
--- a/tests/zones/plan_test.cpp
+++ b/tests/zones/planner_test.cpp
@@ -1,5 +1,5 @@
 // Plans: exhaustive over small worlds, by random walks over large ones, and the courses that zones take.
-#include "zones/plan.h"
+#include "zones/planner.h"
 
 #include <gtest/gtest.h>
 
@@ -12,14 +12,14 @@
 namespace nettlestand::zones {
 namespace {
 
-const std::vector<Hold> kClasses = {Hold::kNone, Hold::kRegion, Hold::kZone};
+const std::vector<Affinity> kClasses = {Affinity::kNone, Affinity::kRegion, Affinity::kZone};
 
 Load sum(const std::vector<Load>& all) { return std::accumulate(all.begin(), all.end(), Load{0}); }
 
 // Zones a, b and c: the first two are in one region and near each other.
-Facts three(double at, const std::vector<Load>& capacity, const std::vector<std::vector<Load>>& demand) {
-  Facts out;
-  out.at = at;
+PlanInput three(double at, const std::vector<Load>& capacity, const std::vector<std::vector<Load>>& demand) {
+  PlanInput out;
+  out.now = at;
   const char* const names[] = {"a", "b", "c"};
   for (std::size_t i = 0; i < 3; ++i) {
     out.zones.push_back({names[i], i < 2 ? "west" : "east", capacity[i], 1, demand[i]});
@@ -31,12 +31,12 @@
 // One class that may go anywhere.
 PlannerSettings free_to_move() {
   PlannerSettings out;
-  out.classes = {Hold::kNone};
+  out.classes = {Affinity::kNone};
   return out;
 }
 
-Load capacity_of(const ZoneFacts& z) {
-  return static_cast<Load>(std::floor(static_cast<double>(z.capacity) * z.open + 1e-9));
+Load capacity_of(const ZoneInput& z) {
+  return static_cast<Load>(std::floor(static_cast<double>(z.capacity) * z.available + 1e-9));
 }
 
 struct Sums {
@@ -60,11 +60,11 @@
 }
 
 // What has to hold of every plan, whatever came before it. Empty where it does.
-std::string broken(const PlannerSettings& s, const Facts& f, const Plan& p) {
+std::string broken(const PlannerSettings& s, const PlanInput& f, const Plan& p) {
   const std::size_t n = f.zones.size();
   const Sums all = sums(p);
   for (std::size_t a = 0; a < n; ++a) {
-    const ZoneFacts& z = f.zones[a];
+    const ZoneInput& z = f.zones[a];
     for (std::size_t c = 0; c < s.classes.size(); ++c) {
       Load kept = p.refused[a][c];
       if (kept < 0) return z.zone + ": refuses less than nothing";
@@ -73,8 +73,8 @@
         if (to < 0) return z.zone + ": sends less than nothing";
         kept += to;
         if (to == 0 || a == b) continue;
-        if (s.classes[c] == Hold::kZone) return z.zone + ": moves what is held to it";
-        if (s.classes[c] == Hold::kRegion && z.region != f.zones[b].region)
+        if (s.classes[c] == Affinity::kZone) return z.zone + ": moves what is held to it";
+        if (s.classes[c] == Affinity::kRegion && z.region != f.zones[b].region)
           return z.zone + ": moves what is held to its region";
         if (!std::isfinite(f.distance[a][b])) return z.zone + ": sends where nothing gets through";
       }
@@ -83,13 +83,13 @@
     const Load can = capacity_of(z);
     if (all.own[a] + all.came[a] > can) return z.zone + ": gets more than it can take";
     if (all.came[a] > 0 &&
-        static_cast<double>(all.own[a] + all.came[a]) > (1 - s.head_room) * static_cast<double>(can) + 1)
+        static_cast<double>(all.own[a] + all.came[a]) > (1 - s.headroom) * static_cast<double>(can) + 1)
       return z.zone + ": moved traffic takes its head-room";
     if (sum(p.refused[a]) > 0 && all.own[a] + all.came[a] < can)
       return z.zone + ": refuses what it could serve itself";
     Load together = 0;
-    for (std::size_t b = 0; b < n; ++b) together += p.alone[b][a];
-    const double beside = (1 - s.head_room) * static_cast<double>(can) - static_cast<double>(all.own[a]);
+    for (std::size_t b = 0; b < n; ++b) together += p.fallback_limits[b][a];
+    const double beside = (1 - s.headroom) * static_cast<double>(can) - static_cast<double>(all.own[a]);
     if (static_cast<double>(together) > std::max(0.0, beside) + 1)
       return z.zone + ": all alone together send it more than there is room for";
   }
@@ -98,11 +98,11 @@
 
 // Where all that zones can take counts and rates bind nothing: no unit more could be served, moved less, or
 // moved a shorter way. Found by looking for a way to better it, through any number of zones.
-std::string could_be_better(const PlannerSettings& s, const Facts& f, const Plan& p) {
+std::string could_be_better(const PlannerSettings& s, const PlanInput& f, const Plan& p) {
   const std::size_t n = f.zones.size();
   const Sums all = sums(p);
   // Nodes: each zone's demand by hold, then each zone as a target. What goes over a way can be taken back.
-  const std::vector<Hold> holds = {Hold::kZone, Hold::kRegion, Hold::kNone};
+  const std::vector<Affinity> holds = {Affinity::kZone, Affinity::kRegion, Affinity::kNone};
   const std::size_t nodes = 4 * n;
   std::vector<std::vector<Load>> flow(3 * n, std::vector<Load>(n));
   std::vector<Load> refused(3 * n);
@@ -117,12 +117,12 @@
   const auto may = [&](std::size_t from, std::size_t b) {
     const std::size_t a = from / 3;
     if (a == b) return true;
-    if (!std::isfinite(f.distance[a][b]) || holds[from % 3] == Hold::kZone) return false;
-    return holds[from % 3] == Hold::kNone || f.zones[a].region == f.zones[b].region;
+    if (!std::isfinite(f.distance[a][b]) || holds[from % 3] == Affinity::kZone) return false;
+    return holds[from % 3] == Affinity::kNone || f.zones[a].region == f.zones[b].region;
   };
   // Moved traffic keeps off the head-room; own demand does not.
   const auto room = [&](std::size_t b, bool moved) {
-    const double part = moved ? 1 - s.head_room : 1;
+    const double part = moved ? 1 - s.headroom : 1;
     return static_cast<Load>(std::floor(static_cast<double>(capacity_of(f.zones[b])) * part + 1e-9)) -
            all.own[b] - all.came[b];
   };
@@ -170,7 +170,7 @@
   const PlannerSettings s = [] {
     PlannerSettings out;
     out.classes = kClasses;
-    out.move_rate = 1e6;
+    out.max_move_rate = 1e6;
     return out;
   }();
   const std::vector<std::vector<Load>> demands = {{0, 0, 0},    {30, 0, 0}, {0, 30, 0}, {0, 0, 30},
@@ -183,8 +183,8 @@
         for (const Load ca : capacities) {
           for (const Load cb : capacities) {
             for (const Load cc : capacities) {
-              const Facts f = three(0, {ca, cb, cc}, {da, db, dc});
-              const Plan p = Planner(s).decide(f);
+              const PlanInput f = three(0, {ca, cb, cc}, {da, db, dc});
+              const Plan p = Planner(s).make_plan(f);
               ASSERT_EQ(broken(s, f, p), "");
               ASSERT_EQ(could_be_better(s, f, p), "")
                   << ca << ' ' << cb << ' ' << cc << " d " << sum(da) << ' ' << sum(db) << ' ' << sum(dc);
@@ -203,7 +203,7 @@
 TEST(Plan, ComesToRestAfterEveryChange) {
   PlannerSettings s;
   s.classes = kClasses;
-  s.hold = 2;
+  s.recovery_hold = 2;
   const std::vector<std::pair<Load, std::vector<Load>>> zones = {
       {0, {20, 0, 0}}, {50, {20, 0, 0}}, {100, {40, 10, 10}}, {60, {0, 90, 0}}, {100, {0, 0, 0}}};
   const auto world = [&](std::size_t number, double at) {
@@ -219,14 +219,14 @@
   for (std::size_t from = 0; from < worlds; ++from) {
     for (std::size_t to = 0; to < worlds; ++to) {
       Planner planner(s);
-      planner.decide(world(from, 0));
+      planner.make_plan(world(from, 0));
       Plan before, now;
       int turned_again = 0;
       Load last[9] = {};
       bool fell[9] = {};
       for (int i = 1; i <= 30; ++i) {
-        const Facts f = world(to, i);
-        now = planner.decide(f);
+        const PlanInput f = world(to, i);
+        now = planner.make_plan(f);
         ASSERT_EQ(broken(s, f, now), "") << from << " to " << to << " at " << i;
         // What goes over a way rises, and may fall once others have room again: it never turns a second time.
         for (std::size_t w = 0; w < 9; ++w) {
@@ -252,9 +252,9 @@
     const std::size_t n = 2 + random() % 9;
     PlannerSettings s;
     s.classes = kClasses;
-    s.hold = static_cast<double>(random() % 6);
+    s.recovery_hold = static_cast<double>(random() % 6);
     Planner planner(s);
-    Facts f;
+    PlanInput f;
     f.distance.assign(n, std::vector<double>(n));
     for (std::size_t a = 0; a < n; ++a) {
       f.zones.push_back({"z" + std::to_string(a),
@@ -267,8 +267,8 @@
     }
     std::vector<Load> into;
     for (int step = 0; step < 150; ++step) {
-      f.at += 0.2 + static_cast<double>(random() % 10) / 10;
-      ZoneFacts& z = f.zones[random() % n];
+      f.now += 0.2 + static_cast<double>(random() % 10) / 10;
+      ZoneInput& z = f.zones[random() % n];
       switch (random() % 8) {
         case 0:
           z.capacity = 0;
@@ -280,10 +280,10 @@
           z.demand[random() % 3] = draw(600'000);
           break;
         case 3:
-          z.open = static_cast<double>(random() % 5) / 4;
+          z.available = static_cast<double>(random() % 5) / 4;
           break;
         case 4:
-          f.distance[random() % n][random() % n] = kUnreached;
+          f.distance[random() % n][random() % n] = kUnreachable;
           break;
         case 5:
           for (auto& row : f.distance)
@@ -292,13 +292,13 @@
         default:
           break;
       }
-      const Plan p = planner.decide(f);
+      const Plan p = planner.make_plan(f);
       ASSERT_EQ(broken(s, f, p), "") << "seed " << seed << " step " << step;
       // By so much a second at most does what is moved to a zone grow.
       const Sums all = sums(p);
       for (std::size_t b = 0; b < n && !into.empty(); ++b) {
         const double most = static_cast<double>(into[b]) +
-                            s.move_rate * 1.2 * static_cast<double>(capacity_of(f.zones[b])) + 1;
+                            s.max_move_rate * 1.2 * static_cast<double>(capacity_of(f.zones[b])) + 1;
         ASSERT_LE(static_cast<double>(all.came[b]), most) << "seed " << seed << " step " << step;
       }
       into = all.came;
@@ -309,9 +309,9 @@
 TEST(Plan, MovesALostZonesTrafficWithinTwoSeconds) {
   Planner planner(free_to_move());
   const std::vector<std::vector<Load>> demand = {{50'000}, {50'000}, {50'000}};
-  EXPECT_EQ(sums(planner.decide(three(0, {100'000, 100'000, 100'000}, demand))).moved, 0);
+  EXPECT_EQ(sums(planner.make_plan(three(0, {100'000, 100'000, 100'000}, demand))).moved, 0);
   Sums s;
-  for (int i = 1; i <= 4; ++i) s = sums(planner.decide(three(i * 0.5, {0, 100'000, 100'000}, demand)));
+  for (int i = 1; i <= 4; ++i) s = sums(planner.make_plan(three(i * 0.5, {0, 100'000, 100'000}, demand)));
   EXPECT_EQ(s.refused, 0);
   EXPECT_EQ(s.came[1], 40'000) << "the nearest first, up to its head-room";
   EXPECT_EQ(s.came[2], 10'000);
@@ -322,12 +322,12 @@
   PlannerSettings settings = free_to_move();
   Planner planner(settings);
   const std::vector<std::vector<Load>> demand = {{50'000}, {50'000}, {50'000}};
-  planner.decide(three(0, {100'000, 100'000, 100'000}, demand));
-  for (int i = 1; i <= 5; ++i) planner.decide(three(i, {0, 100'000, 100'000}, demand));
+  planner.make_plan(three(0, {100'000, 100'000, 100'000}, demand));
+  for (int i = 1; i <= 5; ++i) planner.make_plan(three(i, {0, 100'000, 100'000}, demand));
   Load last = 50'000;
   double began = 0, ended = 0;
   for (int i = 6; i <= 30 && ended == 0; ++i) {
-    const Plan p = planner.decide(three(i, {100'000, 100'000, 100'000}, demand));
+    const Plan p = planner.make_plan(three(i, {100'000, 100'000, 100'000}, demand));
     const Sums s = sums(p);
     EXPECT_EQ(s.refused, 0);
     EXPECT_LE(s.moved, last);
@@ -336,7 +336,7 @@
     if (s.moved == 0) ended = i;
     last = s.moved;
   }
-  EXPECT_EQ(began, 6 + settings.hold) << "counted from when it was first seen to be back";
+  EXPECT_EQ(began, 6 + settings.recovery_hold) << "counted from when it was first seen to be back";
   EXPECT_EQ(ended, began + 2);
 }
 
@@ -346,9 +346,9 @@
   PlannerSettings settings;
   settings.classes = kClasses;
   Planner planner(settings);
-  planner.decide(three(0, {0, 0, 0}, {{20, 0, 0}, {20, 0, 0}, {20, 0, 0}}));
+  planner.make_plan(three(0, {0, 0, 0}, {{20, 0, 0}, {20, 0, 0}, {20, 0, 0}}));
   for (int i = 1; i <= 30; ++i) {
-    const Plan p = planner.decide(three(i, {60, 50, 100}, {{0, 90, 0}, {20, 0, 0}, {0, 0, 0}}));
+    const Plan p = planner.make_plan(three(i, {60, 50, 100}, {{0, 90, 0}, {20, 0, 0}, {0, 0, 0}}));
     ASSERT_EQ(p.load[1][0][1], 20) << i;
   }
 }
@@ -359,7 +359,7 @@
   Planner planner(settings);
   Plan p;
   for (int i = 0; i < 3; ++i)
-    p = planner.decide(three(i, {20, 100, 100}, {{20, 20, 20}, {40, 0, 0}, {0, 0, 0}}));
+    p = planner.make_plan(three(i, {20, 100, 100}, {{20, 20, 20}, {40, 0, 0}, {0, 0, 0}}));
   EXPECT_EQ(sums(p).refused, 0);
   EXPECT_EQ(p.load[0][2][0], 20) << "held to its zone";
   EXPECT_EQ(p.load[0][1][1], 20) << "held to its region";
@@ -368,15 +368,15 @@
 
 TEST(Plan, BacksOffFromAZoneThatRelapsesAndForgetsInTheEnd) {
   PlannerSettings settings = free_to_move();
-  settings.longest_hold = 40;
+  settings.max_recovery_hold = 40;
   Planner planner(settings);
   const std::vector<std::vector<Load>> demand = {{50'000}, {50'000}, {50'000}};
   double at = 0;
-  planner.decide(three(at, {100'000, 100'000, 100'000}, demand));
+  planner.make_plan(three(at, {100'000, 100'000, 100'000}, demand));
   const auto seconds_until_back = [&] {
-    planner.decide(three(++at, {0, 100'000, 100'000}, demand));
+    planner.make_plan(three(++at, {0, 100'000, 100'000}, demand));
     for (int i = 1; i < 200; ++i) {
-      if (sums(planner.decide(three(++at, {100'000, 100'000, 100'000}, demand))).own[0] > 0) return i;
+      if (sums(planner.make_plan(three(++at, {100'000, 100'000, 100'000}, demand))).own[0] > 0) return i;
     }
     return 0;
   };
@@ -385,8 +385,8 @@
   EXPECT_EQ(seconds_until_back(), 21);
   EXPECT_EQ(seconds_until_back(), 41);
   EXPECT_EQ(seconds_until_back(), 41);
-  at += settings.calm;
-  planner.decide(three(at, {100'000, 100'000, 100'000}, demand));
+  at += settings.relapse_memory;
+  planner.make_plan(three(at, {100'000, 100'000, 100'000}, demand));
   EXPECT_EQ(seconds_until_back(), 6);
 }
 
@@ -394,11 +394,11 @@
 TEST(Plan, DoesNotFollowAZoneThatFlaps) {
   Planner planner(free_to_move());
   const std::vector<std::vector<Load>> demand = {{40'000}, {40'000}, {40'000}};
-  planner.decide(three(0, {100'000, 100'000, 100'000}, demand));
+  planner.make_plan(three(0, {100'000, 100'000, 100'000}, demand));
   int turns = 0;
   Load before = 0;
   for (int i = 1; i <= 60; ++i) {
-    const Sums s = sums(planner.decide(three(i, {i % 4 < 2 ? 0 : 100'000, 100'000, 100'000}, demand)));
+    const Sums s = sums(planner.make_plan(three(i, {i % 4 < 2 ? 0 : 100'000, 100'000, 100'000}, demand)));
     if (i > 2) {
       EXPECT_EQ(s.refused, 0);
       EXPECT_EQ(s.moved, 40'000);
@@ -413,17 +413,17 @@
 TEST(Plan, DoesNotCarryOnWhatNobodyCanBear) {
   Planner planner(free_to_move());
   const std::vector<std::vector<Load>> demand = {{80'000}, {80'000}, {80'000}};
-  planner.decide(three(0, {100'000, 100'000, 100'000}, demand));
+  planner.make_plan(three(0, {100'000, 100'000, 100'000}, demand));
   for (int i = 1; i <= 20; ++i) {
-    const Plan p = planner.decide(three(i, {0, 100'000, 100'000}, demand));
+    const Plan p = planner.make_plan(three(i, {0, 100'000, 100'000}, demand));
     const Sums s = sums(p);
     EXPECT_EQ(s.own[1], 80'000);
     EXPECT_EQ(s.own[2], 80'000);
     EXPECT_EQ(s.came[1], 10'000);
     EXPECT_EQ(s.came[2], 10'000);
     EXPECT_EQ(sum(p.refused[0]), 60'000);
-    ASSERT_EQ(p.why.size(), 1U);
-    EXPECT_EQ(p.why[0], "a: asked for 80/s, can take 0, of which 0 count; moves 20, refuses 60");
+    ASSERT_EQ(p.explanations.size(), 1U);
+    EXPECT_EQ(p.explanations[0], "a: asked for 80/s, can take 0, of which 0 count; moves 20, refuses 60");
   }
 }
 
@@ -432,9 +432,9 @@
   const std::vector<std::vector<Load>> demand = {{40'000}, {40'000}, {40'000}};
   Load last = 0;
   for (int i = 0; i <= 10; ++i) {
-    Facts f = three(i, {100'000, 100'000, 100'000}, demand);
-    f.zones[0].open = 1 - i / 10.0;
-    const Sums s = sums(planner.decide(f));
+    PlanInput f = three(i, {100'000, 100'000, 100'000}, demand);
+    f.zones[0].available = 1 - i / 10.0;
+    const Sums s = sums(planner.make_plan(f));
     EXPECT_GE(s.moved, last);
     EXPECT_EQ(s.refused, 0);
     last = s.moved;
@@ -444,8 +444,9 @@
 
 TEST(Plan, ADemandThatJumpsIsMovedAsFastAsOthersCanBear) {
   Planner planner(free_to_move());
-  planner.decide(three(0, {100'000, 100'000, 100'000}, {{20'000}, {20'000}, {20'000}}));
-  const Plan first = planner.decide(three(0.2, {100'000, 100'000, 100'000}, {{200'000}, {20'000}, {20'000}}));
+  planner.make_plan(three(0, {100'000, 100'000, 100'000}, {{20'000}, {20'000}, {20'000}}));
+  const Plan first =
+      planner.make_plan(three(0.2, {100'000, 100'000, 100'000}, {{200'000}, {20'000}, {20'000}}));
   const Sums s = sums(first);
   EXPECT_EQ(s.own[0], 100'000);
   EXPECT_EQ(s.came[1], 10'000) << "a fifth of a second's part";
@@ -453,18 +454,18 @@
   EXPECT_EQ(s.refused, 80'000);
   Sums later;
   for (int i = 1; i <= 10; ++i)
-    later = sums(
-        planner.decide(three(0.2 + i * 0.2, {100'000, 100'000, 100'000}, {{200'000}, {20'000}, {20'000}})));
+    later = sums(planner.make_plan(
+        three(0.2 + i * 0.2, {100'000, 100'000, 100'000}, {{200'000}, {20'000}, {20'000}})));
   EXPECT_EQ(later.refused, 0);
 }
 
 // A way that one zone alone can't use is no loss of the zone at its end.
 TEST(Plan, GoesRoundAWayThatIsCut) {
   Planner planner(free_to_move());
-  Facts f = three(0, {0, 100'000, 100'000}, {{30'000}, {20'000}, {20'000}});
-  f.distance[0][1] = kUnreached;
+  PlanInput f = three(0, {0, 100'000, 100'000}, {{30'000}, {20'000}, {20'000}});
+  f.distance[0][1] = kUnreachable;
   Sums s;
-  for (int i = 0; i < 3; ++i, f.at += 1) s = sums(planner.decide(f));
+  for (int i = 0; i < 3; ++i, f.now += 1) s = sums(planner.make_plan(f));
   EXPECT_EQ(s.came[1], 0);
   EXPECT_EQ(s.came[2], 30'000);
   EXPECT_EQ(s.own[1], 20'000);
@@ -473,38 +474,42 @@
 TEST(Plan, AZoneOfWhichNothingIsToldAnyMoreStartsOver) {
   Planner planner(free_to_move());
   const std::vector<std::vector<Load>> demand = {{50'000}, {50'000}, {50'000}};
-  planner.decide(three(0, {100'000, 100'000, 100'000}, demand));
-  Facts two = three(1, {100'000, 100'000, 100'000}, demand);
+  planner.make_plan(three(0, {100'000, 100'000, 100'000}, demand));
+  PlanInput two = three(1, {100'000, 100'000, 100'000}, demand);
   two.zones.erase(two.zones.begin());
   two.distance = {{0, 7}, {7, 0}};
-  planner.decide(two);
-  EXPECT_EQ(sums(planner.decide(three(2, {100'000, 100'000, 100'000}, demand))).own[0], 0)
+  planner.make_plan(two);
+  EXPECT_EQ(sums(planner.make_plan(three(2, {100'000, 100'000, 100'000}, demand))).own[0], 0)
       << "it does not count yet";
 }
 
 TEST(Plan, TurnsAwayWhatCantBe) {
   const auto facts = [](auto&& change) {
-    Facts f = three(1, {10, 10, 10}, {{1}, {1}, {1}});
+    PlanInput f = three(1, {10, 10, 10}, {{1}, {1}, {1}});
     change(f);
     return f;
   };
   Planner planner(free_to_move());
-  const auto same = planner.decide(facts([](Facts&) {})).load;
-  for (const Facts& f :
-       {facts([](Facts& f) { f.zones[0].capacity = -1; }), facts([](Facts& f) { f.zones[1].open = 2; }),
-        facts([](Facts& f) { f.zones[1].open = std::nan(""); }),
-        facts([](Facts& f) { f.zones[0].demand.push_back(1); }),
-        facts([](Facts& f) { f.zones[2].demand[0] = -5; }), facts([](Facts& f) { f.zones[1].zone = "a"; }),
-        facts([](Facts& f) { f.distance.pop_back(); }), facts([](Facts& f) { f.distance[0][1] = -1; }),
-        facts([](Facts& f) { f.distance[0].pop_back(); }), facts([](Facts& f) { f.at = 0.5; }),
-        facts([](Facts& f) { f.at = std::nan(""); })}) {
-    EXPECT_THROW(planner.decide(f), std::invalid_argument);
+  const auto same = planner.make_plan(facts([](PlanInput&) {})).load;
+  for (const PlanInput& f :
+       {facts([](PlanInput& f) { f.zones[0].capacity = -1; }),
+        facts([](PlanInput& f) { f.zones[1].available = 2; }),
+        facts([](PlanInput& f) { f.zones[1].available = std::nan(""); }),
+        facts([](PlanInput& f) { f.zones[0].demand.push_back(1); }),
+        facts([](PlanInput& f) { f.zones[2].demand[0] = -5; }),
+        facts([](PlanInput& f) { f.zones[1].zone = "a"; }),
+        facts([](PlanInput& f) { f.distance.pop_back(); }),
+        facts([](PlanInput& f) { f.distance[0][1] = -1; }),
+        facts([](PlanInput& f) { f.distance[0].pop_back(); }), facts([](PlanInput& f) { f.now = 0.5; }),
+        facts([](PlanInput& f) { f.now = std::nan(""); })}) {
+    EXPECT_THROW(planner.make_plan(f), std::invalid_argument);
   }
-  EXPECT_EQ(planner.decide(facts([](Facts&) {})).load, same) << "and remembers nothing of it";
+  EXPECT_EQ(planner.make_plan(facts([](PlanInput&) {})).load, same) << "and remembers nothing of it";
   for (const auto& change : std::vector<void (*)(PlannerSettings&)>{
-           [](PlannerSettings& s) { s.head_room = 1.5; }, [](PlannerSettings& s) { s.move_rate = 0; },
-           [](PlannerSettings& s) { s.back_rate = -1; }, [](PlannerSettings& s) { s.longest_hold = 1; },
-           [](PlannerSettings& s) { s.hold = std::nan(""); }}) {
+           [](PlannerSettings& s) { s.headroom = 1.5; }, [](PlannerSettings& s) { s.max_move_rate = 0; },
+           [](PlannerSettings& s) { s.recovery_rate = -1; },
+           [](PlannerSettings& s) { s.max_recovery_hold = 1; },
+           [](PlannerSettings& s) { s.recovery_hold = std::nan(""); }}) {
     PlannerSettings s = free_to_move();
     change(s);
     EXPECT_THROW(Planner{s}, std::invalid_argument);
@@ -518,7 +523,7 @@
       for (Load b = 0; b <= 6; ++b) {
         for (Load c = 0; c <= 6; ++c) {
           for (Load room = -1; room <= 20; ++room) {
-            const std::vector<Load> demand = {a, b, c}, got = fair_parts(demand, share, room);
+            const std::vector<Load> demand = {a, b, c}, got = max_min_fair_shares(demand, share, room);
             ASSERT_EQ(sum(got), std::clamp<Load>(room, 0, a + b + c));
             for (std::size_t i = 0; i < 3; ++i) {
               ASSERT_GE(got[i], 0);
--- /dev/null
+++ b/tests/zones/report_aggregator_test.cpp
@@ -0,0 +1,142 @@
+// What is made of nodes' reports: exhaustive over who says what of three zones, and the cases it exists for.
+#include "zones/report_aggregator.h"
+
+#include <gtest/gtest.h>
+
+#include <cmath>
+#include <stdexcept>
+
+namespace nettlestand::zones {
+namespace {
+
+ReportAggregatorSettings settings() {
+  ReportAggregatorSettings out;
+  out.classes = {Affinity::kNone};
+  out.zones = {{"a", "west"}, {"b", "west"}, {"c", "east"}};
+  out.distance = {{0, 1, 8}, {1, 0, 7}, {8, 7, 0}};
+  out.load_per_weight = 1000;
+  return out;
+}
+
+NodeReport report(const std::string& node, const std::string& zone, const ZoneView& a, const ZoneView& b,
+                  const ZoneView& c) {
+  return {node, zone, {10'000}, {{"a", a}, {"b", b}, {"c", c}}};
+}
+
+const ZoneView kWell{100, 1, 1}, kSlow{100, 1, 4}, kFailing{100, 0.5, 1}, kDark{100, 0, 1}, kLost{0, 1, 1};
+
+TEST(Evidence, AddsUpDemandAndTakesCapacityFromTheZonesOwnNodes) {
+  ReportAggregator e(settings());
+  EXPECT_TRUE(e.add_report(report("n0", "a", kWell, kSlow, kWell), 0));
+  EXPECT_TRUE(e.add_report(report("n1", "a", kWell, kSlow, kWell), 0));
+  EXPECT_TRUE(e.add_report(report("n2", "b", kFailing, kWell, kWell), 0));
+  EXPECT_TRUE(e.add_report(report("n3", "c", kWell, kWell, kSlow), 0));
+  const PlanInput f = e.plan_input(1);
+  EXPECT_EQ(f.now, 1);
+  EXPECT_EQ(f.zones[0].demand[0], 20'000);
+  EXPECT_EQ(f.zones[1].demand[0], 10'000);
+  EXPECT_EQ(f.zones[0].capacity, 100'000);
+  EXPECT_EQ(f.zones[1].capacity, 100'000) << "slow for others alone";
+  EXPECT_EQ(f.zones[2].capacity, 25'000) << "its own nodes find it slow";
+  EXPECT_EQ(f.distance, settings().distance);
+  EXPECT_EQ(e.reporting_nodes(1), (std::vector<std::size_t>{2, 1, 1}));
+}
+
+// Every zone's view of every zone, out of five: nobody's view of another zone changes that zone's capacity
+// while its own nodes are heard, and one view alone never does while two others agree.
+TEST(Evidence, OneZonesViewOfAnotherDecidesNothing) {
+  const std::vector<ZoneView> views = {kWell, kSlow, kFailing, kDark, kLost};
+  const auto bears = [](const ZoneView& v) {
+    return static_cast<Load>(1000 * v.weight * v.success_ratio / v.latency_factor);
+  };
+  for (std::size_t own = 0; own < 5; ++own) {
+    for (std::size_t from_b = 0; from_b < 5; ++from_b) {
+      for (std::size_t from_c = 0; from_c < 5; ++from_c) {
+        ReportAggregator e(settings());
+        e.add_report(report("n0", "a", views[own], kWell, kWell), 0);
+        e.add_report(report("n1", "b", views[from_b], kWell, kWell), 0);
+        e.add_report(report("n2", "c", views[from_c], kWell, kWell), 0);
+        const PlanInput f = e.plan_input(0);
+        ASSERT_EQ(f.zones[0].capacity, bears(views[own]));
+        ASSERT_EQ(f.zones[1].capacity, 100'000);
+        // A way is cut for whom nothing gets through on it, and for nobody else.
+        ASSERT_EQ(std::isfinite(f.distance[1][0]), !(from_b == 3 && f.zones[0].capacity > 0));
+        ASSERT_EQ(std::isfinite(f.distance[2][0]), !(from_c == 3 && f.zones[0].capacity > 0));
+        ASSERT_EQ(f.distance[0][1], 1);
+        // Its own nodes fall silent: of two views the worse one counts.
+        ReportAggregator alone(settings());
+        alone.add_report(report("n1", "b", views[from_b], kWell, kWell), 0);
+        alone.add_report(report("n2", "c", views[from_c], kWell, kWell), 0);
+        ASSERT_EQ(alone.plan_input(0).zones[0].capacity,
+                  std::min(bears(views[from_b]), bears(views[from_c])));
+      }
+    }
+  }
+}
+
+TEST(Evidence, AMinorityOfAZonesNodesDecidesNothing) {
+  ReportAggregator e(settings());
+  e.add_report(report("n0", "a", kWell, kWell, kWell), 0);
+  e.add_report(report("n1", "a", kDark, kDark, kDark), 0);  // its own link is bad
+  e.add_report(report("n2", "a", kWell, kWell, kWell), 0);
+  const PlanInput f = e.plan_input(0);
+  EXPECT_EQ(f.zones[0].capacity, 100'000);
+  EXPECT_EQ(f.distance[0][1], 1);
+}
+
+TEST(Evidence, OtherZonesStandInForNodesThatAreGone) {
+  ReportAggregator e(settings());
+  e.add_report(report("n0", "a", kWell, kWell, kWell), 0);
+  e.add_report(report("n1", "b", kWell, kWell, kWell), 2);
+  e.add_report(report("n2", "c", kFailing, kWell, kWell), 2);
+  EXPECT_EQ(e.plan_input(2.9).zones[0].capacity, 100'000);
+  const PlanInput f = e.plan_input(3);
+  EXPECT_EQ(f.zones[0].demand[0], 0);
+  EXPECT_EQ(f.zones[0].capacity, 50'000);
+  EXPECT_EQ(e.reporting_nodes(3)[0], 0U);
+  EXPECT_EQ(e.plan_input(100).zones[0].capacity, 0) << "nobody is heard of at all";
+}
+
+TEST(Evidence, DrainsByHandStepByStep) {
+  ReportAggregator e(settings());
+  EXPECT_FALSE(e.drain("x", 1, 0));
+  EXPECT_FALSE(e.drain("a", -1, 0));
+  EXPECT_FALSE(e.undrain("a"));
+  ASSERT_TRUE(e.drain("a", 60, 100));
+  EXPECT_EQ(e.plan_input(100).zones[0].available, 1);
+  EXPECT_EQ(e.plan_input(130).zones[0].available, 0.5);
+  EXPECT_EQ(e.plan_input(160).zones[0].available, 0);
+  EXPECT_EQ(e.plan_input(999).zones[0].available, 0);
+  EXPECT_TRUE(e.undrain("a"));
+  EXPECT_EQ(e.plan_input(999).zones[0].available, 1);
+  ASSERT_TRUE(e.drain("b", 0, 1000));
+  EXPECT_EQ(e.plan_input(1000).zones[1].available, 0);
+}
+
+TEST(Evidence, TurnsAwayWhatCantBe) {
+  ReportAggregator e(settings());
+  ASSERT_TRUE(e.add_report(report("n0", "a", kWell, kWell, kWell), 0));
+  for (const NodeReport& bad :
+       {report("n0", "x", kWell, kWell, kWell), report("", "a", kWell, kWell, kWell),
+        report("n0", "a", {-1, 1, 1}, kWell, kWell), report("n0", "a", {1, 2, 1}, kWell, kWell),
+        report("n0", "a", {1, 1, 0.5}, kWell, kWell), report("n0", "a", {std::nan(""), 1, 1}, kWell, kWell),
+        report("n0", "a", {1, 1, INFINITY}, kWell, kWell), NodeReport{"n0", "a", {1, 2}, {}},
+        NodeReport{"n0", "a", {-1}, {}}, NodeReport{"n0", "a", {1}, {{"x", kWell}}}}) {
+    EXPECT_FALSE(e.add_report(bad, 0));
+  }
+  EXPECT_EQ(e.plan_input(0).zones[0].capacity, 100'000) << "what was told before stays";
+  for (const auto& spoil : std::vector<void (*)(ReportAggregatorSettings&)>{
+           [](ReportAggregatorSettings& s) { s.zones[1].zone = "a"; },
+           [](ReportAggregatorSettings& s) { s.distance.pop_back(); },
+           [](ReportAggregatorSettings& s) { s.distance[0].pop_back(); },
+           [](ReportAggregatorSettings& s) { s.load_per_weight = 0; },
+           [](ReportAggregatorSettings& s) { s.report_ttl = 0; },
+           [](ReportAggregatorSettings& s) { s.partition_threshold = 1; }}) {
+    ReportAggregatorSettings s = settings();
+    spoil(s);
+    EXPECT_THROW(ReportAggregator{s}, std::invalid_argument);
+  }
+}
+
+}  // namespace
+}  // namespace nettlestand::zones
--- a/zones/follower.h
+++ b/zones/plan_follower.h
@@ -14,28 +14,28 @@
 #include <string>
 #include <vector>
 
-#include "zones/plan.h"
+#include "zones/planner.h"
 
 namespace nettlestand::zones {
 
-struct FollowerSettings {
-  std::string zone;           // this node's
-  std::vector<Hold> classes;  // the planner's
-  double halves_after = 10;   // s without a plan in which what may be sent away halves
+struct PlanFollowerSettings {
+  std::string zone;                // this node's
+  std::vector<Affinity> classes;   // the planner's
+  double fallback_half_life = 10;  // s without a plan in which what may be sent away halves
 };
 
 // Of this node's demand of each class, what goes where; what is left of 1 is refused. Nodes of one zone all
 // use the same parts, each on its own demand.
-struct Shares {
+struct TrafficSplit {
   std::vector<std::string> zones;
-  std::vector<std::vector<double>> to;  // [class][zone], 0 to 1
-  bool planned = false;
+  std::vector<std::vector<double>> fractions;  // [class][zone], 0 to 1
+  bool from_plan = false;
 };
 
-class Follower {
+class PlanFollower {
  public:
   // Throws std::invalid_argument for settings that can't be used.
-  explicit Follower(FollowerSettings settings);
+  explicit PlanFollower(PlanFollowerSettings settings);
 
   // Whether it is taken. `age`: s since it was made, at least; what carries plans adds up how long each held
   // it. What can't be a plan is not taken, and changes nothing.
@@ -46,23 +46,25 @@
   // How old that is or was, to be handed on with it.
   double age(double now) const { return now - made_at_; }
   // When shares() changes by itself next: the end of the lease; infinite without a plan.
-  double until() const { return plan_ ? until_ : std::numeric_limits<double>::infinity(); }
+  double lease_end() const { return plan_ ? lease_end_ : std::numeric_limits<double>::infinity(); }
 
   // `near`: the part of this zone's demand that its own servers bear by what this node sees, 0 to 1; it
   // counts only without a plan. `growth`: this node's demand as a multiple of what it was when the last plan
   // was made; what goes to others does not grow with it. `distance`: ms, by zone of the last plan; without a
   // plan the nearest target is used first.
-  Shares shares(double near, double growth, const std::vector<double>& distance, double now) const;
+  TrafficSplit split(double local_fraction, double growth, const std::vector<double>& distance,
+                     double now) const;
 
  private:
-  void planned(double growth, Shares& out) const;
-  void alone(double near, double growth, const std::vector<double>& distance, double now, Shares& out) const;
+  void split_by_plan(double growth, TrafficSplit& out) const;
+  void split_by_fallback(double local_fraction, double growth, const std::vector<double>& distance,
+                         double now, TrafficSplit& out) const;
   Load demand(std::size_t c) const;
 
-  FollowerSettings s_;
+  PlanFollowerSettings settings_;
   std::optional<Plan> plan_;
-  std::size_t place_ = 0;  // of this node's zone in it
-  double made_at_ = 0, until_ = 0;
+  std::size_t zone_index_ = 0;  // of this node's zone in it
+  double made_at_ = 0, lease_end_ = 0;
 };
 
 }  // namespace nettlestand::zones
--- a/zones/plan.h
+++ b/zones/planner.h
@@ -28,33 +28,33 @@
 // one.
 using Load = std::int64_t;
 
-inline constexpr double kUnreached = std::numeric_limits<double>::infinity();
+inline constexpr double kUnreachable = std::numeric_limits<double>::infinity();
 
 // How far a class of requests may be moved.
-enum class Hold { kNone, kRegion, kZone };
+enum class Affinity { kNone, kRegion, kZone };
 
-struct ZoneFacts {
+struct ZoneInput {
   std::string zone, region;
   Load capacity = 0;         // what it can take now, starting servers by their ramp
-  double open = 1;           // of that, what may be used: under 1 while it is drained by hand, 0 once it is
+  double available = 1;      // of that, what may be used: under 1 while it is drained by hand, 0 once it is
   std::vector<Load> demand;  // by class: what clients ask for there
 };
 
-struct Facts {
-  double at = 0;                              // s; never before that of the last decision
-  std::vector<ZoneFacts> zones;               // named once each; the order is free
+struct PlanInput {
+  double now = 0;                             // s; never before that of the last decision
+  std::vector<ZoneInput> zones;               // named once each; the order is free
   std::vector<std::vector<double>> distance;  // [from][to], ms; kUnreached where nothing gets through
 };
 
 struct PlannerSettings {
-  std::vector<Hold> classes;  // by class
-  double head_room = 0.1;     // of a zone's capacity: moved traffic leaves so much free
-  double move_rate = 0.5;     // of a zone's capacity: by so much a second may moved traffic to it grow
-  double back_rate = 0.2;     // of a zone's capacity: by so much a second does it count again
-  double hold = 5;            // s for which nothing more may be lost before that begins; doubled with each
-  double longest_hold = 300;  // relapse, s at the most
-  double calm = 600;          // s without a relapse after which it is `hold` again
-  double relapse = 0.25;      // of the capacity that counts: less than that lost at once is no relapse
+  std::vector<Affinity> classes;  // by class
+  double headroom = 0.1;          // of a zone's capacity: moved traffic leaves so much free
+  double max_move_rate = 0.5;     // of a zone's capacity: by so much a second may moved traffic to it grow
+  double recovery_rate = 0.2;     // of a zone's capacity: by so much a second does it count again
+  double recovery_hold = 5;  // s for which nothing more may be lost before that begins; doubled with each
+  double max_recovery_hold = 300;   // relapse, s at the most
+  double relapse_memory = 600;      // s without a relapse after which it is `hold` again
+  double relapse_threshold = 0.25;  // of the capacity that counts: less than that lost at once is no relapse
 };
 
 struct Plan {
@@ -65,9 +65,9 @@
   std::vector<std::vector<Load>> refused;            // [from][class]
   // [from][to]: what `from` may send there by its own decision once it has no plan. However many zones do so,
   // together they stay within the target's room.
-  std::vector<std::vector<Load>> alone;
+  std::vector<std::vector<Load>> fallback_limits;
   std::vector<std::string>
-      why;  // a line for each zone whose demand is moved or refused, or that is held back
+      explanations;  // a line for each zone whose demand is moved or refused, or that is held back
 };
 
 // Decides one plan after another; what it remembers of the last ones is what makes it steady.
@@ -78,32 +78,33 @@
 
   // Throws std::invalid_argument for facts that can't be so, and then remembers nothing of them. `token`,
   // `epoch` and `lease` are for the caller to set.
-  Plan decide(const Facts& facts);
+  Plan make_plan(const PlanInput& input);
 
  private:
-  struct Trust {
-    Load counts = 0;                                                // of its capacity
-    double seen = 0;                                                // s; told of last
+  struct Recovery {
+    Load trusted = 0;                                               // of its capacity
+    double seen_at = 0;                                             // s; told of last
     double better_since = std::numeric_limits<double>::infinity();  // s; has had more than counts since
     double relapsed_at = -std::numeric_limits<double>::infinity();
     double hold = 0;
-    bool rose = true;  // since its last relapse
+    bool recovered = true;  // since its last relapse
   };
-  using Way = std::tuple<std::string, Hold, std::string>;  // from, what may move, to
+  using Move = std::tuple<std::string, Affinity, std::string>;  // from, what may move, to
 
-  void check(const Facts& facts) const;
-  Load counted(const std::string& zone, Load capacity, double now, double step);
+  void check(const PlanInput& input) const;
+  Load trusted_capacity(const std::string& zone, Load capacity, double now, double step);
 
-  PlannerSettings s_;
-  std::map<std::string, Trust> trust_;
+  PlannerSettings settings_;
+  std::map<std::string, Recovery> recovery_;
   std::map<std::string, Load> moved_to_;
-  std::map<Way, Load> moved_;
-  double at_ = -std::numeric_limits<double>::infinity();
+  std::map<Move, Load> moved_;
+  double planned_at_ = -std::numeric_limits<double>::infinity();
 };
 
 // What of `demand` is let in where only `room` can be: nobody gets more than it asks for, and who asks for
 // more than its part of the room by `shares` (0: none) gets no more than others in proportion. Sums up to the
 // room, or to all of the demand.
-std::vector<Load> fair_parts(const std::vector<Load>& demand, const std::vector<double>& shares, Load room);
+std::vector<Load> max_min_fair_shares(const std::vector<Load>& demand, const std::vector<double>& shares,
+                                      Load capacity);
 
 }  // namespace nettlestand::zones
--- a/zones/evidence.h
+++ b/zones/report_aggregator.h
@@ -14,69 +14,71 @@
 #include <string>
 #include <vector>
 
-#include "zones/plan.h"
+#include "zones/planner.h"
 
 namespace nettlestand::zones {
 
 // How one node sees the servers of one zone.
-struct View {
+struct ZoneView {
   double weight =
-      0;            // of those that it is told of, may use and has not left out, starting ones by their ramp
-  double well = 1;  // of its calls there, the part that was answered; 1 where it has made none
-  double slow = 1;  // answer times there as a multiple of the usual ones; at least 1
+      0;  // of those that it is told of, may use and has not left out, starting ones by their ramp
+  double success_ratio = 1;   // of its calls there, the part that was answered; 1 where it has made none
+  double latency_factor = 1;  // answer times there as a multiple of the usual ones; at least 1
 };
 
-struct Report {
+struct NodeReport {
   std::string node, zone;
-  std::vector<Load> demand;           // by class: what it was asked for, admitted or not
-  std::map<std::string, View> views;  // by zone; a zone that it can't say anything of is left out
+  std::vector<Load> demand;               // by class: what it was asked for, admitted or not
+  std::map<std::string, ZoneView> views;  // by zone; a zone that it can't say anything of is left out
 };
 
-struct EvidenceSettings {
-  std::vector<Hold> classes;
-  struct Place {
+struct ReportAggregatorSettings {
+  std::vector<Affinity> classes;
+  struct ZoneName {
     std::string zone, region;
   };
-  std::vector<Place> zones;
+  std::vector<ZoneName> zones;
   std::vector<std::vector<double>> distance;  // [from][to], ms
-  Load per_weight = 0;  // thousandths of a call a second that a server of weight 1 bears
-  double fresh = 3;     // s for which a report counts
-  double cut = 0.1;     // of the calls on a way: where less gets through it is cut
+  Load load_per_weight = 0;          // thousandths of a call a second that a server of weight 1 bears
+  double report_ttl = 3;             // s for which a report counts
+  double partition_threshold = 0.1;  // of the calls on a way: where less gets through it is cut
 };
 
-class Evidence {
+class ReportAggregator {
  public:
   // Throws std::invalid_argument for settings that can't be used.
-  explicit Evidence(EvidenceSettings settings);
+  explicit ReportAggregator(ReportAggregatorSettings settings);
 
   // Takes the place of the node's last one. False for one that can't be so, which changes nothing.
-  bool report(const Report& report, double now);
+  bool add_report(const NodeReport& report, double now);
 
   // By hand: what of a zone's capacity may be used goes down to nothing within `over` s, or is free again at
   // once (how fast it counts again is the planner's). False for a zone that there is not.
-  bool drain(const std::string& zone, double over, double now);
+  bool drain(const std::string& zone, double duration, double now);
   bool undrain(const std::string& zone);
 
   // Forgets what is not fresh any more. Zones are in the order of the settings.
-  Facts facts(double now);
+  PlanInput plan_input(double now);
 
   // Nodes that are heard of, by zone.
-  std::vector<std::size_t> heard(double now) const;
+  std::vector<std::size_t> reporting_nodes(double now) const;
 
  private:
-  struct Told {
-    Report report;
+  struct Received {
+    NodeReport report;
     std::size_t zone = 0;
     double at = 0;
   };
   struct Drain {
-    double from = 0, over = 0;
+    double started_at = 0, duration = 0;
   };
-  std::size_t place(const std::string& zone) const;
-  double bears(const View& view) const { return view.weight * view.well / view.slow; }
+  std::size_t zone_index(const std::string& zone) const;
+  double effective_weight(const ZoneView& view) const {
+    return view.weight * view.success_ratio / view.latency_factor;
+  }
 
-  EvidenceSettings s_;
-  std::map<std::string, Told> told_;  // by node
+  ReportAggregatorSettings settings_;
+  std::map<std::string, Received> reports_;  // by node
   std::map<std::string, Drain> drains_;
 };
 
