--- a/bench/item_schedule.cpp
+++ b/bench/item_schedule.cpp
@@ -21,16 +21,16 @@
   bool room = false;
 
   bool may_run(Millis, const JobKey&) override { return true; }
-  ItemRules rules_of(Millis, const std::string&) override {
-    ItemRules out;
-    out.state = ItemRules::State::kOpen;
+  ItemLimits limits_for(Millis, const std::string&) override {
+    ItemLimits out;
+    out.state = ItemLimits::RouteState::kPresent;
     return out;
   }
   bool can_start() const override { return true; }
-  bool has_room(Millis, const std::string&) override { return room; }
+  bool has_capacity(Millis, const std::string&) override { return room; }
   void start(Millis, const ItemRun&) override {}
-  void withheld(const JobKey&, std::uint32_t, StartReason) override {}
-  void decided(Millis, const JobKey&, JobResult) override {}
+  void on_corrupted_item(const JobKey&, std::uint32_t, StartReason) override {}
+  void on_result(Millis, const JobKey&, JobResult) override {}
   void abandon(RunId) override {}
 };
 
--- a/src/batch/change_writer.cpp
+++ b/src/batch/change_writer.cpp
@@ -7,10 +7,10 @@
 namespace nettlestand::tier {
 
 void ChangeWriter::submit(storage::DiskQueue::Write write, storage::DiskQueue::Done done) {
-  ++under_way_;
+  ++writes_in_flight_;
   queue_.submit(std::move(write), [this, done = std::move(done)](Millis now, const absl::Status& status) {
-    --under_way_;
-    note_status(status);
+    --writes_in_flight_;
+    log_status_change(status);
     done(now, status);
   });
 }
@@ -30,10 +30,10 @@
 }
 
 // Logs when the disk begins to refuse writes, and when it takes them again.
-void ChangeWriter::note_status(const absl::Status& status) {
-  if (status.ok() != disk_refuses_) return;
-  disk_refuses_ = !status.ok();
-  if (disk_refuses_) {
+void ChangeWriter::log_status_change(const absl::Status& status) {
+  if (status.ok() != is_failing_) return;
+  is_failing_ = !status.ok();
+  if (is_failing_) {
     NETTLESTAND_WARNING("journal failed error=" << status.message());
   } else {
     NETTLESTAND_INFO("journal is written again");
--- a/src/batch/change_writer.h
+++ b/src/batch/change_writer.h
@@ -22,15 +22,15 @@
   using Done = std::function<void(Millis now, const absl::Status& status, std::size_t queued)>;
   void append(std::shared_ptr<const std::vector<JobChange>> changes, Done done);
   // Whether nothing is being written.
-  bool is_idle() const { return under_way_ == 0; }
+  bool is_idle() const { return writes_in_flight_ == 0; }
 
  private:
-  void note_status(const absl::Status& status);
+  void log_status_change(const absl::Status& status);
 
   JobJournal& journal_;
   storage::DiskQueue& queue_;
-  std::size_t under_way_ = 0;
-  bool disk_refuses_ = false;
+  std::size_t writes_in_flight_ = 0;
+  bool is_failing_ = false;
 };
 
 }  // namespace nettlestand::tier
--- a/src/batch/item_digest.cpp
+++ b/src/batch/item_digest.cpp
@@ -10,43 +10,43 @@
 namespace {
 
 // Lengths are digested too, so that bytes can't move from one field to the next unnoticed.
-std::uint64_t chain(std::uint64_t digest, std::string_view field) {
+std::uint64_t extend_digest(std::uint64_t digest, std::string_view field) {
   const std::uint64_t length = field.size();
   const auto* length_bytes = reinterpret_cast<const char*>(&length);
   return digest_of(field, digest_of({length_bytes, sizeof(length)}, digest));
 }
 
-std::uint64_t chain(std::uint64_t digest, const std::vector<std::string>& fields) {
-  for (const std::string& field : fields) digest = chain(digest, field);
+std::uint64_t extend_digest(std::uint64_t digest, const std::vector<std::string>& fields) {
+  for (const std::string& field : fields) digest = extend_digest(digest, field);
   return digest;
 }
 
 }  // namespace
 
 std::uint64_t content_digest(const JobItem& item) {
-  std::uint64_t digest = chain(0, item.id);
-  digest = chain(digest, item.path);
-  digest = chain(digest, item.header_names);
-  digest = chain(digest, item.header_values);
-  return chain(digest, item.body);
+  std::uint64_t digest = extend_digest(0, item.id);
+  digest = extend_digest(digest, item.path);
+  digest = extend_digest(digest, item.header_names);
+  digest = extend_digest(digest, item.header_values);
+  return extend_digest(digest, item.body);
 }
 
 void set_digest(JobItem& item) { item.digest = content_digest(item); }
 
 bool is_intact(const JobItem& item) { return item.digest == content_digest(item); }
 
-std::size_t changed_items(const JobChange& change) {
-  std::size_t changed = 0;
+std::size_t count_corrupted_items(const JobChange& change) {
+  std::size_t corrupted = 0;
   for (const JobSpec& spec : change.spec) {
-    std::vector<bool> listed(spec.items.size(), false);
+    std::vector<bool> has_result(spec.items.size(), false);
     for (const JobResult& result : change.results) {
-      if (result.item < listed.size()) listed[result.item] = true;
+      if (result.item < has_result.size()) has_result[result.item] = true;
     }
     for (std::size_t i = 0; i < spec.items.size(); ++i) {
-      if (!listed[i] && !is_intact(spec.items[i])) ++changed;
+      if (!has_result[i] && !is_intact(spec.items[i])) ++corrupted;
     }
   }
-  return changed;
+  return corrupted;
 }
 
 }  // namespace nettlestand::tier
--- a/src/batch/item_digest.h
+++ b/src/batch/item_digest.h
@@ -17,6 +17,6 @@
 bool is_intact(const JobItem& item);
 // Items of a new job, or of a job's copy, that are not what was submitted. Listed items don't count: their
 // bodies have been given up.
-std::size_t changed_items(const JobChange& change);
+std::size_t count_corrupted_items(const JobChange& change);
 
 }  // namespace nettlestand::tier
--- a/src/batch/item_runner.cpp
+++ b/src/batch/item_runner.cpp
@@ -16,18 +16,18 @@
 
 namespace asio = boost::asio;
 
-constexpr Millis kItemDeadlineMs = 60000;  // of one attempt: items are not bound by a route's time-out
-constexpr std::size_t kMaxRunning = 600;   // items at a time, for memory and descriptors
-constexpr int kUnprocessable = 422, kServerError = 500, kOk = 200;
-constexpr std::uint32_t kSplitSteps = 97;  // into which the shares of a route's services are divided
+constexpr Millis kAttemptTimeoutMs = 60000;       // of one attempt: items are not bound by a route's time-out
+constexpr std::size_t kMaxConcurrentItems = 600;  // items at a time, for memory and descriptors
+constexpr int kHttpUnprocessable = 422, kHttpServerError = 500, kHttpOk = 200;
+constexpr std::uint32_t kServiceSplitSteps = 97;  // into which the shares of a route's services are divided
 
 RunEnd end_of(const ForwardResult& result, bool is_stream) {
-  if (result.end == ForwardEnd::kRefused) return RunEnd::kTurnedAway;
-  if (result.end != ForwardEnd::kAnswered) return RunEnd::kBroken;
-  if (result.status == kOk && is_stream) return RunEnd::kCompleted;
-  if (result.status == kUnprocessable) return RunEnd::kUnprocessable;
-  if (result.status == kServerError) return RunEnd::kServerError;
-  return RunEnd::kBroken;
+  if (result.end == ForwardEnd::kRefused) return RunEnd::kRejected;
+  if (result.end != ForwardEnd::kAnswered) return RunEnd::kInterrupted;
+  if (result.status == kHttpOk && is_stream) return RunEnd::kCompleted;
+  if (result.status == kHttpUnprocessable) return RunEnd::kUnprocessable;
+  if (result.status == kHttpServerError) return RunEnd::kServerError;
+  return RunEnd::kInterrupted;
 }
 
 }  // namespace
@@ -35,7 +35,7 @@
 // Collects the text of an item's events.
 class ItemRunner::TextSink : public AnswerSink {
  public:
-  explicit TextSink(PartialText held) : held_(std::move(held)) {}
+  explicit TextSink(PartialText partial_text) : partial_text_(std::move(partial_text)) {}
   asio::awaitable<bool> head(const ResponseHead& head) override {
     is_stream_ = head.event_stream;
     co_return true;
@@ -44,9 +44,9 @@
     if (!is_stream_) co_return true;
     splitter_.feed(bytes, [this](const StreamEvent& event) {
       if (!event.id) return;
-      if (held_.has_event) held_.text.push_back('\n');
-      held_.text += EventSplitter::data_of(event.bytes);
-      held_.has_event = true;
+      if (partial_text_.has_event) partial_text_.text.push_back('\n');
+      partial_text_.text += EventSplitter::data_of(event.bytes);
+      partial_text_.has_event = true;
     });
     co_return true;
   }
@@ -54,12 +54,12 @@
   // What has come, where anything has.
   std::optional<PartialText> take(std::uint64_t last_event) {
     if (!is_stream_) return std::nullopt;
-    held_.last_event = last_event;
-    return std::move(held_);
+    partial_text_.last_event = last_event;
+    return std::move(partial_text_);
   }
 
  private:
-  PartialText held_;
+  PartialText partial_text_;
   bool is_stream_ = false;
   EventSplitter splitter_;
 };
@@ -88,25 +88,25 @@
   return configuration ? configuration->route_named(name) : nullptr;
 }
 
-ItemRules ItemRunner::rules_of(Millis now, const std::string& name) {
-  ItemRules out;
+ItemLimits ItemRunner::limits_for(Millis now, const std::string& name) {
+  ItemLimits out;
   if (!follower_.configuration() || !follower_.is_fresh(now)) return out;
   const Route* route = route_named(name);
-  out.state = route == nullptr ? ItemRules::State::kRouteGone : ItemRules::State::kOpen;
+  out.state = route == nullptr ? ItemLimits::RouteState::kRemoved : ItemLimits::RouteState::kPresent;
   if (route == nullptr) return out;
   out.max_wait_s = route->max_wait_s;
   out.max_attempts = route->max_attempts;
   return out;
 }
 
-bool ItemRunner::can_start() const { return sinks_.size() < kMaxRunning; }
+bool ItemRunner::can_start() const { return sinks_.size() < kMaxConcurrentItems; }
 
 // What was started and is not offered to a server yet takes its room all the same.
-bool ItemRunner::has_room(Millis now, const std::string& name) {
+bool ItemRunner::has_capacity(Millis now, const std::string& name) {
   const Route* route = route_named(name);
   if (route == nullptr) return false;
   return std::any_of(route->split.begin(), route->split.end(), [&](const ServiceWeight& part) {
-    return part.weight > 0 && forwarder_.pool().item_room(now, part.service) > unsent_[part.service];
+    return part.weight > 0 && forwarder_.pool().item_room(now, part.service) > not_forwarded_[part.service];
   });
 }
 
@@ -115,7 +115,8 @@
   ForwardRequest out;
   out.configuration = follower_.configuration();
   out.route = out.configuration->route_named(job.spec.route);
-  out.service = out.route->service_for(static_cast<double>(run.item % kSplitSteps) / kSplitSteps);
+  out.service =
+      out.route->service_for(static_cast<double>(run.item % kServiceSplitSteps) / kServiceSplitSteps);
   out.tenant = run.key.tenant;
   out.id = item.id;
   out.method = "POST";
@@ -128,35 +129,35 @@
   out.headers = forwarded_headers(fields);
   out.body = item.body;
   out.body_digest = digest_of(item.body);
-  out.deadline = now + kItemDeadlineMs;
+  out.deadline = now + kAttemptTimeoutMs;
   out.is_item = true;
-  out.last_event_id = run.held.last_event;
-  out.has_last_event_id = run.held.has_event;
+  out.last_event_id = run.partial_text.last_event;
+  out.has_last_event_id = run.partial_text.has_event;
   return out;
 }
 
 void ItemRunner::start(Millis now, const ItemRun& run) {
   const Job& job = *table_.find(run.key);
-  const PrimaryTerm term = hooks_.term(run.key);
+  const PrimaryTenure tenure = hooks_.tenure_of(run.key);
   NETTLESTAND_DEBUG("item started job=" << run.key.id << " item=" << job.spec.items[run.item].id
-                                        << " run=" << run.id << " start=" << run.number
-                                        << " reason=" << name_of(run.reason) << " epoch=" << term.epoch
-                                        << " tenure=" << term.tenure);
+                                        << " run=" << run.id << " start=" << run.attempt
+                                        << " reason=" << name_of(run.reason) << " epoch=" << tenure.epoch
+                                        << " tenure=" << tenure.number);
   ForwardRequest request = request_for(now, run, job);
   request.may_send = [this, id = run.id, key = run.key, service = request.service] {
     return may_send(id, key, service);
   };
-  auto sink = std::make_shared<TextSink>(run.held);
+  auto sink = std::make_shared<TextSink>(run.partial_text);
   sinks_.emplace(run.id, sink);
-  ++unsent_[request.service];
+  ++not_forwarded_[request.service];
   asio::co_spawn(io_, send(run, std::move(request), std::move(sink)), asio::detached);
 }
 
-void ItemRunner::withheld(const JobKey& key, std::uint32_t item, StartReason reason) {
-  const PrimaryTerm term = hooks_.term(key);
+void ItemRunner::on_corrupted_item(const JobKey& key, std::uint32_t item, StartReason reason) {
+  const PrimaryTenure tenure = hooks_.tenure_of(key);
   NETTLESTAND_WARNING("item withheld, it is not what its client sent job="
                       << key.id << " item=" << table_.find(key)->spec.items[item].id << " reason="
-                      << name_of(reason) << " epoch=" << term.epoch << " tenure=" << term.tenure);
+                      << name_of(reason) << " epoch=" << tenure.epoch << " tenure=" << tenure.number);
 }
 
 bool ItemRunner::may_send(RunId run, const JobKey& key, const std::string& service) {
@@ -169,19 +170,19 @@
 }
 
 asio::awaitable<void> ItemRunner::send(ItemRun run, ForwardRequest request, std::shared_ptr<TextSink> sink) {
-  --unsent_[request.service];  // the forwarder counts it from here on
+  --not_forwarded_[request.service];  // the forwarder counts it from here on
   const ForwardResult result = co_await forwarder_.forward(std::move(request), *sink);
   sinks_.erase(run.id);
   RunOutcome outcome;
   outcome.end = end_of(result, sink->is_stream());
   outcome.text = sink->take(result.last_event);
   const Millis now = steady_now();
-  schedule_.on_end(now, run.id, std::move(outcome));
+  schedule_.on_run_ended(now, run.id, std::move(outcome));
   pump(now);
 }
 
-void ItemRunner::decided(Millis now, const JobKey& key, JobResult result) {
-  hooks_.done(now, key, std::move(result));
+void ItemRunner::on_result(Millis now, const JobKey& key, JobResult result) {
+  hooks_.report_result(now, key, std::move(result));
 }
 
 void ItemRunner::abandon(RunId run) {
--- a/src/batch/item_runner.h
+++ b/src/batch/item_runner.h
@@ -31,12 +31,12 @@
   class TextSink;
 
   bool may_run(Millis now, const JobKey& key) override { return hooks_.may_run(now, key); }
-  ItemRules rules_of(Millis now, const std::string& route) override;
+  ItemLimits limits_for(Millis now, const std::string& route) override;
   bool can_start() const override;
-  bool has_room(Millis now, const std::string& route) override;
+  bool has_capacity(Millis now, const std::string& route) override;
   void start(Millis now, const ItemRun& run) override;
-  void withheld(const JobKey& key, std::uint32_t item, StartReason reason) override;
-  void decided(Millis now, const JobKey& key, JobResult result) override;
+  void on_corrupted_item(const JobKey& key, std::uint32_t item, StartReason reason) override;
+  void on_result(Millis now, const JobKey& key, JobResult result) override;
   void abandon(RunId run) override;
 
   // A route in the configuration in force; null where there is none of that name.
@@ -52,7 +52,7 @@
   Hooks hooks_;
   ItemSchedule schedule_;
   std::map<RunId, std::shared_ptr<TextSink>> sinks_;  // of the runs that are under way
-  std::map<std::string, std::size_t> unsent_;         // started and not offered to a server yet, by service
+  std::map<std::string, std::size_t> not_forwarded_;  // started and not offered to a server yet, by service
   bool pump_requested_ = false;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // for what waits in the event loop
 };
--- a/src/batch/item_schedule.cpp
+++ b/src/batch/item_schedule.cpp
@@ -5,25 +5,25 @@
 namespace nettlestand::tier {
 namespace {
 
-constexpr Millis kRetryMs = 120;         // before an item that was turned away is offered again
-constexpr Millis kFailureRetryMs = 300;  // after a server's own error
-constexpr Millis kOverdueSlackMs = 500;  // beyond the route's max_wait_s
-constexpr Millis kOverdueLookMs = 100;   // between looks for items that are overdue
+constexpr Millis kRetryDelayMs = 120;             // before an item that was turned away is offered again
+constexpr Millis kServerErrorRetryDelayMs = 300;  // after a server's own error
+constexpr Millis kMaxWaitGraceMs = 500;           // beyond the route's max_wait_s
+constexpr Millis kOverdueCheckIntervalMs = 100;   // between looks for items that are overdue
 constexpr double kMillisPerSecond = 1000;
 
-bool is_overdue(Millis now, const Job& job, const ItemRules& rules) {
-  if (rules.max_wait_s <= 0) return false;
-  return now > job.accepted_at + static_cast<Millis>(rules.max_wait_s * kMillisPerSecond) + kOverdueSlackMs;
+bool is_overdue(Millis now, const Job& job, const ItemLimits& limits) {
+  if (limits.max_wait_s <= 0) return false;
+  return now > job.accepted_at + static_cast<Millis>(limits.max_wait_s * kMillisPerSecond) + kMaxWaitGraceMs;
 }
 
 StartReason reason_after(RunEnd end) {
   switch (end) {
-    case RunEnd::kTurnedAway:
-      return StartReason::kTurnedAway;
+    case RunEnd::kRejected:
+      return StartReason::kRejected;
     case RunEnd::kServerError:
       return StartReason::kServerError;
     default:
-      return StartReason::kBroken;
+      return StartReason::kInterrupted;
   }
 }
 
@@ -33,11 +33,11 @@
   switch (reason) {
     case StartReason::kFirst:
       return "first";
-    case StartReason::kTurnedAway:
+    case StartReason::kRejected:
       return "turned_away";
     case StartReason::kServerError:
       return "server_error";
-    case StartReason::kBroken:
+    case StartReason::kInterrupted:
       return "broken";
   }
   return "unknown";
@@ -46,7 +46,7 @@
 // The one place that decides whether an item may be sent.
 bool ItemSchedule::may_start(Millis now, const Job& job, const JobState& state, std::uint32_t item) const {
   if (job.ended || state.stopped) return false;
-  if (job.listed[item]) return false;
+  if (job.has_result[item]) return false;
   const auto known = state.items.find(item);
   if (known == state.items.end()) return true;
   return known->second.phase == Phase::kWaiting && known->second.retry_at <= now;
@@ -56,7 +56,7 @@
   const auto running = runs_.find(run);
   if (running == runs_.end()) return false;
   const Job* job = table_.find(running->second.key);
-  return job != nullptr && !job->ended && !job->listed[running->second.item];
+  return job != nullptr && !job->ended && !job->has_result[running->second.item];
 }
 
 void ItemSchedule::pump(Millis now) {
@@ -71,128 +71,131 @@
 }
 
 void ItemSchedule::pump_once(Millis now) {
-  Round round;
+  SchedulingRound round;
   round.now = now;
-  if (now >= next_overdue_look_) {
-    next_overdue_look_ = now + kOverdueLookMs;
-    give_up_overdue(round);
+  if (now >= next_overdue_check_) {
+    next_overdue_check_ = now + kOverdueCheckIntervalMs;
+    dead_letter_overdue(round);
   }
-  start_in_turn(round);
+  start_round_robin(round);
 }
 
-const ItemRules& ItemSchedule::rules_of(Round& round, const std::string& route) {
-  const auto known = round.rules.find(route);
-  if (known != round.rules.end()) return known->second;
-  return round.rules.emplace(route, host_.rules_of(round.now, route)).first->second;
+const ItemLimits& ItemSchedule::limits_for(SchedulingRound& round, const std::string& route) {
+  const auto known = round.limits.find(route);
+  if (known != round.limits.end()) return known->second;
+  return round.limits.emplace(route, host_.limits_for(round.now, route)).first->second;
 }
 
 // Room only shrinks during a round.
-bool ItemSchedule::has_room(Round& round, const std::string& route) {
-  if (round.full.contains(route)) return false;
-  if (host_.has_room(round.now, route)) return true;
-  round.full.insert(route);
+bool ItemSchedule::has_capacity(SchedulingRound& round, const std::string& route) {
+  if (round.full_routes.contains(route)) return false;
+  if (host_.has_capacity(round.now, route)) return true;
+  round.full_routes.insert(route);
   return false;
 }
 
-void ItemSchedule::give_up_overdue(Round& round) {
+void ItemSchedule::dead_letter_overdue(SchedulingRound& round) {
   for (const std::string& tenant : table_.open_tenants()) {
     std::optional<OpenJob> at;
-    while ((at = table_.next_open(tenant, at))) {
+    while ((at = table_.next_open_job(tenant, at))) {
       const JobKey key{tenant, at->id};
-      if (host_.may_run(round.now, key)) give_up_if_overdue(round, key, *table_.find(key));
+      if (host_.may_run(round.now, key)) dead_letter_if_overdue(round, key, *table_.find(key));
     }
   }
 }
 
 // Items of a job whose route is gone, or that has waited as long as the route allows.
-void ItemSchedule::give_up_if_overdue(Round& round, const JobKey& key, const Job& job) {
-  const ItemRules& rules = rules_of(round, job.spec.route);
-  if (rules.state == ItemRules::State::kUnknown) return;
-  if (rules.state == ItemRules::State::kOpen && !is_overdue(round.now, job, rules)) return;
+void ItemSchedule::dead_letter_if_overdue(SchedulingRound& round, const JobKey& key, const Job& job) {
+  const ItemLimits& limits = limits_for(round, job.spec.route);
+  if (limits.state == ItemLimits::RouteState::kUnknown) return;
+  if (limits.state == ItemLimits::RouteState::kPresent && !is_overdue(round.now, job, limits)) return;
   JobState& state = states_[key];
   std::vector<std::uint32_t> overdue;
   for (std::uint32_t item = 0; item < job.spec.items.size(); ++item) {
     const Phase phase = state.items[item].phase;
-    const bool open = phase == Phase::kWaiting || phase == Phase::kWithheld;
-    if (!state.stopped && !job.listed[item] && open) overdue.push_back(item);
+    const bool open = phase == Phase::kWaiting || phase == Phase::kCorrupted;
+    if (!state.stopped && !job.has_result[item] && open) overdue.push_back(item);
   }
   for (const std::uint32_t item : overdue) {
     if (!states_.contains(key)) return;  // the results before have ended the job's time here
-    decide(round.now, key, item, ResultState::kDeadLetter, "");
+    finish(round.now, key, item, ResultState::kDeadLetter, "");
   }
 }
 
-void ItemSchedule::start_in_turn(Round& round) {
-  std::vector<Turn> turns;
-  for (std::string& tenant : table_.open_tenants()) turns.push_back({std::move(tenant), std::nullopt, false});
+void ItemSchedule::start_round_robin(SchedulingRound& round) {
+  std::vector<TenantCursor> cursors;
+  for (std::string& tenant : table_.open_tenants())
+    cursors.push_back({std::move(tenant), std::nullopt, false});
   for (bool progress = true; progress && host_.can_start();) {
     progress = false;
-    for (Turn& turn : turns) progress = start_next(round, turn) || progress;
+    for (TenantCursor& cursor : cursors) progress = start_item_of_tenant(round, cursor) || progress;
   }
 }
 
 // Starts one item of the tenant's oldest job that has one to start.
-bool ItemSchedule::start_next(Round& round, Turn& turn) {
-  while (!turn.over && host_.can_start()) {
-    const auto job = table_.next_open(turn.tenant, turn.done);
+bool ItemSchedule::start_item_of_tenant(SchedulingRound& round, TenantCursor& cursor) {
+  while (!cursor.exhausted && host_.can_start()) {
+    const auto job = table_.next_open_job(cursor.tenant, cursor.last_checked);
     if (!job) {
-      turn.over = true;
+      cursor.exhausted = true;
       return false;
     }
-    if (start_one(round, {turn.tenant, job->id})) return true;
-    turn.done = job;
+    if (start_item_of_job(round, {cursor.tenant, job->id})) return true;
+    cursor.last_checked = job;
   }
   return false;
 }
 
-bool ItemSchedule::start_one(Round& round, const JobKey& key) {
+bool ItemSchedule::start_item_of_job(SchedulingRound& round, const JobKey& key) {
   if (!host_.may_run(round.now, key)) return false;
   const Job& job = *table_.find(key);
-  const ItemRules& rules = rules_of(round, job.spec.route);
-  if (rules.state != ItemRules::State::kOpen) return false;
+  const ItemLimits& limits = limits_for(round, job.spec.route);
+  if (limits.state != ItemLimits::RouteState::kPresent) return false;
   JobState& state = states_[key];
   const auto item = next_item(round, job, state);
   if (!item) return false;
-  start(round.now, key, job, rules, state, *item);
+  start(round.now, key, job, limits, state, *item);
   return true;
 }
 
 // Items that were sent before go before those that never were.
-std::optional<std::uint32_t> ItemSchedule::next_item(Round& round, const Job& job, JobState& state) {
-  for (const std::uint32_t item : state.retry) {
+std::optional<std::uint32_t> ItemSchedule::next_item(SchedulingRound& round, const Job& job,
+                                                     JobState& state) {
+  for (const std::uint32_t item : state.retry_items) {
     if (!may_start(round.now, job, state, item)) continue;
-    if (!has_room(round, job.spec.route)) return std::nullopt;
+    if (!has_capacity(round, job.spec.route)) return std::nullopt;
     return item;
   }
   const auto count = static_cast<std::uint32_t>(job.spec.items.size());
-  while (state.next < count && !may_start(round.now, job, state, state.next)) ++state.next;
-  if (state.next == count || !has_room(round, job.spec.route)) return std::nullopt;
-  return state.next++;
+  while (state.next_unstarted < count && !may_start(round.now, job, state, state.next_unstarted))
+    ++state.next_unstarted;
+  if (state.next_unstarted == count || !has_capacity(round, job.spec.route)) return std::nullopt;
+  return state.next_unstarted++;
 }
 
-void ItemSchedule::start(Millis now, const JobKey& key, const Job& job, const ItemRules& rules,
+void ItemSchedule::start(Millis now, const JobKey& key, const Job& job, const ItemLimits& limits,
                          JobState& state, std::uint32_t item) {
   Item& own = state.items[item];
-  state.retry.erase(item);
-  ++own.starts;
+  state.retry_items.erase(item);
+  ++own.attempts;
   if (!job.is_intact(item)) {
-    own.phase = Phase::kWithheld;
-    return host_.withheld(key, item, own.reason);
+    own.phase = Phase::kCorrupted;
+    return host_.on_corrupted_item(key, item, own.reason);
   }
   own.phase = Phase::kRunning;
   own.run = ++last_run_;
-  runs_.emplace(own.run, Running{key, item, rules.max_attempts});
+  runs_.emplace(own.run, RunRecord{key, item, limits.max_attempts});
   ItemRun run;
   run.id = own.run;
   run.key = key;
   run.item = item;
-  run.number = own.starts;
+  run.attempt = own.attempts;
   run.reason = own.reason;
-  run.held = own.held;
+  run.partial_text = own.partial_text;
   host_.start(now, run);
 }
 
-void ItemSchedule::on_end(Millis now, RunId run, RunOutcome outcome) {
+void ItemSchedule::on_run_ended(Millis now, RunId run, RunOutcome outcome) {
   const auto running = runs_.find(run);
   if (running == runs_.end()) return;
   const auto [key, index, max_attempts] = running->second;
@@ -202,30 +205,30 @@
   item.run = 0;
   item.phase = Phase::kWaiting;
   if (outcome.end == RunEnd::kCompleted) {
-    return decide(now, key, index, ResultState::kCompleted,
+    return finish(now, key, index, ResultState::kCompleted,
                   outcome.text ? std::move(outcome.text->text) : "");
   }
   const bool failed = outcome.end == RunEnd::kServerError && ++item.failures >= max_attempts;
   if (failed || outcome.end == RunEnd::kUnprocessable) {
-    return decide(now, key, index, ResultState::kDeadLetter, "");
+    return finish(now, key, index, ResultState::kDeadLetter, "");
   }
-  if (outcome.text) item.held = *std::move(outcome.text);
+  if (outcome.text) item.partial_text = *std::move(outcome.text);
   item.reason = reason_after(outcome.end);
-  item.retry_at = now + (outcome.end == RunEnd::kServerError ? kFailureRetryMs : kRetryMs);
-  state.retry.insert(index);
+  item.retry_at = now + (outcome.end == RunEnd::kServerError ? kServerErrorRetryDelayMs : kRetryDelayMs);
+  state.retry_items.insert(index);
 }
 
-void ItemSchedule::decide(Millis now, const JobKey& key, std::uint32_t item, ResultState result,
+void ItemSchedule::finish(Millis now, const JobKey& key, std::uint32_t item, ResultState result,
                           std::string text) {
   JobState& state = states_[key];
-  state.retry.erase(item);
-  state.items[item].phase = Phase::kDecided;
-  state.items[item].held = PartialText();
+  state.retry_items.erase(item);
+  state.items[item].phase = Phase::kFinished;
+  state.items[item].partial_text = PartialText();
   JobResult out{};
   out.item = item;
   out.state = result;
   out.text = std::move(text);
-  host_.decided(now, key, std::move(out));
+  host_.on_result(now, key, std::move(out));
 }
 
 void ItemSchedule::abandon_runs(JobState& state) {
--- a/src/batch/job_calls.cpp
+++ b/src/batch/job_call_handler.cpp
@@ -1,21 +1,22 @@
-#include "batch/job_calls.h"
+#include "batch/job_call_handler.h"
 
 #include <algorithm>
 #include <utility>
 
 #include "batch/item_digest.h"
-#include "batch/job_page.h"
+#include "batch/job_results_page.h"
 #include "control/placement.h"
 #include "node/log.h"
 
 namespace nettlestand::tier {
 namespace {
 
-constexpr std::uint32_t kOk = 200, kAccepted = 202, kNotFound = 404, kTooMany = 429, kServerError = 500,
-                        kUnavailable = 503;
-constexpr std::uint32_t kNotPrimary = 0;  // nothing was kept
-constexpr std::uint32_t kMoved = 1;       // it may have been kept
-constexpr Millis kCommitWaitMs = 2200;    // for a change to reach all copies, before its outcome is left open
+constexpr std::uint32_t kOk = 200, kAccepted = 202, kNotFound = 404, kTooManyRequests = 429,
+                        kServerError = 500, kUnavailable = 503;
+constexpr std::uint32_t kNotPrimary = 0;      // nothing was kept
+constexpr std::uint32_t kPrimaryChanged = 1;  // it may have been kept
+constexpr Millis kCommitTimeoutMs =
+    2200;  // for a change to reach all copies, before its outcome is left open
 
 std::int64_t tokens_of(const JobSpec& spec) {
   std::int64_t sum = 0;
@@ -32,7 +33,8 @@
 
 }  // namespace
 
-void JobCalls::answer(const std::string& to, std::uint64_t call, std::uint32_t status, std::string body) {
+void JobCallHandler::answer(const std::string& to, std::uint64_t call, std::uint32_t status,
+                            std::string body) {
   JobReply reply{};
   reply.call = call;
   reply.status = status;
@@ -40,16 +42,16 @@
   messenger_.send(to, encode_message(MessageType::kJobReply, reply));
 }
 
-void JobCalls::answer(const Waiting& waiting, std::uint32_t status, std::string body) {
+void JobCallHandler::answer(const WaitingCall& waiting, std::uint32_t status, std::string body) {
   answer(waiting.from, waiting.call.call, status, std::move(body));
 }
 
-void JobCalls::on_call(Millis now, const std::string& from, const JobCall& call) {
-  Waiting waiting;
+void JobCallHandler::on_call(Millis now, const std::string& from, const JobCall& call) {
+  WaitingCall waiting;
   waiting.from = from;
   waiting.call = call;
   waiting.key = {call.tenant, call.job};
-  if (!host_.is_certain(now, waiting.key)) return answer(waiting, kNotPrimary, "");
+  if (!host_.may_serve(now, waiting.key)) return answer(waiting, kNotPrimary, "");
   switch (call.kind) {
     case JobCallKind::kSubmit:
       return submit(now, std::move(waiting));
@@ -57,80 +59,80 @@
       return end_job(now, std::move(waiting));
     case JobCallKind::kRead:
     case JobCallKind::kBody:
-      waiting.until = now + call.wait_ms;
-      if (!try_answer(now, waiting)) wait(std::move(waiting));
+      waiting.deadline = now + call.wait_ms;
+      if (!try_answer(now, waiting)) add_waiting(std::move(waiting));
       return;
   }
 }
 
-void JobCalls::submit(Millis now, Waiting waiting) {
+void JobCallHandler::submit(Millis now, WaitingCall waiting) {
   const JobKey key = waiting.key;
   if (waiting.call.spec.size() != 1) return answer(waiting, kServerError, "");
-  waiting.until = now + kCommitWaitMs;
+  waiting.deadline = now + kCommitTimeoutMs;
   if (table_.find(key) != nullptr) return answer(waiting, kAccepted, "{}");
-  if (submitted_.contains(key)) {
+  if (pending_submissions_.contains(key)) {
     waiting.call.spec.clear();
-    return wait(std::move(waiting));
+    return add_waiting(std::move(waiting));
   }
   if (!host_.accepts_jobs(key)) return answer(waiting, kUnavailable, "");
   JobChange change = change_of(key);
   change.spec.swap(waiting.call.spec);
   const JobSpec& spec = change.spec.front();
-  if (const std::size_t changed = changed_items(change); changed > 0) {
-    body_check_.on_difference(BodyStep::kStoreCall, changed);
-    NETTLESTAND_WARNING("bodies are not their client's job=" << key.id << " items=" << changed
+  if (const std::size_t corrupted = count_corrupted_items(change); corrupted > 0) {
+    body_check_.on_difference(BodyStep::kStoreCall, corrupted);
+    NETTLESTAND_WARNING("bodies are not their client's job=" << key.id << " items=" << corrupted
                                                              << " step=" << name_of(BodyStep::kStoreCall));
     return answer(waiting, kNotPrimary, "");  // nothing is kept; the edge node sends it again
   }
   const Route* route = host_.route_named(spec.route);
   if (route == nullptr) return answer(waiting, kUnavailable, "");
-  if (!fits(key, spec, *route)) return answer(waiting, kTooMany, "");
-  submitted_[key] = tokens_of(spec);
-  wait(std::move(waiting));
+  if (!fits_queue_limit(key, spec, *route)) return answer(waiting, kTooManyRequests, "");
+  pending_submissions_[key] = tokens_of(spec);
+  add_waiting(std::move(waiting));
   host_.change(now, std::move(change));
 }
 
 // Whether a tenant's waiting tokens leave room for a job.
-bool JobCalls::fits(const JobKey& key, const JobSpec& spec, const Route& route) const {
+bool JobCallHandler::fits_queue_limit(const JobKey& key, const JobSpec& spec, const Route& route) const {
   if (route.max_queued_tokens <= 0) return true;
   std::int64_t tokens = tokens_of(spec) + table_.waiting_tokens(key.tenant, spec.route);
-  for (const auto& [other, on_its_way] : submitted_) {
+  for (const auto& [other, on_its_way] : pending_submissions_) {
     if (other.tenant == key.tenant) tokens += on_its_way;
   }
   return tokens <= route.max_queued_tokens;
 }
 
-void JobCalls::end_job(Millis now, Waiting waiting) {
+void JobCallHandler::end_job(Millis now, WaitingCall waiting) {
   const JobKey key = waiting.key;
   const Job* job = table_.find(key);
-  if (job == nullptr && !submitted_.contains(key)) return answer(waiting, kNotFound, "");
+  if (job == nullptr && !pending_submissions_.contains(key)) return answer(waiting, kNotFound, "");
   if (job != nullptr && job->ended) return answer(waiting, kOk, "{}");
   host_.stop(key);
   JobChange change = change_of(key);
   change.ended = true;
-  waiting.until = now + kCommitWaitMs;
-  wait(std::move(waiting));
+  waiting.deadline = now + kCommitTimeoutMs;
+  add_waiting(std::move(waiting));
   host_.change(now, std::move(change));
 }
 
-bool JobCalls::try_answer(Millis now, const Waiting& waiting) {
+bool JobCallHandler::try_answer(Millis now, const WaitingCall& waiting) {
   const Job* job = table_.find(waiting.key);
-  const bool late = now >= waiting.until;
-  if (!host_.is_certain(now, waiting.key)) {
-    answer(waiting, kMoved, "");
+  const bool timed_out = now >= waiting.deadline;
+  if (!host_.may_serve(now, waiting.key)) {
+    answer(waiting, kPrimaryChanged, "");
     return true;
   }
   switch (waiting.call.kind) {
     case JobCallKind::kSubmit:
-      if (job == nullptr && !late) return false;
+      if (job == nullptr && !timed_out) return false;
       answer(waiting, job != nullptr ? kAccepted : kServerError, "{}");
       return true;
     case JobCallKind::kEnd:
-      if ((job == nullptr || !job->ended) && !late) return false;
+      if ((job == nullptr || !job->ended) && !timed_out) return false;
       answer(waiting, job != nullptr && job->ended ? kOk : kServerError, "{}");
       return true;
     case JobCallKind::kRead:
-      return try_answer_read(waiting, job, late);
+      return try_answer_read(waiting, job, timed_out);
     case JobCallKind::kBody:
       answer_body(waiting, job);
       return true;
@@ -138,45 +140,47 @@
   return true;
 }
 
-bool JobCalls::try_answer_read(const Waiting& waiting, const Job* job, bool late) {
+bool JobCallHandler::try_answer_read(const WaitingCall& waiting, const Job* job, bool timed_out) {
   if (job == nullptr) {
-    answer(waiting, is_submitted(waiting.key) ? kUnavailable : kNotFound, "");
+    answer(waiting, is_submission_pending(waiting.key) ? kUnavailable : kNotFound, "");
     return true;
   }
   const std::uint64_t start = waiting.call.start_after;
-  if (job->results.size() <= start && job->open() && !late) return false;
-  answer(waiting, kOk, page_of(*job, start));
+  if (job->results.size() <= start && job->open() && !timed_out) return false;
+  answer(waiting, kOk, results_page(*job, start));
   return true;
 }
 
-void JobCalls::answer_body(const Waiting& waiting, const Job* job) {
+void JobCallHandler::answer_body(const WaitingCall& waiting, const Job* job) {
   if (job == nullptr || job->ended) return answer(waiting, kNotFound, "");
   const auto& items = job->spec.items;
   for (std::size_t i = 0; i < items.size(); ++i) {
-    if (items[i].id == waiting.call.item && !job->listed[i]) return answer(waiting, kOk, items[i].body);
+    if (items[i].id == waiting.call.item && !job->has_result[i]) return answer(waiting, kOk, items[i].body);
   }
   answer(waiting, kNotFound, "");
 }
 
-void JobCalls::tick(Millis now) {
-  waiting_.remove_if([&](const Waiting& waiting) {
-    if (now < waiting.until && host_.is_certain(now, waiting.key)) return false;
+void JobCallHandler::tick(Millis now) {
+  waiting_calls_.remove_if([&](const WaitingCall& waiting) {
+    if (now < waiting.deadline && host_.may_serve(now, waiting.key)) return false;
     return try_answer(now, waiting);
   });
 }
 
-void JobCalls::on_committed(Millis now, const JobChange& change) {
+void JobCallHandler::on_committed(Millis now, const JobChange& change) {
   const JobKey key = key_of(change);
-  if (!change.spec.empty()) submitted_.erase(key);
-  waiting_.remove_if([&](const Waiting& waiting) { return waiting.key == key && try_answer(now, waiting); });
+  if (!change.spec.empty()) pending_submissions_.erase(key);
+  waiting_calls_.remove_if(
+      [&](const WaitingCall& waiting) { return waiting.key == key && try_answer(now, waiting); });
 }
 
-void JobCalls::drop_shard(std::uint32_t shard) {
-  std::erase_if(submitted_, [shard](const auto& item) { return batch_shard_of(item.first.tenant) == shard; });
-  waiting_.remove_if([&](const Waiting& waiting) {
+void JobCallHandler::drop_shard(std::uint32_t shard) {
+  std::erase_if(pending_submissions_,
+                [shard](const auto& item) { return batch_shard_of(item.first.tenant) == shard; });
+  waiting_calls_.remove_if([&](const WaitingCall& waiting) {
     if (batch_shard_of(waiting.key.tenant) != shard) return false;
     // A change that was queued may have reached a copy: the caller asks the new primary.
-    answer(waiting, kMoved, "");
+    answer(waiting, kPrimaryChanged, "");
     return true;
   });
 }
--- a/src/batch/job_journal.cpp
+++ b/src/batch/job_journal.cpp
@@ -10,10 +10,10 @@
 namespace nettlestand::tier {
 namespace {
 
-constexpr std::size_t kLeastSegments = 6;
-constexpr double kUsedShare = 0.85;    // of the disk that the ring may take
-constexpr double kCopyBelow = 0.25;    // of the segments free: the oldest is emptied
-constexpr double kRefuseBelow = 0.15;  // of the segments free: no new jobs
+constexpr std::size_t kMinSegments = 6;
+constexpr double kMaxDiskShare = 0.85;              // of the disk that the ring may take
+constexpr double kReclaimBelowFreeShare = 0.25;     // of the segments free: the oldest is emptied
+constexpr double kRejectJobsBelowFreeShare = 0.15;  // of the segments free: no new jobs
 
 enum class RecordKind : std::uint8_t { kIdentity, kChange };
 
@@ -26,7 +26,7 @@
 absl::StatusOr<std::unique_ptr<JobJournal>> JobJournal::load(const storage::RingOptions& options,
                                                              JobTable& table, Millis now) {
   std::unique_ptr<JobJournal> journal(new JobJournal());
-  journal->segments_ = options.max_segments;
+  journal->max_segments_ = options.max_segments;
   auto ring = storage::SegmentRing::open(options, [&](std::string_view record, storage::Generation segment) {
     journal->load_record(record, segment, table, now);
   });
@@ -44,8 +44,8 @@
   ring.files = options.files;
   ring.segment_bytes = options.segment_bytes;
   const double fitting =
-      kUsedShare * static_cast<double>(options.disk_mb << 20) / static_cast<double>(options.segment_bytes);
-  ring.max_segments = std::max(kLeastSegments, static_cast<std::size_t>(fitting));
+      kMaxDiskShare * static_cast<double>(options.disk_mb << 20) / static_cast<double>(options.segment_bytes);
+  ring.max_segments = std::max(kMinSegments, static_cast<std::size_t>(fitting));
   auto journal = load(ring, table, now);
   if (absl::IsDataLoss(journal.status())) {
     NETTLESTAND_WARNING("journal damaged, begun anew error=" << journal.status().message());
@@ -54,8 +54,8 @@
     journal = load(ring, table, now);
   }
   if (!journal.ok()) return journal;
-  if (const std::size_t changed = (*journal)->changed_bodies_; changed > 0) {
-    NETTLESTAND_WARNING("bodies are not their client's items=" << changed
+  if (const std::size_t corrupted = (*journal)->corrupted_items_; corrupted > 0) {
+    NETTLESTAND_WARNING("bodies are not their client's items=" << corrupted
                                                                << " step=" << name_of(BodyStep::kRestart));
   }
   if ((*journal)->disk_id_ != 0) return journal;
@@ -72,25 +72,25 @@
   decoder.get(kind);
   if (kind == RecordKind::kIdentity) {
     decoder.get(disk_id_);
-    identity_in_ = segment;
+    identity_segment_ = segment;
     return;
   }
   JobChange change{};
   decoder.get(change);
   if (!decoder.complete()) return;
-  changed_bodies_ += changed_items(change);
+  corrupted_items_ += count_corrupted_items(change);
   table.apply(now, change);
-  note(change, segment);
+  index_change(change, segment);
 }
 
-void JobJournal::note(const JobChange& change, storage::Generation segment) {
+void JobJournal::index_change(const JobChange& change, storage::Generation segment) {
   const JobKey key = key_of(change);
-  auto& here = jobs_in_[segment];
+  auto& here = jobs_by_segment_[segment];
   if (!change.removed) {
     here.insert(key);
     return;
   }
-  for (auto& [generation, jobs] : jobs_in_) jobs.erase(key);
+  for (auto& [generation, jobs] : jobs_by_segment_) jobs.erase(key);
 }
 
 absl::Status JobJournal::append_identity() {
@@ -98,7 +98,7 @@
   identity.kind = RecordKind::kIdentity;
   identity.disk_id = disk_id_;
   const auto segment = ring_->append(encode(identity));
-  if (segment.ok()) identity_in_ = *segment;
+  if (segment.ok()) identity_segment_ = *segment;
   return segment.status();
 }
 
@@ -108,42 +108,43 @@
   encoder.put(change);
   const auto segment = ring_->append(encoder.take());
   if (!segment.ok()) return segment.status();
-  note(change, *segment);
+  index_change(change, *segment);
   return absl::OkStatus();
 }
 
 bool JobJournal::accepts_jobs() const {
-  return static_cast<double>(ring_->free_segments()) > kRefuseBelow * static_cast<double>(segments_);
+  return static_cast<double>(ring_->free_segments()) >
+         kRejectJobsBelowFreeShare * static_cast<double>(max_segments_);
 }
 
 // In order of age: the record that removes a job is never given up before the job's own.
-std::optional<JobJournal::Reclaim> JobJournal::plan_reclaim(const JobTable& table,
-                                                            const std::vector<JobChange>& uncommitted) const {
-  Reclaim out;
+std::optional<JobJournal::ReclaimPlan> JobJournal::plan_reclaim(
+    const JobTable& table, const std::vector<JobChange>& uncommitted) const {
+  ReclaimPlan out;
   out.segment = ring_->oldest();
   if (out.segment == ring_->current()) return std::nullopt;
-  const auto jobs = jobs_in_.find(out.segment);
-  if (jobs == jobs_in_.end() || jobs->second.empty()) return out;
+  const auto jobs = jobs_by_segment_.find(out.segment);
+  if (jobs == jobs_by_segment_.end() || jobs->second.empty()) return out;
   const double free = static_cast<double>(ring_->free_segments());
-  if (free >= kCopyBelow * static_cast<double>(segments_)) return std::nullopt;
+  if (free >= kReclaimBelowFreeShare * static_cast<double>(max_segments_)) return std::nullopt;
   for (const JobKey& key : jobs->second) {
     // A job that only uncommitted changes know of is not gone.
-    if (table.find(key) != nullptr) out.changes.push_back(table.copy_of(key));
+    if (table.find(key) != nullptr) out.changes.push_back(table.snapshot_of(key));
     const auto of_job = [&key](const JobChange& change) { return key_of(change) == key; };
     std::copy_if(uncommitted.begin(), uncommitted.end(), std::back_inserter(out.changes), of_job);
   }
   return out;
 }
 
-absl::Status JobJournal::reclaim(const Reclaim& plan) {
+absl::Status JobJournal::reclaim(const ReclaimPlan& plan) {
   absl::Status status = absl::OkStatus();
   for (const JobChange& change : plan.changes) {
     if (status.ok()) status = append(change);
   }
-  if (status.ok() && identity_in_ <= plan.segment) status = append_identity();
+  if (status.ok() && identity_segment_ <= plan.segment) status = append_identity();
   if (status.ok()) status = ring_->sync();
   if (status.ok()) status = ring_->release(plan.segment);
-  if (status.ok()) jobs_in_.erase(plan.segment);
+  if (status.ok()) jobs_by_segment_.erase(plan.segment);
   return status;
 }
 
--- a/src/batch/job_journal.h
+++ b/src/batch/job_journal.h
@@ -35,12 +35,13 @@
   // What has to be written anew so that the oldest segment can be given back; nothing where none is to be. To
   // be asked while no write is under way. `uncommitted`: changes that the journal holds and the table does
   // not, as they wait for other copies; they have to stand behind the copies again.
-  struct Reclaim {
+  struct ReclaimPlan {
     storage::Generation segment = 0;
     std::vector<JobChange> changes;  // make the jobs that it holds
   };
-  std::optional<Reclaim> plan_reclaim(const JobTable& table, const std::vector<JobChange>& uncommitted) const;
-  absl::Status reclaim(const Reclaim& plan);
+  std::optional<ReclaimPlan> plan_reclaim(const JobTable& table,
+                                          const std::vector<JobChange>& uncommitted) const;
+  absl::Status reclaim(const ReclaimPlan& plan);
 
   // Whether there is room for new jobs beside what running ones will need. May be asked on any thread.
   bool accepts_jobs() const;
@@ -48,23 +49,23 @@
   // Rises with each start on this disk.
   std::uint64_t starts() const { return starts_; }
   // Items that were not what their clients sent when they were read at the start.
-  std::size_t changed_bodies() const { return changed_bodies_; }
+  std::size_t corrupted_items() const { return corrupted_items_; }
 
  private:
   JobJournal() = default;
   static absl::StatusOr<std::unique_ptr<JobJournal>> load(const storage::RingOptions& options,
                                                           JobTable& table, Millis now);
   void load_record(std::string_view record, storage::Generation segment, JobTable& table, Millis now);
-  void note(const JobChange& change, storage::Generation segment);
+  void index_change(const JobChange& change, storage::Generation segment);
   absl::Status append_identity();
 
   std::unique_ptr<storage::SegmentRing> ring_;
   StoreId disk_id_ = 0;
-  std::size_t segments_ = 0;
+  std::size_t max_segments_ = 0;
   std::uint64_t starts_ = 0;
-  std::size_t changed_bodies_ = 0;
-  std::map<storage::Generation, std::set<JobKey>> jobs_in_;  // jobs with records in a segment
-  storage::Generation identity_in_ = 0;
+  std::size_t corrupted_items_ = 0;
+  std::map<storage::Generation, std::set<JobKey>> jobs_by_segment_;  // jobs with records in a segment
+  storage::Generation identity_segment_ = 0;
 };
 
 }  // namespace nettlestand::tier
--- a/src/batch/job_page.cpp
+++ b/src/batch/job_results_page.cpp
@@ -1,4 +1,4 @@
-#include "batch/job_page.h"
+#include "batch/job_results_page.h"
 
 #include <rapidjson/stringbuffer.h>
 #include <rapidjson/writer.h>
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::size_t kMaxPageBytes = 900U << 10;
-constexpr std::size_t kBytesBesideText = 128;  // of a result, about
+constexpr std::size_t kResultOverheadBytes = 128;  // of a result, about
 
 using Writer = rapidjson::Writer<rapidjson::StringBuffer>;
 
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-std::string page_of(const Job& job, std::uint64_t start) {
+std::string results_page(const Job& job, std::uint64_t start) {
   rapidjson::StringBuffer buffer;
   Writer writer(buffer);
   writer.StartObject();
@@ -42,7 +42,7 @@
   std::uint64_t next = std::min<std::uint64_t>(start, job.results.size());
   for (std::size_t bytes = 0; next < job.results.size(); ++next) {
     const JobResult& result = job.results[next];
-    bytes += result.text.size() + kBytesBesideText;
+    bytes += result.text.size() + kResultOverheadBytes;
     if (next > start && bytes > kMaxPageBytes) break;
     write_result(writer, job, result);
   }
--- a/src/batch/job_page.h
+++ b/src/batch/job_results_page.h
@@ -9,6 +9,6 @@
 namespace nettlestand::tier {
 
 // The results from position `start` on, as many as a page holds, one at least where there is one.
-std::string page_of(const Job& job, std::uint64_t start);
+std::string results_page(const Job& job, std::uint64_t start);
 
 }  // namespace nettlestand::tier
--- a/src/batch/job_runner.h
+++ b/src/batch/job_runner.h
@@ -9,9 +9,9 @@
 namespace nettlestand::tier {
 
 // A store's time as the primary of a job's shard, for logs.
-struct PrimaryTerm {
+struct PrimaryTenure {
   std::uint64_t epoch = 0;   // of the shard's placement
-  std::uint64_t tenure = 0;  // how often this process has become a primary
+  std::uint64_t number = 0;  // how often this process has become a primary
 };
 
 class JobRunner {
@@ -19,8 +19,8 @@
   struct Hooks {
     // Whether this store is the job's primary, for certain, and the job is open.
     std::function<bool(Millis now, const JobKey&)> may_run;
-    std::function<void(Millis now, const JobKey&, JobResult)> done;
-    std::function<PrimaryTerm(const JobKey&)> term;
+    std::function<void(Millis now, const JobKey&, JobResult)> report_result;
+    std::function<PrimaryTenure(const JobKey&)> tenure_of;
   };
 
   virtual ~JobRunner() = default;
--- a/src/batch/job_table.cpp
+++ b/src/batch/job_table.cpp
@@ -7,7 +7,7 @@
 namespace nettlestand::tier {
 namespace {
 
-std::uint64_t chained(std::uint64_t chain, const JobResult& result) {
+std::uint64_t extend_digest(std::uint64_t chain, const JobResult& result) {
   return digest_of(encode(result), chain);
 }
 
@@ -23,14 +23,14 @@
   if (change.removed) {
     if (found == jobs_.end()) return;
     found->second.ended = true;
-    note_open(key, found->second);
+    update_open_jobs(key, found->second);
     jobs_.erase(found);
     return;
   }
   if (!change.spec.empty() && (found == jobs_.end() || change.reset)) {
     Job job;
     job.spec = change.spec.front();
-    job.listed.assign(job.spec.items.size(), false);
+    job.has_result.assign(job.spec.items.size(), false);
     job.accepted_at = found == jobs_.end() ? now : found->second.accepted_at;
     for (const JobItem& item : job.spec.items) job.waiting_tokens += item.tokens;
     found = jobs_.insert_or_assign(key, std::move(job)).first;
@@ -38,33 +38,33 @@
   if (found == jobs_.end()) return;
   add_results(found->second, change.first_position, change.results);
   if (change.ended) found->second.ended = true;
-  note_open(key, found->second);
+  update_open_jobs(key, found->second);
 }
 
-void JobTable::note_open(const JobKey& key, const Job& job) {
+void JobTable::update_open_jobs(const JobKey& key, const Job& job) {
   const OpenJob entry{job.accepted_at, key.id};
   if (job.open()) {
-    open_[key.tenant].insert(entry);
+    open_jobs_[key.tenant].insert(entry);
     return;
   }
-  const auto tenant = open_.find(key.tenant);
-  if (tenant == open_.end()) return;
+  const auto tenant = open_jobs_.find(key.tenant);
+  if (tenant == open_jobs_.end()) return;
   tenant->second.erase(entry);
-  if (tenant->second.empty()) open_.erase(tenant);
+  if (tenant->second.empty()) open_jobs_.erase(tenant);
 }
 
 std::vector<std::string> JobTable::open_tenants() const {
   std::vector<std::string> out;
-  out.reserve(open_.size());
-  for (const auto& [tenant, jobs] : open_) out.push_back(tenant);
+  out.reserve(open_jobs_.size());
+  for (const auto& [tenant, jobs] : open_jobs_) out.push_back(tenant);
   return out;
 }
 
-std::optional<OpenJob> JobTable::next_open(const std::string& tenant,
-                                           const std::optional<OpenJob>& behind) const {
-  const auto jobs = open_.find(tenant);
-  if (jobs == open_.end()) return std::nullopt;
-  const auto next = behind ? jobs->second.upper_bound(*behind) : jobs->second.begin();
+std::optional<OpenJob> JobTable::next_open_job(const std::string& tenant,
+                                               const std::optional<OpenJob>& after) const {
+  const auto jobs = open_jobs_.find(tenant);
+  if (jobs == open_jobs_.end()) return std::nullopt;
+  const auto next = after ? jobs->second.upper_bound(*after) : jobs->second.begin();
   if (next == jobs->second.end()) return std::nullopt;
   return *next;
 }
@@ -74,9 +74,9 @@
   for (const JobResult& result : results) {
     // A position is decided once, and positions are filled in order.
     const bool next = position++ == job.results.size();
-    if (!next || result.item >= job.spec.items.size() || job.listed[result.item]) continue;
-    job.chain = chained(job.chain, result);
-    job.listed[result.item] = true;
+    if (!next || result.item >= job.spec.items.size() || job.has_result[result.item]) continue;
+    job.results_digest = extend_digest(job.results_digest, result);
+    job.has_result[result.item] = true;
     job.waiting_tokens -= job.spec.items[result.item].tokens;
     job.spec.items[result.item].body.clear();  // nobody may ask for it any more
     job.results.push_back(result);
@@ -93,7 +93,7 @@
   return found == jobs_.end() ? nullptr : &found->second;
 }
 
-std::vector<JobKey> JobTable::keys_of(std::uint32_t shard) const {
+std::vector<JobKey> JobTable::keys_in_shard(std::uint32_t shard) const {
   std::vector<JobKey> out;
   for (const auto& [key, job] : jobs_) {
     if (batch_shard_of(key.tenant) == shard) out.push_back(key);
@@ -107,13 +107,13 @@
   out.job = key.id;
   if (const Job* job = find(key)) {
     out.results = static_cast<std::uint32_t>(job->results.size());
-    out.chain = job->chain;
+    out.chain = job->results_digest;
     out.ended = job->ended;
   }
   return out;
 }
 
-JobChange JobTable::copy_of(const JobKey& key) const {
+JobChange JobTable::snapshot_of(const JobKey& key) const {
   JobChange out{};
   out.tenant = key.tenant;
   out.job = key.id;
--- a/src/batch/job_table.h
+++ b/src/batch/job_table.h
@@ -21,12 +21,12 @@
 
 struct Job {
   JobSpec spec{};
-  std::vector<JobResult> results;   // by position
-  std::vector<bool> listed;         // items that have a result
-  std::uint64_t chain = 0;          // of the results so far: equal chains mean equal results
-  bool ended = false;               // by its client
-  Millis accepted_at = 0;           // in this life of the process
-  std::int64_t waiting_tokens = 0;  // of items without a result
+  std::vector<JobResult> results;    // by position
+  std::vector<bool> has_result;      // items that have a result
+  std::uint64_t results_digest = 0;  // of the results so far: equal chains mean equal results
+  bool ended = false;                // by its client
+  Millis accepted_at = 0;            // in this life of the process
+  std::int64_t waiting_tokens = 0;   // of items without a result
 
   bool complete() const { return results.size() == spec.items.size(); }
   // Whether items of it may still run.
@@ -51,26 +51,26 @@
   Job* find(const JobKey& key);
   const Job* find(const JobKey& key) const;
   // The jobs of one shard, in the order of their keys.
-  std::vector<JobKey> keys_of(std::uint32_t shard) const;
+  std::vector<JobKey> keys_in_shard(std::uint32_t shard) const;
   const std::map<JobKey, Job>& jobs() const { return jobs_; }
   // Tenants that have open jobs.
   std::vector<std::string> open_tenants() const;
   // The oldest open job of a tenant behind another one, or the oldest of all. The table may change between
   // two such questions.
-  std::optional<OpenJob> next_open(const std::string& tenant, const std::optional<OpenJob>& behind) const;
+  std::optional<OpenJob> next_open_job(const std::string& tenant, const std::optional<OpenJob>& after) const;
 
   JobDigest digest(const JobKey& key) const;
   // A change that makes any copy equal to this one.
-  JobChange copy_of(const JobKey& key) const;
+  JobChange snapshot_of(const JobKey& key) const;
   // Tokens of a tenant's items on a route that have no result, in jobs that were not ended.
   std::int64_t waiting_tokens(const std::string& tenant, const std::string& route) const;
 
  private:
   void add_results(Job& job, std::uint32_t first, const std::vector<JobResult>& results);
-  void note_open(const JobKey& key, const Job& job);
+  void update_open_jobs(const JobKey& key, const Job& job);
 
   std::map<JobKey, Job> jobs_;
-  std::map<std::string, std::set<OpenJob>> open_;  // by tenant
+  std::map<std::string, std::set<OpenJob>> open_jobs_;  // by tenant
 };
 
 JobKey key_of(const JobChange& change);
--- a/src/batch/copy_receiver.cpp
+++ b/src/batch/replication_receiver.cpp
@@ -1,4 +1,4 @@
-#include "batch/copy_receiver.h"
+#include "batch/replication_receiver.h"
 
 #include <algorithm>
 #include <memory>
@@ -10,7 +10,7 @@
 namespace nettlestand::tier {
 
 // Only the primary of the very epoch that is known here is listened to; it sends again what was not answered.
-bool CopyReceiver::is_from_primary(const std::string& from, const Replicate& message) const {
+bool ReplicationReceiver::is_from_primary(const std::string& from, const Replicate& message) const {
   const PlacementTable& placement = follower_.state().placement();
   const ShardPlacement* row = placement.row(message.shard);
   if (row == nullptr || row->epoch != message.epoch || row->members.empty()) return false;
@@ -20,26 +20,26 @@
 }
 
 // A message of an older connection may be read after one of the connection that came in its place.
-bool CopyReceiver::is_late(const Replicate& message) {
+bool ReplicationReceiver::is_stale(const Replicate& message) {
   LastMessage& last = last_messages_[message.shard];
   if (last.epoch == message.epoch && message.number < last.number) return true;
   last = {message.epoch, message.number};
   return false;
 }
 
-void CopyReceiver::check_bodies(const Replicate& message) {
+void ReplicationReceiver::check_bodies(const Replicate& message) {
   for (const JobChange& change : message.changes) {
-    const std::size_t changed = changed_items(change);
-    if (changed == 0) continue;
-    body_check_.on_difference(BodyStep::kCopy, changed);
-    NETTLESTAND_WARNING("bodies are not their client's job=" << change.job << " items=" << changed
+    const std::size_t corrupted = count_corrupted_items(change);
+    if (corrupted == 0) continue;
+    body_check_.on_difference(BodyStep::kCopy, corrupted);
+    NETTLESTAND_WARNING("bodies are not their client's job=" << change.job << " items=" << corrupted
                                                              << " step=" << name_of(BodyStep::kCopy));
   }
 }
 
-void CopyReceiver::on_replicate(const std::string& from, const Replicate& message) {
+void ReplicationReceiver::on_replicate(const std::string& from, const Replicate& message) {
   if (message.to != self_ || !is_from_primary(from, message)) return;
-  if (is_late(message)) return;
+  if (is_stale(message)) return;
   const auto is_foreign = [&message](const JobChange& change) {
     return batch_shard_of(change.tenant) != message.shard;
   };
@@ -54,7 +54,7 @@
   });
 }
 
-void CopyReceiver::acknowledge(const std::string& from, const Replicate& message) {
+void ReplicationReceiver::acknowledge(const std::string& from, const Replicate& message) {
   ReplicateReply reply{};
   reply.shard = message.shard;
   reply.epoch = message.epoch;
@@ -63,7 +63,7 @@
   reply.accepted = true;
   if (message.digest_wanted) {
     reply.has_digest = true;
-    for (const JobKey& key : table_.keys_of(message.shard)) reply.digest.push_back(table_.digest(key));
+    for (const JobKey& key : table_.keys_in_shard(message.shard)) reply.digest.push_back(table_.digest(key));
   }
   messenger_.send(from, encode_message(MessageType::kReplicateReply, reply));
 }
--- a/src/batch/copy_receiver.h
+++ b/src/batch/replication_receiver.h
@@ -14,10 +14,10 @@
 
 namespace nettlestand::tier {
 
-class CopyReceiver {
+class ReplicationReceiver {
  public:
-  CopyReceiver(Messenger& messenger, const ControlFollower& follower, JobTable& table, ChangeWriter& writer,
-               BodyCheck& body_check, StoreId self)
+  ReplicationReceiver(Messenger& messenger, const ControlFollower& follower, JobTable& table,
+                      ChangeWriter& writer, BodyCheck& body_check, StoreId self)
       : messenger_(messenger),
         follower_(follower),
         table_(table),
@@ -34,7 +34,7 @@
     MessageNumber number{};
   };
   bool is_from_primary(const std::string& from, const Replicate& message) const;
-  bool is_late(const Replicate& message);
+  bool is_stale(const Replicate& message);
   void check_bodies(const Replicate& message);
   void acknowledge(const std::string& from, const Replicate& message);
 
--- a/src/batch/shard_primary.cpp
+++ b/src/batch/shard_primary.cpp
@@ -6,9 +6,9 @@
 namespace nettlestand::tier {
 namespace {
 
-constexpr Millis kResendMs = 350;                 // what was not answered is sent again
-constexpr std::size_t kRepairBytes = 512U << 10;  // of copies in one message, beyond the first
-constexpr std::size_t kBatchBytes = 2U << 20;     // of changes in one batch, beyond the first
+constexpr Millis kResendMs = 350;                    // what was not answered is sent again
+constexpr std::size_t kMaxRepairBytes = 512U << 10;  // of copies in one message, beyond the first
+constexpr std::size_t kMaxBatchBytes = 2U << 20;     // of changes in one batch, beyond the first
 
 std::size_t size_of(const JobChange& change) {
   std::size_t bytes = 0;
@@ -26,19 +26,19 @@
   row_ = row;
   peers_.clear();
   for (const StoreId id : row.members) {
-    if (id != self_) peers_[id].must_hold = true;
+    if (id != self_) peers_[id].required_for_commit = true;
   }
   for (const StoreId id : row.joining) peers_[id].joining = true;
-  settle();
+  update_history_replicated();
 }
 
-void ShardPrimary::settle() {
-  if (may_commit() && is_in_line()) settled_ = true;
+void ShardPrimary::update_history_replicated() {
+  if (may_commit() && members_in_sync()) history_replicated_ = true;
 }
 
-bool ShardPrimary::is_in_line() const {
+bool ShardPrimary::members_in_sync() const {
   return row_.epoch > 0 && std::all_of(peers_.begin(), peers_.end(), [](const auto& item) {
-           return !item.second.must_hold || item.second.holds_all();
+           return !item.second.required_for_commit || item.second.is_in_sync();
          });
 }
 
@@ -47,7 +47,7 @@
   return last_number_;
 }
 
-Replicate ShardPrimary::message(StoreId to) const {
+Replicate ShardPrimary::new_message(StoreId to) const {
   Replicate out{};
   out.shard = shard_;
   out.epoch = row_.epoch;
@@ -56,71 +56,71 @@
 }
 
 std::vector<JobChange> ShardPrimary::next_batch() {
-  if (!batch_.empty() || !committed_.empty() || queued_.empty()) return {};
+  if (!in_flight_batch_.empty() || !committed_.empty() || queued_.empty()) return {};
   if (!ready() || !may_commit()) return {};
   std::size_t bytes = 0, count = 0;
-  for (; count < queued_.size() && bytes < kBatchBytes; ++count) bytes += size_of(queued_[count]) + 1;
+  for (; count < queued_.size() && bytes < kMaxBatchBytes; ++count) bytes += size_of(queued_[count]) + 1;
   const auto end = queued_.begin() + static_cast<std::ptrdiff_t>(count);
-  batch_.assign(std::make_move_iterator(queued_.begin()), std::make_move_iterator(end));
+  in_flight_batch_.assign(std::make_move_iterator(queued_.begin()), std::make_move_iterator(end));
   queued_.erase(queued_.begin(), end);
-  local_durable_ = false;
+  batch_durable_ = false;
   for (auto& [id, peer] : peers_) {
-    peer.batch_sent.reset();
+    peer.batch_number.reset();
     peer.batch_acked = false;
   }
-  return batch_;
+  return in_flight_batch_;
 }
 
-void ShardPrimary::local_durable() {
-  local_durable_ = true;
+void ShardPrimary::on_batch_durable() {
+  batch_durable_ = true;
   try_commit();
 }
 
-void ShardPrimary::repair(Millis now, StoreId id, Peer& peer, std::vector<Replicate>& out) {
-  if (peer.repair && now < peer.repair_sent_at + kResendMs) return;
-  if (!peer.repair) {
-    peer.repair = next_number();
+void ShardPrimary::send_repair(Millis now, StoreId id, Peer& peer, std::vector<Replicate>& out) {
+  if (peer.repair_number && now < peer.repair_sent_at + kResendMs) return;
+  if (!peer.repair_number) {
+    peer.repair_number = next_number();
     peer.repair_changes.clear();
-    peer.sent_copies.clear();
+    peer.jobs_in_repair.clear();
     std::size_t bytes = 0;
-    for (const JobKey& key : peer.missing) {
-      if (bytes >= kRepairBytes) break;
-      peer.repair_changes.push_back(table_.copy_of(key));
-      peer.sent_copies.insert(key);
+    for (const JobKey& key : peer.outdated_jobs) {
+      if (bytes >= kMaxRepairBytes) break;
+      peer.repair_changes.push_back(table_.snapshot_of(key));
+      peer.jobs_in_repair.insert(key);
       bytes += size_of(peer.repair_changes.back()) + 1;
     }
   }
   peer.repair_sent_at = now;
-  Replicate copies = message(id);
-  copies.number = *peer.repair;
-  copies.changes = peer.repair_changes;
-  out.push_back(std::move(copies));
+  Replicate message = new_message(id);
+  message.number = *peer.repair_number;
+  message.changes = peer.repair_changes;
+  out.push_back(std::move(message));
 }
 
 std::vector<Replicate> ShardPrimary::outgoing(Millis now) {
   std::vector<Replicate> out;
   for (auto& [id, peer] : peers_) {
-    if (!peer.digested) {
-      if (peer.asked_at != 0 && now < peer.asked_at + kResendMs) continue;
-      peer.asked_at = now;
-      if (!peer.ask) peer.ask = next_number();
-      Replicate ask = message(id);
-      ask.number = *peer.ask;
-      ask.digest_wanted = true;
-      out.push_back(std::move(ask));
+    if (!peer.digest_received) {
+      if (peer.digest_requested_at != 0 && now < peer.digest_requested_at + kResendMs) continue;
+      peer.digest_requested_at = now;
+      if (!peer.digest_request) peer.digest_request = next_number();
+      Replicate request = new_message(id);
+      request.number = *peer.digest_request;
+      request.digest_wanted = true;
+      out.push_back(std::move(request));
       continue;
     }
-    if (!peer.missing.empty()) {
-      repair(now, id, peer, out);
+    if (!peer.outdated_jobs.empty()) {
+      send_repair(now, id, peer, out);
       continue;
     }
-    if (batch_.empty() || peer.batch_acked) continue;
-    if (peer.batch_sent && now < peer.batch_sent_at + kResendMs) continue;
-    if (!peer.batch_sent) peer.batch_sent = next_number();
+    if (in_flight_batch_.empty() || peer.batch_acked) continue;
+    if (peer.batch_number && now < peer.batch_sent_at + kResendMs) continue;
+    if (!peer.batch_number) peer.batch_number = next_number();
     peer.batch_sent_at = now;
-    Replicate next = message(id);
-    next.number = *peer.batch_sent;
-    next.changes = batch_;
+    Replicate next = new_message(id);
+    next.number = *peer.batch_number;
+    next.changes = in_flight_batch_;
     out.push_back(std::move(next));
   }
   return out;
@@ -130,37 +130,38 @@
   const auto found = peers_.find(reply.from);
   if (found == peers_.end() || reply.epoch != row_.epoch || !reply.accepted) return;
   Peer& peer = found->second;
-  if (reply.has_digest && !peer.digested && peer.ask == reply.number) {
-    peer.digested = true;
+  if (reply.has_digest && !peer.digest_received && peer.digest_request == reply.number) {
+    peer.digest_received = true;
     std::set<JobKey> seen;
-    for (const JobDigest& held : reply.digest) {
-      const JobKey key{held.tenant, held.job};
+    for (const JobDigest& peer_digest : reply.digest) {
+      const JobKey key{peer_digest.tenant, peer_digest.job};
       seen.insert(key);
-      if (table_.find(key) == nullptr || encode(table_.digest(key)) != encode(held)) peer.missing.insert(key);
+      if (table_.find(key) == nullptr || encode(table_.digest(key)) != encode(peer_digest))
+        peer.outdated_jobs.insert(key);
     }
-    for (const JobKey& key : table_.keys_of(shard_)) {
-      if (!seen.contains(key)) peer.missing.insert(key);
+    for (const JobKey& key : table_.keys_in_shard(shard_)) {
+      if (!seen.contains(key)) peer.outdated_jobs.insert(key);
     }
-    return settle();
+    return update_history_replicated();
   }
-  if (peer.repair == reply.number) {
-    for (const JobKey& key : peer.sent_copies) peer.missing.erase(key);
-    peer.repair.reset();
-    return settle();
+  if (peer.repair_number == reply.number) {
+    for (const JobKey& key : peer.jobs_in_repair) peer.outdated_jobs.erase(key);
+    peer.repair_number.reset();
+    return update_history_replicated();
   }
-  if (!batch_.empty() && peer.batch_sent == reply.number) {
+  if (!in_flight_batch_.empty() && peer.batch_number == reply.number) {
     peer.batch_acked = true;
     try_commit();
   }
 }
 
 void ShardPrimary::try_commit() {
-  if (batch_.empty() || !local_durable_ || !committed_.empty()) return;
+  if (in_flight_batch_.empty() || !batch_durable_ || !committed_.empty()) return;
   if (!may_commit()) return;
   for (const auto& [id, peer] : peers_) {
-    if (peer.must_hold && !peer.batch_acked) return;
+    if (peer.required_for_commit && !peer.batch_acked) return;
   }
-  committed_.swap(batch_);
+  committed_.swap(in_flight_batch_);
 }
 
 // Who has not acknowledged the batch gets copies of its jobs. They are made from the table, which holds the
@@ -172,29 +173,29 @@
   for (auto& [id, peer] : peers_) {
     if (peer.batch_acked) continue;
     for (const JobChange& change : out) {
-      peer.missing.insert(key_of(change));
-      peer.sent_copies.erase(key_of(change));  // the copy on its way is older
+      peer.outdated_jobs.insert(key_of(change));
+      peer.jobs_in_repair.erase(key_of(change));  // the copy on its way is older
     }
   }
   return out;
 }
 
-std::vector<JobChange> ShardPrimary::written() const {
-  return local_durable_ ? batch_ : std::vector<JobChange>();
+std::vector<JobChange> ShardPrimary::durable_uncommitted() const {
+  return batch_durable_ ? in_flight_batch_ : std::vector<JobChange>();
 }
 
-std::vector<JobChange> ShardPrimary::take_written() {
+std::vector<JobChange> ShardPrimary::take_durable_uncommitted() {
   std::vector<JobChange> out;
-  if (local_durable_) out.swap(batch_);
+  if (batch_durable_) out.swap(in_flight_batch_);
   return out;
 }
 
-std::vector<InSync> ShardPrimary::in_sync() {
+std::vector<InSync> ShardPrimary::in_sync_reports() {
   std::vector<InSync> out;
-  if (!is_in_line()) return out;
+  if (!members_in_sync()) return out;
   for (auto& [id, peer] : peers_) {
-    if (!peer.joining || !peer.holds_all()) continue;
-    peer.must_hold = true;  // from here on nothing is committed without it
+    if (!peer.joining || !peer.is_in_sync()) continue;
+    peer.required_for_commit = true;  // from here on nothing is committed without it
     InSync report{};
     report.shard = shard_;
     report.epoch = row_.epoch;
--- a/src/batch/store_service.cpp
+++ b/src/batch/store_service.cpp
@@ -9,8 +9,8 @@
 namespace nettlestand::tier {
 namespace {
 
-constexpr Millis kExpiryMs = 2000;  // between looks for jobs that may go
-constexpr Millis kKeepBeyondStatusMs = 30000;
+constexpr Millis kExpiryIntervalMs = 2000;  // between looks for jobs that may go
+constexpr Millis kExpiryGraceMs = 30000;
 
 }  // namespace
 
@@ -21,17 +21,17 @@
       settings_(settings),
       disk_(std::move(disk)),
       writer_(*disk_.journal, *disk_.queue),
-      copies_(messenger, follower, *disk_.table, writer_, body_check_, disk_id()),
-      calls_(messenger, *disk_.table, *this, body_check_) {
-  body_check_.on_difference(BodyStep::kRestart, disk_.journal->changed_bodies());
+      replication_receiver_(messenger, follower, *disk_.table, writer_, body_check_, disk_id()),
+      call_handler_(messenger, *disk_.table, *this, body_check_) {
+  body_check_.on_difference(BodyStep::kRestart, disk_.journal->corrupted_items());
   JobRunner::Hooks hooks;
   hooks.may_run = [this](Millis now, const JobKey& key) {
-    return is_certain(now, key) && !calls_.is_submitted(key);
+    return may_serve(now, key) && !call_handler_.is_submission_pending(key);
   };
-  hooks.done = [this](Millis now, const JobKey& key, JobResult result) {
+  hooks.report_result = [this](Millis now, const JobKey& key, JobResult result) {
     add_result(now, key, std::move(result));
   };
-  hooks.term = [this](const JobKey& key) { return term_of(key); };
+  hooks.tenure_of = [this](const JobKey& key) { return tenure_of(key); };
   runner_ = runner(*disk_.table, std::move(hooks));
 }
 
@@ -44,19 +44,19 @@
   return found == tenures_.end() ? nullptr : &found->second.primary;
 }
 
-PrimaryTerm StoreService::term_of(const JobKey& key) const {
+PrimaryTenure StoreService::tenure_of(const JobKey& key) const {
   const auto found = tenures_.find(batch_shard_of(key.tenant));
   if (found == tenures_.end()) return {};
   return {found->second.primary.epoch(), found->second.number};
 }
 
-bool StoreService::is_certain(Millis now, const JobKey& key) {
+bool StoreService::may_serve(Millis now, const JobKey& key) {
   const ShardPrimary* primary = primary_of(key);
   return primary != nullptr && primary->ready() && follower_.has_primary_lease(now);
 }
 
 bool StoreService::accepts_jobs(const JobKey& key) {
-  return primary_of(key)->has_enough_copies() && disk_.journal->accepts_jobs();
+  return primary_of(key)->has_enough_replicas() && disk_.journal->accepts_jobs();
 }
 
 const Route* StoreService::route_named(const std::string& name) {
@@ -67,7 +67,7 @@
 void StoreService::change(Millis now, JobChange change) {
   ShardPrimary* primary = primary_of(key_of(change));
   primary->add(std::move(change));
-  drive(now);
+  advance(now);
 }
 
 bool StoreService::is_placed_here(const ShardPlacement* row) const {
@@ -76,12 +76,12 @@
 
 void StoreService::on_placement(Millis now) {
   for (const ShardPlacement& row : follower_.state().placement().shards) {
-    is_placed_here(&row) ? lead(row) : demote(now, row.shard);
+    is_placed_here(&row) ? become_primary(row) : step_down(now, row.shard);
   }
-  drive(now);
+  advance(now);
 }
 
-void StoreService::lead(const ShardPlacement& row) {
+void StoreService::become_primary(const ShardPlacement& row) {
   const auto found = tenures_.find(row.shard);
   if (found != tenures_.end()) return found->second.primary.set_placement(row);
   // What the primary before has sent may still be on its way to the disk: the table is whole behind it.
@@ -89,55 +89,58 @@
   writer_.submit([] { return absl::OkStatus(); },
                  [this, shard = row.shard](Millis later, const absl::Status&) {
                    begin_tenure(shard);
-                   drive(later);
+                   advance(later);
                  });
 }
 
 void StoreService::begin_tenure(std::uint32_t shard) {
   const ShardPlacement* row = follower_.state().placement().row(shard);
   if (!is_placed_here(row) || tenures_.contains(shard)) return;
-  const auto copies = static_cast<std::size_t>(settings_.fault_tolerance.machines) + 1;
+  const auto required_replicas = static_cast<std::size_t>(settings_.fault_tolerance.machines) + 1;
   NETTLESTAND_INFO("primary of shard=" << shard << " epoch=" << row->epoch);
   // A process may lead again in the epoch in which its last life did: its messages are numbered above those.
   MessageNumber numbers{};
   numbers.start = disk_.journal->starts();
-  numbers.tenure = ++tenure_numbers_;
+  numbers.tenure = ++last_tenure_number_;
   const auto added = tenures_.emplace(
-      shard, Tenure(numbers.tenure, ShardPrimary(shard, disk_id(), copies, *disk_.table, numbers)));
+      shard,
+      Tenure(numbers.tenure, ShardPrimary(shard, disk_id(), required_replicas, *disk_.table, numbers)));
   added.first->second.primary.set_placement(*row);
 }
 
-void StoreService::demote(Millis now, std::uint32_t shard) {
+void StoreService::step_down(Millis now, std::uint32_t shard) {
   const auto found = tenures_.find(shard);
   if (found == tenures_.end()) return;
   NETTLESTAND_INFO("no longer primary of shard=" << shard);
   // The table has to say what the disk holds, so that the new primary finds what differs. A batch that is
   // still being written is applied once it is.
-  for (const JobChange& change : found->second.primary.take_written()) disk_.table->apply(now, change);
-  apply_first(now, found->second.refused, found->second.refused_queued);
+  for (const JobChange& change : found->second.primary.take_durable_uncommitted())
+    disk_.table->apply(now, change);
+  apply_prefix(now, found->second.failed_batch, found->second.failed_batch_queued);
   tenures_.erase(found);
-  for (const JobKey& key : disk_.table->keys_of(shard)) runner_->forget(key);
-  std::erase_if(positions_, [shard](const auto& item) { return batch_shard_of(item.first.tenant) == shard; });
-  calls_.drop_shard(shard);
+  for (const JobKey& key : disk_.table->keys_in_shard(shard)) runner_->forget(key);
+  std::erase_if(next_positions_,
+                [shard](const auto& item) { return batch_shard_of(item.first.tenant) == shard; });
+  call_handler_.drop_shard(shard);
 }
 
-std::vector<InSync> StoreService::in_sync() {
+std::vector<InSync> StoreService::in_sync_reports() {
   std::vector<InSync> out;
   for (auto& [shard, tenure] : tenures_) {
-    for (const InSync& report : tenure.primary.in_sync()) out.push_back(report);
+    for (const InSync& report : tenure.primary.in_sync_reports()) out.push_back(report);
   }
   return out;
 }
 
 void StoreService::tick(Millis now) {
-  retry_refused();
-  drive(now);
+  retry_failed_batches();
+  advance(now);
   runner_->pump(now);
-  calls_.tick(now);
-  if (now < next_expiry_) return;
-  next_expiry_ = now + kExpiryMs;
+  call_handler_.tick(now);
+  if (now < next_expiry_check_) return;
+  next_expiry_check_ = now + kExpiryIntervalMs;
   expire_jobs(now);
-  reclaim();
+  reclaim_segment();
 }
 
 // ---------------------------------------------------------------- the disk
@@ -146,15 +149,15 @@
 std::vector<JobChange> StoreService::uncommitted() const {
   std::vector<JobChange> out;
   for (const auto& [shard, tenure] : tenures_) {
-    const std::vector<JobChange> written = tenure.primary.written();
+    const std::vector<JobChange> written = tenure.primary.durable_uncommitted();
     out.insert(out.end(), written.begin(), written.end());
-    const auto queued = tenure.refused.begin() + static_cast<std::ptrdiff_t>(tenure.refused_queued);
-    out.insert(out.end(), tenure.refused.begin(), queued);
+    const auto queued = tenure.failed_batch.begin() + static_cast<std::ptrdiff_t>(tenure.failed_batch_queued);
+    out.insert(out.end(), tenure.failed_batch.begin(), queued);
   }
   return out;
 }
 
-void StoreService::reclaim() {
+void StoreService::reclaim_segment() {
   if (!writer_.is_idle()) return;  // with the next look
   auto plan = disk_.journal->plan_reclaim(*disk_.table, uncommitted());
   if (!plan) return;
@@ -166,15 +169,15 @@
 
 // ---------------------------------------------------------------- replication
 
-void StoreService::drive(Millis now) {
-  if (driving_) return;
-  driving_ = true;
+void StoreService::advance(Millis now) {
+  if (advancing_) return;
+  advancing_ = true;
   do {
     take_committed(now);  // copies for others are made from the table
     write_batches();
     send_outgoing(now);
   } while (take_committed(now));
-  driving_ = false;
+  advancing_ = false;
 }
 
 bool StoreService::take_committed(Millis now) {
@@ -195,15 +198,15 @@
   }
 }
 
-void StoreService::retry_refused() {
+void StoreService::retry_failed_batches() {
   for (auto& [shard, tenure] : tenures_) {
-    if (tenure.refused.empty() || tenure.retrying) continue;
+    if (tenure.failed_batch.empty() || tenure.retrying) continue;
     tenure.retrying = true;
-    write_batch(shard, tenure, tenure.refused);
+    write_batch(shard, tenure, tenure.failed_batch);
   }
 }
 
-void StoreService::apply_first(Millis now, const std::vector<JobChange>& changes, std::size_t count) {
+void StoreService::apply_prefix(Millis now, const std::vector<JobChange>& changes, std::size_t count) {
   for (std::size_t i = 0; i < count; ++i) disk_.table->apply(now, changes[i]);
 }
 
@@ -220,18 +223,18 @@
                                     std::size_t queued) {
   const auto found = tenures_.find(shard);
   const bool current = found != tenures_.end() && found->second.number == number;
-  if (!current) return apply_first(now, batch, queued);
+  if (!current) return apply_prefix(now, batch, queued);
   Tenure& tenure = found->second;
   tenure.retrying = false;
   if (!status.ok()) {
-    tenure.refused = batch;
-    tenure.refused_queued = std::max(tenure.refused_queued, queued);
+    tenure.failed_batch = batch;
+    tenure.failed_batch_queued = std::max(tenure.failed_batch_queued, queued);
     return;
   }
-  tenure.refused.clear();
-  tenure.refused_queued = 0;
-  tenure.primary.local_durable();
-  drive(now);
+  tenure.failed_batch.clear();
+  tenure.failed_batch_queued = 0;
+  tenure.primary.on_batch_durable();
+  advance(now);
 }
 
 void StoreService::send_outgoing(Millis now) {
@@ -249,7 +252,7 @@
   if (found == tenures_.end()) return;
   const bool was_ready = found->second.primary.ready();
   found->second.primary.on_reply(reply);
-  drive(now);
+  advance(now);
   const auto after = tenures_.find(reply.shard);
   if (!was_ready && after != tenures_.end() && after->second.primary.ready()) runner_->pump(now);
 }
@@ -258,9 +261,9 @@
   for (const JobChange& change : batch) {
     const JobKey key = key_of(change);
     disk_.table->apply(now, change);
-    if (change.removed) positions_.erase(key);
+    if (change.removed) next_positions_.erase(key);
     if (change.removed || change.ended) runner_->forget(key);
-    calls_.on_committed(now, change);
+    call_handler_.on_committed(now, change);
   }
   runner_->pump(now);
 }
@@ -269,31 +272,31 @@
   ShardPrimary* primary = primary_of(key);
   const Job* job = disk_.table->find(key);
   if (primary == nullptr || job == nullptr) return;
-  auto [position, first] = positions_.try_emplace(key, static_cast<std::uint32_t>(job->results.size()));
+  auto [position, first] = next_positions_.try_emplace(key, static_cast<std::uint32_t>(job->results.size()));
   JobChange change{};
   change.tenant = key.tenant;
   change.job = key.id;
   change.first_position = position->second++;
   change.results.push_back(std::move(result));
   primary->add(std::move(change));
-  drive(now);
+  advance(now);
 }
 
 void StoreService::expire_jobs(Millis now) {
-  const Millis keep = static_cast<Millis>(settings_.bounds.status_s * 1000) + kKeepBeyondStatusMs;
-  std::vector<JobKey> old;
+  const Millis keep = static_cast<Millis>(settings_.bounds.status_s * 1000) + kExpiryGraceMs;
+  std::vector<JobKey> expired;
   for (const auto& [key, job] : disk_.table->jobs()) {
-    if ((job.complete() || job.ended) && job.accepted_at + keep < now && is_certain(now, key))
-      old.push_back(key);
+    if ((job.complete() || job.ended) && job.accepted_at + keep < now && may_serve(now, key))
+      expired.push_back(key);
   }
-  for (const JobKey& key : old) {
+  for (const JobKey& key : expired) {
     JobChange change{};
     change.tenant = key.tenant;
     change.job = key.id;
     change.removed = true;
     primary_of(key)->add(std::move(change));
   }
-  if (!old.empty()) drive(now);
+  if (!expired.empty()) advance(now);
 }
 
 }  // namespace nettlestand::tier
--- a/src/batch/store_service.h
+++ b/src/batch/store_service.h
@@ -12,11 +12,11 @@
 
 #include "base/body_check.h"
 #include "batch/change_writer.h"
-#include "batch/copy_receiver.h"
-#include "batch/job_calls.h"
+#include "batch/job_call_handler.h"
 #include "batch/job_journal.h"
 #include "batch/job_runner.h"
 #include "batch/job_table.h"
+#include "batch/replication_receiver.h"
 #include "batch/shard_primary.h"
 #include "control/follower.h"
 #include "messaging/messenger.h"
@@ -41,13 +41,13 @@
   void tick(Millis now);
   void on_placement(Millis now);
   void on_job_call(Millis now, const std::string& from, const JobCall& call) {
-    calls_.on_call(now, from, call);
+    call_handler_.on_call(now, from, call);
   }
   void on_replicate(const std::string& from, const Replicate& message) {
-    copies_.on_replicate(from, message);
+    replication_receiver_.on_replicate(from, message);
   }
   void on_replicate_reply(Millis now, const ReplicateReply& reply);
-  std::vector<InSync> in_sync();
+  std::vector<InSync> in_sync_reports();
   storage::DiskQueue* disk_queue() { return disk_.queue.get(); }
   StoreId disk_id() const { return disk_.journal->disk_id(); }
   // Bodies of items that were found changed on their way through this store.
@@ -59,39 +59,39 @@
     Tenure(std::uint64_t number, ShardPrimary primary) : number(number), primary(std::move(primary)) {}
     std::uint64_t number;
     ShardPrimary primary;
-    std::vector<JobChange> refused;  // a batch that the disk has not taken; it is tried again
-    std::size_t refused_queued = 0;  // how many of its changes the journal has queued all the same
+    std::vector<JobChange> failed_batch;  // a batch that the disk has not taken; it is tried again
+    std::size_t failed_batch_queued = 0;  // how many of its changes the journal has queued all the same
     bool retrying = false;
   };
 
   // JobCallHost
-  bool is_certain(Millis now, const JobKey& key) override;
+  bool may_serve(Millis now, const JobKey& key) override;
   bool accepts_jobs(const JobKey& key) override;
   const Route* route_named(const std::string& name) override;
   void change(Millis now, JobChange change) override;
   void stop(const JobKey& key) override { runner_->stop(key); }
 
   ShardPrimary* primary_of(const JobKey& key);
-  PrimaryTerm term_of(const JobKey& key) const;
+  PrimaryTenure tenure_of(const JobKey& key) const;
   bool is_placed_here(const ShardPlacement* row) const;
-  void lead(const ShardPlacement& row);
+  void become_primary(const ShardPlacement& row);
   void begin_tenure(std::uint32_t shard);
-  void demote(Millis now, std::uint32_t shard);
+  void step_down(Millis now, std::uint32_t shard);
   // Moves everything on that can move: commits, batches to the disk, messages to copies.
-  void drive(Millis now);
+  void advance(Millis now);
   bool take_committed(Millis now);
   void commit(Millis now, const std::vector<JobChange>& batch);
   void write_batches();
   void write_batch(std::uint32_t shard, Tenure& tenure, std::vector<JobChange> batch);
   void on_batch_written(Millis now, std::uint32_t shard, std::uint64_t tenure,
                         const std::vector<JobChange>& batch, const absl::Status& status, std::size_t queued);
-  void retry_refused();
+  void retry_failed_batches();
   void send_outgoing(Millis now);
-  void apply_first(Millis now, const std::vector<JobChange>& changes, std::size_t count);
+  void apply_prefix(Millis now, const std::vector<JobChange>& changes, std::size_t count);
   void add_result(Millis now, const JobKey& key, JobResult result);
   void expire_jobs(Millis now);
   std::vector<JobChange> uncommitted() const;
-  void reclaim();
+  void reclaim_segment();
 
   Messenger& messenger_;
   ControlFollower& follower_;
@@ -99,14 +99,14 @@
   StoreDisk disk_;
   BodyCheck body_check_;
   ChangeWriter writer_;
-  CopyReceiver copies_;
-  JobCalls calls_;
+  ReplicationReceiver replication_receiver_;
+  JobCallHandler call_handler_;
   std::unique_ptr<JobRunner> runner_;
   std::map<std::uint32_t, Tenure> tenures_;
-  std::uint64_t tenure_numbers_ = 0;
-  std::map<JobKey, std::uint32_t> positions_;  // results given out, with those on their way
-  Millis next_expiry_ = 0;
-  bool driving_ = false;
+  std::uint64_t last_tenure_number_ = 0;
+  std::map<JobKey, std::uint32_t> next_positions_;  // results given out, with those on their way
+  Millis next_expiry_check_ = 0;
+  bool advancing_ = false;
 };
 
 }  // namespace nettlestand::tier
--- a/src/control/journal.cpp
+++ b/src/control/journal.cpp
@@ -142,9 +142,9 @@
 }
 
 absl::Status ControlJournal::write_whole(const std::map<GroupId, consensus::StoredState>& groups) {
-  ring_->use_reserve(true);
+  ring_->allow_reserved_segments(true);
   absl::Status status = write_groups(groups);
-  ring_->use_reserve(false);
+  ring_->allow_reserved_segments(false);
   return status;
 }
 
--- a/src/node/node_core.cpp
+++ b/src/node/node_core.cpp
@@ -75,7 +75,7 @@
   if (!store_disk_) return;
   store_ = std::make_unique<StoreService>(messenger_, follower_, settings_, *std::move(store_disk_), runner);
   store_disk_.reset();
-  follower_.set_in_sync_source([this] { return store_->in_sync(); });
+  follower_.set_in_sync_source([this] { return store_->in_sync_reports(); });
 }
 
 NodeCore::~NodeCore() = default;
--- a/src/node/node_program.cpp
+++ b/src/node/node_program.cpp
@@ -9,7 +9,7 @@
 #include "batch/item_runner.h"
 #include "control/listing.h"
 #include "node/log.h"
-#include "storage/disk_thread.h"
+#include "storage/threaded_disk_queue.h"
 
 namespace nettlestand::tier {
 namespace {
@@ -62,7 +62,8 @@
   if (!journal.ok()) return journal.status();
   ControlDisk disk;
   disk.journal = *std::move(journal);
-  disk.queue = std::make_unique<storage::DiskThread>(io_, [raw = disk.journal.get()] { return raw->sync(); });
+  disk.queue =
+      std::make_unique<storage::ThreadedDiskQueue>(io_, [raw = disk.journal.get()] { return raw->sync(); });
   disks.control = std::move(disk);
   return absl::OkStatus();
 }
@@ -76,7 +77,8 @@
   auto journal = JobJournal::open(options, fresh_random() | 1, *disk.table, steady_now());
   if (!journal.ok()) return journal.status();
   disk.journal = *std::move(journal);
-  disk.queue = std::make_unique<storage::DiskThread>(io_, [raw = disk.journal.get()] { return raw->sync(); });
+  disk.queue =
+      std::make_unique<storage::ThreadedDiskQueue>(io_, [raw = disk.journal.get()] { return raw->sync(); });
   disks.store = std::move(disk);
   return absl::OkStatus();
 }
--- a/src/storage/posix_file_system.cpp
+++ b/src/storage/posix_file_system.cpp
@@ -10,7 +10,7 @@
 namespace nettlestand::tier::storage {
 namespace {
 
-absl::Status error_of(const char* what, int error) {
+absl::Status status_from_errno(const char* what, int error) {
   const std::string text = std::string(what) + ": " + std::strerror(error);
   if (error == ENOENT) return absl::NotFoundError(text);
   if (error == ENOSPC) return absl::ResourceExhaustedError(text);
@@ -31,7 +31,7 @@
       const ssize_t got =
           ::pread(descriptor_, out.data() + done, size - done, static_cast<off_t>(offset + done));
       if (got < 0 && errno == EINTR) continue;
-      if (got < 0) return error_of("read", errno);
+      if (got < 0) return status_from_errno("read", errno);
       if (got == 0) break;
       done += static_cast<std::size_t>(got);
     }
@@ -43,7 +43,7 @@
     while (!bytes.empty()) {
       const ssize_t written = ::pwrite(descriptor_, bytes.data(), bytes.size(), static_cast<off_t>(offset));
       if (written < 0 && errno == EINTR) continue;
-      if (written <= 0) return error_of("write", written == 0 ? ENOSPC : errno);
+      if (written <= 0) return status_from_errno("write", written == 0 ? ENOSPC : errno);
       bytes.remove_prefix(static_cast<std::size_t>(written));
       offset += static_cast<std::uint64_t>(written);
     }
@@ -51,16 +51,16 @@
   }
 
   absl::Status sync() override {
-    return ::fsync(descriptor_) == 0 ? absl::OkStatus() : error_of("sync", errno);
+    return ::fsync(descriptor_) == 0 ? absl::OkStatus() : status_from_errno("sync", errno);
   }
 
   absl::Status reserve(std::uint64_t size) override {
     const int error = ::posix_fallocate(descriptor_, 0, static_cast<off_t>(size));
     if (error == 0) return absl::OkStatus();
-    if (error == ENOSPC) return error_of("reserve", error);
+    if (error == ENOSPC) return status_from_errno("reserve", error);
     // Where room can't be taken ahead, a full disk fails a write later on, which is borne as well.
     const int result = ::ftruncate(descriptor_, static_cast<off_t>(size));
-    return result == 0 ? absl::OkStatus() : error_of("reserve", errno);
+    return result == 0 ? absl::OkStatus() : status_from_errno("reserve", errno);
   }
 
  private:
@@ -71,27 +71,27 @@
  public:
   absl::StatusOr<std::unique_ptr<File>> open(const std::string& path, bool create) override {
     const int descriptor = ::open(path.c_str(), O_RDWR | O_CLOEXEC | (create ? O_CREAT : 0), 0644);
-    if (descriptor < 0) return error_of("open", errno);
+    if (descriptor < 0) return status_from_errno("open", errno);
     return std::make_unique<PosixFile>(descriptor);
   }
 
   absl::Status make_directory(const std::string& path) override {
     const bool there = ::mkdir(path.c_str(), 0755) == 0 || errno == EEXIST;
-    return there ? absl::OkStatus() : error_of("make directory", errno);
+    return there ? absl::OkStatus() : status_from_errno("make directory", errno);
   }
 
   absl::Status remove(const std::string& path) override {
     const bool gone = ::unlink(path.c_str()) == 0 || errno == ENOENT;
-    return gone ? absl::OkStatus() : error_of("remove", errno);
+    return gone ? absl::OkStatus() : status_from_errno("remove", errno);
   }
 
   absl::Status sync_directory(const std::string& path) override {
     const int descriptor = ::open(path.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
-    if (descriptor < 0) return error_of("open directory", errno);
+    if (descriptor < 0) return status_from_errno("open directory", errno);
     const int result = ::fsync(descriptor);
     const int error = errno;
     ::close(descriptor);
-    return result == 0 ? absl::OkStatus() : error_of("sync directory", error);
+    return result == 0 ? absl::OkStatus() : status_from_errno("sync directory", error);
   }
 };
 
--- a/src/storage/segment_format.cpp
+++ b/src/storage/segment_format.cpp
@@ -15,7 +15,7 @@
                                                0x314753474E4C544EULL};  // "NTLNGSG1"
 constexpr std::uint32_t kRecordMagic = 0x43455232;
 constexpr std::uint32_t kSealMagic = 0x4C414553;
-constexpr std::size_t kReadChunk = 1U << 20;
+constexpr std::size_t kReadChunkBytes = 1U << 20;
 
 template <class T>
 void put(std::string& out, T value) {
@@ -55,9 +55,9 @@
 };
 
 // Reads a file through a window of bytes.
-class Reader {
+class SegmentReader {
  public:
-  Reader(File& file, std::uint64_t generation, std::uint64_t limit)
+  SegmentReader(File& file, std::uint64_t generation, std::uint64_t limit)
       : file_(file), generation_(generation), limit_(limit) {}
 
   // The record at an offset, or nothing where none stands there whole.
@@ -89,9 +89,9 @@
     if (!head.ok()) return head.status();
     if (head->size() < kRecordHeaderBytes) return false;
     const std::uint64_t claimed = offset + kRecordHeaderBytes + get<std::uint32_t>(*head, 4);
-    auto behind = proves(claimed, offset);
+    auto behind = proves_synced(claimed, offset);
     if (!behind.ok() || *behind) return behind;
-    const auto window = bytes_at(offset + 1, kReadChunk);
+    const auto window = bytes_at(offset + 1, kReadChunkBytes);
     if (!window.ok()) return window.status();
     const std::string nearby(*window);
     for (const std::uint32_t magic : {kRecordMagic, kSealMagic}) {
@@ -99,7 +99,7 @@
       put(pattern, magic);
       for (std::size_t at = nearby.find(pattern); at != std::string::npos;
            at = nearby.find(pattern, at + 1)) {
-        auto found = proves(offset + 1 + at, offset);
+        auto found = proves_synced(offset + 1 + at, offset);
         if (!found.ok() || *found) return found;
       }
     }
@@ -107,7 +107,7 @@
   }
 
  private:
-  absl::StatusOr<bool> proves(std::uint64_t at, std::uint64_t offset) {
+  absl::StatusOr<bool> proves_synced(std::uint64_t at, std::uint64_t offset) {
     const auto record = record_at(at);
     if (!record.ok()) return record.status();
     return record->has_value() && (*record)->synced > offset;
@@ -117,7 +117,7 @@
   absl::StatusOr<std::string_view> bytes_at(std::uint64_t offset, std::size_t size) {
     const bool held = offset >= start_ && offset + size <= start_ + window_.size();
     if (!held) {
-      auto bytes = file_.read(offset, std::max(kReadChunk, size));
+      auto bytes = file_.read(offset, std::max(kReadChunkBytes, size));
       if (!bytes.ok()) return bytes.status();
       window_ = *std::move(bytes);
       start_ = offset;
@@ -165,7 +165,7 @@
 
 absl::StatusOr<SegmentEnd> read_segment(File& file, std::uint64_t generation, std::uint64_t segment_bytes,
                                         const std::function<void(std::string_view)>& visit) {
-  Reader reader(file, generation, segment_bytes);
+  SegmentReader reader(file, generation, segment_bytes);
   SegmentEnd end;
   end.offset = kSegmentHeaderBytes;
   for (;;) {
--- a/src/storage/segment_ring.cpp
+++ b/src/storage/segment_ring.cpp
@@ -12,7 +12,7 @@
   return directory + "/segment-" + std::to_string(file);
 }
 
-absl::Status damaged(Generation generation) {
+absl::Status damaged_error(Generation generation) {
   return absl::DataLossError("segment of generation " + std::to_string(generation) + " is damaged");
 }
 
@@ -21,7 +21,7 @@
 SegmentRing::SegmentRing(RingOptions options)
     : options_(std::move(options)),
       file_exists_(options_.max_segments, false),
-      free_(options_.max_segments) {}
+      free_segments_(options_.max_segments) {}
 
 absl::StatusOr<std::unique_ptr<SegmentRing>> SegmentRing::open(RingOptions options, const Visitor& visit) {
   std::unique_ptr<SegmentRing> ring(new SegmentRing(std::move(options)));
@@ -40,7 +40,7 @@
 
 std::string SegmentRing::path_of(std::size_t file) const { return segment_path(options_.directory, file); }
 
-std::uint64_t SegmentRing::largest_record() const {
+std::uint64_t SegmentRing::max_record_bytes() const {
   return options_.segment_bytes - kSegmentHeaderBytes - 2 * kRecordHeaderBytes;  // its own, and the seal's
 }
 
@@ -53,11 +53,11 @@
   if (status.ok()) status = options_.files->sync_directory(options_.directory);
   if (!status.ok()) return status;
   if (status = check_headers(); !status.ok()) return status;
-  for (const auto& [generation, file] : used_) {
+  for (const auto& [generation, file] : segments_) {
     if (status = load_segment(generation, file, visit); !status.ok()) return status;
     current_ = generation;
   }
-  count_free();
+  update_free_segments();
   return absl::OkStatus();
 }
 
@@ -73,7 +73,7 @@
     if (!bytes.ok()) return bytes.status();
     const SegmentHeader header = parse_segment_header(*bytes);
     if (header.is_old_format) return absl::FailedPreconditionError("segments are of an older format");
-    if (header.generation != 0) used_[header.generation] = number;
+    if (header.generation != 0) segments_[header.generation] = number;
   }
   return absl::OkStatus();
 }
@@ -81,18 +81,18 @@
 // Segments are given back in order of age, so a gap between generations is a header that was lost. The header
 // of the newest one may be missing, where it was being written: then no record of its generation follows it.
 absl::Status SegmentRing::check_headers() {
-  if (used_.empty()) return absl::OkStatus();
-  const Generation newest = used_.rbegin()->first;
-  if (newest - used_.begin()->first + 1 != used_.size()) return damaged(newest);
+  if (segments_.empty()) return absl::OkStatus();
+  const Generation newest = segments_.rbegin()->first;
+  if (newest - segments_.begin()->first + 1 != segments_.size()) return damaged_error(newest);
   std::vector<bool> readable(options_.max_segments, false);
-  for (const auto& [generation, number] : used_) readable[number] = true;
+  for (const auto& [generation, number] : segments_) readable[number] = true;
   for (std::size_t number = 0; number < options_.max_segments; ++number) {
     if (readable[number] || !file_exists_[number]) continue;
     const auto file = options_.files->open(path_of(number), false);
     if (!file.ok()) return file.status();
     const auto end = read_segment(**file, newest + 1, options_.segment_bytes, [](std::string_view) {});
     if (!end.ok()) return end.status();
-    if (end->offset > kSegmentHeaderBytes) return damaged(newest + 1);
+    if (end->offset > kSegmentHeaderBytes) return damaged_error(newest + 1);
   }
   return absl::OkStatus();
 }
@@ -105,8 +105,8 @@
   if (!end.ok()) return end.status();
   if (end->sealed) return absl::OkStatus();
   // All but the newest segment were sealed before the next one was begun.
-  const bool newest = generation == used_.rbegin()->first;
-  if (end->damaged || !newest) return damaged(generation);
+  const bool newest = generation == segments_.rbegin()->first;
+  if (end->damaged || !newest) return damaged_error(generation);
   return seal(**file, generation, end->offset);
 }
 
@@ -123,7 +123,7 @@
     if (absl::Status status = seal(*file_, current_, offset_); !status.ok()) return status;
   }
   std::vector<bool> taken(options_.max_segments, false);
-  for (const auto& [generation, file] : used_) taken[file] = true;
+  for (const auto& [generation, file] : segments_) taken[file] = true;
   const auto free = std::find(taken.begin(), taken.end(), false);
   if (free == taken.end()) return absl::ResourceExhaustedError("no free segment");
   return start_segment(static_cast<std::size_t>(free - taken.begin()));
@@ -141,17 +141,17 @@
   file_exists_[number] = true;
   file_ = *std::move(file);
   current_ = generation;
-  used_[generation] = number;
+  segments_[generation] = number;
   offset_ = kSegmentHeaderBytes;
-  count_free();
+  update_free_segments();
   return absl::OkStatus();
 }
 
 absl::StatusOr<Generation> SegmentRing::append(std::string_view record) {
-  if (record.size() > largest_record()) return absl::InvalidArgumentError("record larger than a segment");
+  if (record.size() > max_record_bytes()) return absl::InvalidArgumentError("record larger than a segment");
   const std::size_t needed = 2 * kRecordHeaderBytes + record.size();  // with room for the seal
   if (offset_ + pending_.size() + needed > options_.segment_bytes) {
-    if (!uses_reserve_ && free_ <= options_.reserved_segments) {
+    if (!may_use_reserved_ && free_segments_ <= options_.reserved_segments) {
       return absl::ResourceExhaustedError("no free segment but the reserved ones");
     }
     if (absl::Status status = roll(); !status.ok()) return status;
@@ -170,21 +170,21 @@
 }
 
 absl::Status SegmentRing::release(Generation segment) {
-  const auto found = used_.find(segment);
-  if (found == used_.end() || segment == current_) return absl::OkStatus();
+  const auto found = segments_.find(segment);
+  if (found == segments_.end() || segment == current_) return absl::OkStatus();
   const auto file = options_.files->open(path_of(found->second), false);
   if (!file.ok()) return file.status();
   absl::Status status = (*file)->write(0, std::string(kSegmentHeaderBytes, '\0'));
   if (status.ok()) status = (*file)->sync();
   if (!status.ok()) return status;
-  used_.erase(found);
-  count_free();
+  segments_.erase(found);
+  update_free_segments();
   return absl::OkStatus();
 }
 
 void SegmentRing::release_before(Generation segment) {
-  while (!used_.empty() && used_.begin()->first < segment) {
-    if (!release(used_.begin()->first).ok()) return;
+  while (!segments_.empty() && segments_.begin()->first < segment) {
+    if (!release(segments_.begin()->first).ok()) return;
   }
 }
 
--- a/src/storage/segment_ring.h
+++ b/src/storage/segment_ring.h
@@ -51,7 +51,7 @@
   absl::StatusOr<Generation> append(std::string_view record);
   absl::Status sync();
   // Whether the reserved segments may be used: for what gives others back.
-  void use_reserve(bool used) { uses_reserve_ = used; }
+  void allow_reserved_segments(bool used) { may_use_reserved_ = used; }
   // Appends go to a fresh segment from now on.
   absl::Status roll();
   // Gives a segment's space back: none of its records is needed any more. Not the one that is written to.
@@ -60,11 +60,11 @@
 
   Generation current() const { return current_; }
   // Of the segments in use, which follow on each other without a gap.
-  Generation oldest() const { return used_.begin()->first; }
+  Generation oldest() const { return segments_.begin()->first; }
   // May be asked on any thread.
-  std::size_t free_segments() const { return free_; }
+  std::size_t free_segments() const { return free_segments_; }
   std::size_t max_segments() const { return options_.max_segments; }
-  std::uint64_t largest_record() const;
+  std::uint64_t max_record_bytes() const;
 
  private:
   explicit SegmentRing(RingOptions options);
@@ -75,17 +75,17 @@
   absl::Status seal(File& file, Generation generation, std::uint64_t offset);
   absl::Status start_segment(std::size_t number);
   std::string path_of(std::size_t file) const;
-  void count_free() { free_ = options_.max_segments - used_.size(); }
+  void update_free_segments() { free_segments_ = options_.max_segments - segments_.size(); }
 
   RingOptions options_;
-  std::map<Generation, std::size_t> used_;  // generation to number of the file
+  std::map<Generation, std::size_t> segments_;  // generation to number of the file
   std::vector<bool> file_exists_;
-  std::atomic<std::size_t> free_;
+  std::atomic<std::size_t> free_segments_;
   Generation current_ = 0;
   std::unique_ptr<File> file_;
   std::uint64_t offset_ = 0;  // behind what has been written and synced
   std::string pending_;
-  bool uses_reserve_ = false;
+  bool may_use_reserved_ = false;
 };
 
 }  // namespace nettlestand::tier::storage
--- a/src/storage/disk_thread.cpp
+++ b/src/storage/threaded_disk_queue.cpp
@@ -1,37 +1,37 @@
-#include "storage/disk_thread.h"
+#include "storage/threaded_disk_queue.h"
 
 #include <boost/asio/post.hpp>
 #include <utility>
 
 namespace nettlestand::tier::storage {
 
-DiskThread::DiskThread(boost::asio::io_context& io, std::function<absl::Status()> sync)
+ThreadedDiskQueue::ThreadedDiskQueue(boost::asio::io_context& io, std::function<absl::Status()> sync)
     : io_(io), sync_(std::move(sync)), thread_([this] { run(); }) {}
 
-DiskThread::~DiskThread() {
+ThreadedDiskQueue::~ThreadedDiskQueue() {
   *alive_ = false;
   {
     const std::lock_guard lock(mutex_);
     stopping_ = true;
   }
-  wake_.notify_one();
+  work_available_.notify_one();
   thread_.join();
 }
 
-void DiskThread::submit(Write write, Done done) {
+void ThreadedDiskQueue::submit(Write write, Done done) {
   {
     const std::lock_guard lock(mutex_);
     requests_.push_back({std::move(write), std::move(done)});
   }
-  wake_.notify_one();
+  work_available_.notify_one();
 }
 
-void DiskThread::run() {
+void ThreadedDiskQueue::run() {
   for (;;) {
     std::deque<Request> requests;
     {
       std::unique_lock lock(mutex_);
-      wake_.wait(lock, [this] { return stopping_ || !requests_.empty(); });
+      work_available_.wait(lock, [this] { return stopping_ || !requests_.empty(); });
       if (stopping_) return;
       requests.swap(requests_);
     }
@@ -39,7 +39,7 @@
   }
 }
 
-std::vector<DiskThread::Outcome> DiskThread::perform(std::deque<Request> requests) {
+std::vector<ThreadedDiskQueue::Outcome> ThreadedDiskQueue::perform(std::deque<Request> requests) {
   std::vector<Outcome> outcomes;
   outcomes.reserve(requests.size());
   for (Request& request : requests) outcomes.push_back({std::move(request.done), request.write()});
@@ -50,7 +50,7 @@
   return outcomes;
 }
 
-void DiskThread::report(std::vector<Outcome> outcomes) {
+void ThreadedDiskQueue::report(std::vector<Outcome> outcomes) {
   boost::asio::post(io_, [alive = alive_, outcomes = std::move(outcomes)] {
     for (const Outcome& outcome : outcomes) {
       if (!*alive) return;
--- a/src/storage/disk_thread.h
+++ b/src/storage/threaded_disk_queue.h
@@ -13,14 +13,14 @@
 
 namespace nettlestand::tier::storage {
 
-class DiskThread : public DiskQueue {
+class ThreadedDiskQueue : public DiskQueue {
  public:
   // `sync` makes durable what earlier writes have queued; it runs on the thread, as the writes do.
-  DiskThread(boost::asio::io_context& io, std::function<absl::Status()> sync);
+  ThreadedDiskQueue(boost::asio::io_context& io, std::function<absl::Status()> sync);
   // Waits for the write that is under way; those behind it are dropped.
-  ~DiskThread() override;
-  DiskThread(const DiskThread&) = delete;
-  DiskThread& operator=(const DiskThread&) = delete;
+  ~ThreadedDiskQueue() override;
+  ThreadedDiskQueue(const ThreadedDiskQueue&) = delete;
+  ThreadedDiskQueue& operator=(const ThreadedDiskQueue&) = delete;
 
   void submit(Write write, Done done) override;
 
@@ -40,7 +40,7 @@
   boost::asio::io_context& io_;
   std::function<absl::Status()> sync_;
   std::mutex mutex_;
-  std::condition_variable wake_;
+  std::condition_variable work_available_;
   std::deque<Request> requests_;
   bool stopping_ = false;
   // Outcomes that are posted and not yet reported are dropped with the queue.
--- a/tests/system/batch_test.cpp
+++ b/tests/system/batch_test.cpp
@@ -10,7 +10,7 @@
 #include "batch/job_table.h"
 #include "batch/shard_primary.h"
 #include "control/placement.h"
-#include "temp_folder.h"
+#include "temp_directory.h"
 
 using namespace nettlestand::tier;
 
@@ -84,17 +84,17 @@
   other.apply(5, result_of("j", 0, 1, "never acknowledged"));
   other.apply(5, result_of("j", 1, 0, "never acknowledged"));
   CHECK(encode(other.digest(kKey)) != encode(table.digest(kKey)));
-  other.apply(6, *decode<JobChange>(encode(table.copy_of(kKey))));
+  other.apply(6, *decode<JobChange>(encode(table.snapshot_of(kKey))));
   CHECK(encode(other.digest(kKey)) == encode(table.digest(kKey)));
   CHECK(other.find(kKey)->results[0].text == "right");
   CHECK(other.find(kKey)->spec.items[1].body == "body of j-1");
-  table.apply(7, table.copy_of({"t", "unknown"}));
-  other.apply(7, other.copy_of({"t", "unknown"}));
+  table.apply(7, table.snapshot_of({"t", "unknown"}));
+  other.apply(7, other.snapshot_of({"t", "unknown"}));
   CHECK(table.jobs().size() == 1);
 }
 
 TEST_CASE("the journal brings jobs back after each start, and gives their space back when they are gone") {
-  TempFolder folder;
+  TempDirectory folder;
   const std::string body(200000, 'b');
   int next = 0;
   StoreId identity = 0;
@@ -138,7 +138,7 @@
 }
 
 TEST_CASE("space that is given back takes nothing along that is on disk and not in the table") {
-  TempFolder folder;
+  TempDirectory folder;
   JobJournal::Options options;
   options.directory = folder.path();
   options.disk_mb = 84;
@@ -181,15 +181,15 @@
 // killed, frozen and wiped.
 class World {
  public:
-  explicit World(std::uint64_t seed, bool forgets_copies = false)
-      : random_(seed), planner_(1, 0), forgets_copies_(forgets_copies) {
+  explicit World(std::uint64_t seed, bool acknowledges_unwritten = false)
+      : random_(seed), planner_(1, 0), acknowledges_unwritten_(acknowledges_unwritten) {
     for (std::size_t i = 0; i < kStores; ++i) stores_[i].id = next_id_++;
   }
 
   std::string play() {
-    for (; now_ < 30000 && broken_.empty(); now_ += 10) step(true);
-    for (; now_ < 42000 && broken_.empty(); now_ += 10) step(false);
-    if (!broken_.empty()) return broken_;
+    for (; now_ < 30000 && violation_.empty(); now_ += 10) step(true);
+    for (; now_ < 42000 && violation_.empty(); now_ += 10) step(false);
+    if (!violation_.empty()) return violation_;
     return check_end();
   }
   std::size_t acknowledged() const { return acknowledged_.size(); }
@@ -202,7 +202,7 @@
 
  private:
   static constexpr std::size_t kStores = 3;
-  static constexpr Millis kMasterMs = 50, kReadMs = 50;
+  static constexpr Millis kPlannerIntervalMs = 50, kReadMs = 50;
   struct Store {
     StoreId id = 0;
     std::vector<JobChange> disk;
@@ -213,7 +213,7 @@
     Millis back_at = 0, frozen_until = 0, poll_at = 0, lease_until = -1;
     std::map<std::string, std::uint32_t> positions;
   };
-  struct Flight {
+  struct InFlight {
     Millis at = 0;
     std::size_t to = 0;
     std::vector<Replicate> message;
@@ -232,20 +232,20 @@
   bool runs(const Store& s) const { return s.up && now_ >= s.frozen_until; }
 
   void step(bool faults) {
-    if (faults) strike();
-    if (now_ % kMasterMs == 0) master();
+    if (faults) inject_fault();
+    if (now_ % kPlannerIntervalMs == 0) run_planner();
     for (std::size_t i = 0; i < kStores; ++i) {
       Store& s = stores_[i];
       if (!s.up && now_ >= s.back_at) restart(s);
       if (!runs(s)) continue;
       poll(s, i);
-      drive(s, i);
+      advance(s, i);
     }
     deliver();
     client();
   }
 
-  void strike() {
+  void inject_fault() {
     Store& s = stores_[random_() % kStores];
     if (chance(0.001)) {
       stop(s, 200 + static_cast<Millis>(random_() % 2500));
@@ -253,14 +253,14 @@
       for (Store& each : stores_) stop(each, 300);
     } else if (chance(0.001)) {
       s.frozen_until = now_ + static_cast<Millis>(random_() % 3000);
-    } else if (chance(0.0012) && all_is_well()) {
+    } else if (chance(0.0012) && all_members_healthy()) {
       s.disk.clear();
       s.id = next_id_++;
       stop(s, 500);
     }
   }
   // One disk may be lost while every copy is in line.
-  bool all_is_well() const {
+  bool all_members_healthy() const {
     if (row().members.size() < 2 || !row().joining.empty()) return false;
     for (const StoreId id : row().members) {
       bool live = false;
@@ -284,7 +284,7 @@
     s.lease_until = -1;
   }
 
-  void master() {
+  void run_planner() {
     if (const auto change = planner_.plan(now_, table_)) {
       ControlState state;
       state.set_placement(table_);
@@ -302,7 +302,7 @@
     poll.node.name = "store-" + std::to_string(i);
     poll.node.address = "10.0.0.1:" + std::to_string(i);
     poll.node.zone = std::string(1, static_cast<char>('a' + i));
-    if (s.primary) poll.in_sync = s.primary->in_sync();
+    if (s.primary) poll.in_sync = s.primary->in_sync_reports();
     planner_.on_poll(now_, poll);
     s.lease_until = now_ + kPrimaryLeaseMs;
     if (s.placement.sequence == table_.sequence) return;
@@ -313,7 +313,7 @@
     const ShardPlacement& r = row();
     if (r.members.empty() || r.members.front() != s.id) {
       if (s.primary) {
-        for (const JobChange& change : s.primary->take_written()) s.table.apply(now_, change);
+        for (const JobChange& change : s.primary->take_durable_uncommitted()) s.table.apply(now_, change);
       }
       s.primary.reset();
       s.positions.clear();
@@ -323,18 +323,18 @@
     s.primary->set_placement(r);
   }
 
-  void drive(Store& s, std::size_t) {
+  void advance(Store& s, std::size_t) {
     if (!s.primary) return;
     for (const JobChange& change : s.primary->next_batch()) s.disk.push_back(change);
-    s.primary->local_durable();
+    s.primary->on_batch_durable();
     for (Replicate& message : s.primary->outgoing(now_)) {
       for (std::size_t to = 0; to < kStores; ++to) {
         if (stores_[to].id != message.to || chance(0.1)) continue;
-        Flight flight;
+        InFlight flight;
         flight.at = now_ + 5 + static_cast<Millis>(random_() % 40);
         flight.to = to;
         flight.message.push_back(message);
-        flights_.push_back(std::move(flight));
+        in_flight_.push_back(std::move(flight));
       }
     }
     for (const JobChange& change : s.primary->take_committed()) {
@@ -344,13 +344,13 @@
   }
 
   void deliver() {
-    std::vector<Flight> due;
-    std::erase_if(flights_, [&](Flight& f) {
+    std::vector<InFlight> due;
+    std::erase_if(in_flight_, [&](InFlight& f) {
       if (f.at > now_ || now_ < stores_[f.to].frozen_until) return false;
       due.push_back(std::move(f));
       return true;
     });
-    for (Flight& f : due) {
+    for (InFlight& f : due) {
       Store& s = stores_[f.to];
       if (!s.up) continue;
       for (const Replicate& message : f.message) replicate(s, message);
@@ -367,7 +367,7 @@
     }
     if (known == nullptr || known->epoch != message.epoch) return;
     for (const JobChange& change : message.changes) {
-      if (!forgets_copies_) s.disk.push_back(change);
+      if (!acknowledges_unwritten_) s.disk.push_back(change);
       s.table.apply(now_, change);
     }
     ReplicateReply reply{};
@@ -378,15 +378,16 @@
     reply.accepted = true;
     reply.has_digest = message.digest_wanted;
     if (message.digest_wanted) {
-      for (const JobKey& key : s.table.keys_of(message.shard)) reply.digest.push_back(s.table.digest(key));
+      for (const JobKey& key : s.table.keys_in_shard(message.shard))
+        reply.digest.push_back(s.table.digest(key));
     }
     for (std::size_t to = 0; to < kStores; ++to) {
       if (known->members.empty() || stores_[to].id != known->members.front() || chance(0.1)) continue;
-      Flight flight;
+      InFlight flight;
       flight.at = now_ + 5 + static_cast<Millis>(random_() % 40);
       flight.to = to;
       flight.reply.push_back(reply);
-      flights_.push_back(std::move(flight));
+      in_flight_.push_back(std::move(flight));
     }
   }
 
@@ -400,31 +401,31 @@
       for (const std::string& job : acknowledged_) {
         const Job* held = s.table.find({"t", job});
         if (held == nullptr) {
-          broken_ = "an acknowledged job is not there";
+          violation_ = "an acknowledged job is not there";
           return;
         }
         std::vector<std::string>& seen = read_[job];
         for (std::size_t i = 0; i < seen.size(); ++i) {
           if (i >= held->results.size())
-            broken_ = "a result that was read is gone";
+            violation_ = "a result that was read is gone";
           else if (held->results[i].text != seen[i])
-            broken_ = "a position holds another result";
+            violation_ = "a position holds another result";
         }
         for (std::size_t i = seen.size(); i < held->results.size(); ++i)
           seen.push_back(held->results[i].text);
       }
-      if (s.primary->busy() || !s.primary->has_enough_copies()) continue;
+      if (s.primary->busy() || !s.primary->has_enough_replicas()) continue;
       if (chance(0.25)) s.primary->add(new_job("job-" + std::to_string(jobs_++), 4));
       for (const auto& [key, job] : s.table.jobs()) {
         if (job.complete() || !chance(0.5)) continue;
         const auto at = static_cast<std::uint32_t>(job.results.size());
         std::uint32_t item = 0;
-        while (job.listed[item]) ++item;
+        while (job.has_result[item]) ++item;
         s.primary->add(result_of(key.id, at, item, "run " + std::to_string(runs_++)));
         break;
       }
     }
-    if (certain > 1) broken_ = "two stores answer for one shard";
+    if (certain > 1) violation_ = "two stores answer for one shard";
   }
 
   std::string check_end() const {
@@ -437,16 +438,16 @@
 
   std::mt19937_64 random_;
   PlacementPlanner planner_;
-  bool forgets_copies_;
+  bool acknowledges_unwritten_;
   PlacementTable table_{};
   Store stores_[kStores];
-  std::vector<Flight> flights_;
+  std::vector<InFlight> in_flight_;
   Millis now_ = 0;
   StoreId next_id_ = 1;
   int jobs_ = 0, runs_ = 0;
   std::set<std::string> acknowledged_;
   std::map<std::string, std::vector<std::string>> read_;
-  std::string broken_;
+  std::string violation_;
 };
 
 }  // namespace
@@ -485,7 +486,7 @@
 }
 
 // Lets a planner work until it has nothing to do, with some stores alive.
-class Master {
+class PlannerHarness {
  public:
   void settle(const std::vector<StoreId>& alive, Millis for_ms) {
     for (const Millis until = now + for_ms; now < until; now += 100) {
@@ -521,36 +522,36 @@
 }  // namespace
 
 TEST_CASE("shards are spread over the stores, and a dead store's are taken over by all others") {
-  Master master;
-  master.settle({1, 2, 3, 4}, 4000);
-  REQUIRE(master.state.placement().shards.size() == kBatchShards);
-  for (const auto& [id, load] : master.loads()) CHECK(load == kBatchShards * 2 / 4);
-  master.settle({1, 2, 3}, 5000);
-  const auto loads = master.loads();
+  PlannerHarness harness;
+  harness.settle({1, 2, 3, 4}, 4000);
+  REQUIRE(harness.state.placement().shards.size() == kBatchShards);
+  for (const auto& [id, load] : harness.loads()) CHECK(load == kBatchShards * 2 / 4);
+  harness.settle({1, 2, 3}, 5000);
+  const auto loads = harness.loads();
   CHECK(loads.size() == 3);
   for (const auto& [id, load] : loads) CHECK(load >= 12);
-  for (const ShardPlacement& row : master.state.placement().shards) {
+  for (const ShardPlacement& row : harness.state.placement().shards) {
     CHECK(row.members.size() == 2);
     CHECK(row.members[0] != row.members[1]);
   }
 }
 
 TEST_CASE("a machine is emptied before it is told to be, and refused where too few would be left") {
-  Master master;
-  master.settle({1, 2, 3}, 4000);
+  PlannerHarness harness;
+  harness.settle({1, 2, 3}, 4000);
   bool refused = false;
-  CHECK_FALSE(master.planner.retire(master.now, master.state.placement(), "unknown", refused));
+  CHECK_FALSE(harness.planner.retire(harness.now, harness.state.placement(), "unknown", refused));
   CHECK_FALSE(refused);
-  const auto change = master.planner.retire(master.now, master.state.placement(), "store-2", refused);
+  const auto change = harness.planner.retire(harness.now, harness.state.placement(), "store-2", refused);
   REQUIRE(change);
-  master.state.apply(*change);
-  CHECK_FALSE(master.state.placement().store(2)->retired);
-  CHECK_FALSE(PlacementPlanner::is_empty(master.state.placement(), "store-2"));
-  master.settle({1, 2, 3}, 3000);
-  CHECK(master.state.placement().store(2)->retired);
-  CHECK(PlacementPlanner::is_empty(master.state.placement(), "store-2"));
-  CHECK(master.loads().count(2) == 0);
-  CHECK_FALSE(master.planner.retire(master.now, master.state.placement(), "store-1", refused));
+  harness.state.apply(*change);
+  CHECK_FALSE(harness.state.placement().store(2)->retired);
+  CHECK_FALSE(PlacementPlanner::is_empty(harness.state.placement(), "store-2"));
+  harness.settle({1, 2, 3}, 3000);
+  CHECK(harness.state.placement().store(2)->retired);
+  CHECK(PlacementPlanner::is_empty(harness.state.placement(), "store-2"));
+  CHECK(harness.loads().count(2) == 0);
+  CHECK_FALSE(harness.planner.retire(harness.now, harness.state.placement(), "store-1", refused));
   CHECK(refused);
 }
 
@@ -579,17 +580,17 @@
 }
 
 TEST_CASE("with no member alive nobody takes over") {
-  Master master;
-  master.settle({1, 2, 3}, 4000);
-  const std::string before = encode(master.state.placement().shards.front());
-  std::set<StoreId> members(master.state.placement().shards.front().members.begin(),
-                            master.state.placement().shards.front().members.end());
+  PlannerHarness harness;
+  harness.settle({1, 2, 3}, 4000);
+  const std::string before = encode(harness.state.placement().shards.front());
+  std::set<StoreId> members(harness.state.placement().shards.front().members.begin(),
+                            harness.state.placement().shards.front().members.end());
   std::vector<StoreId> others;
   for (const StoreId id : {1, 2, 3}) {
     if (!members.contains(id)) others.push_back(id);
   }
-  master.settle(others, 5000);
-  CHECK(encode(master.state.placement().shards.front()) == before);
+  harness.settle(others, 5000);
+  CHECK(encode(harness.state.placement().shards.front()) == before);
 }
 
 namespace {
@@ -697,7 +698,7 @@
   REQUIRE(primary.next_batch().size() == 1);
   const std::vector<Replicate> sent = primary.outgoing(10);
   REQUIRE(sent.size() == 2);
-  primary.local_durable();
+  primary.on_batch_durable();
   reply_from(kMember, sent.front().number);  // the joining one has not answered yet
 
   // Whatever the host asks for before it has applied the commit, and after that.
@@ -715,7 +716,7 @@
   REQUIRE(committed.size() == 1);
   table.apply(20, committed.front());
   CHECK_FALSE(told_to_forget(30));
-  CHECK(primary.in_sync().empty());
+  CHECK(primary.in_sync_reports().empty());
 }
 
 TEST_CASE("nothing is acknowledged or read anew while the recorded members are too few") {
@@ -738,10 +739,10 @@
   digest.from = 3;
   digest.accepted = digest.has_digest = true;
   primary.on_reply(digest);
-  CHECK(primary.in_sync().empty());  // it was not asked yet
+  CHECK(primary.in_sync_reports().empty());  // it was not asked yet
   digest.number = primary.outgoing(0).front().number;
   primary.on_reply(digest);
-  CHECK(primary.in_sync().size() == 1);
+  CHECK(primary.in_sync_reports().size() == 1);
   CHECK(primary.next_batch().empty());
   row.epoch = 6;
   row.members = {1, 3};
--- a/tests/system/item_test.cpp
+++ b/tests/system/item_test.cpp
@@ -11,16 +11,16 @@
 #include "batch/store_service.h"
 #include "recording_messenger.h"
 #include "scripted_server.h"
-#include "temp_folder.h"
+#include "temp_directory.h"
 
 using namespace nettlestand::tier;
 namespace asio = boost::asio;
 
 namespace {
 
-constexpr StoreId kCopyDisk = 8, kStrangerDisk = 7;
-const std::string kLeader = "10.0.0.1:7000", kEdge = "10.0.0.2:7000", kCopy = "10.0.0.8:7000",
-                  kStranger = "10.0.0.7:7000";
+constexpr StoreId kReplicaDisk = 8, kOtherStoreDisk = 7;
+const std::string kLeader = "10.0.0.1:7000", kEdge = "10.0.0.2:7000", kReplica = "10.0.0.8:7000",
+                  kOtherStore = "10.0.0.7:7000";
 const std::string kTenant = "t", kBody = "the body of an item";
 
 const std::string kConfiguration =
@@ -30,7 +30,7 @@
     "\"max_wait_s\":600}]}";
 
 // A request as a server has got it.
-struct Arrived {
+struct ReceivedRequest {
   std::string id, head, body;
 };
 
@@ -40,9 +40,9 @@
   ItemServer() : server_([this](int fd, int, const std::string& request) { return serve(fd, request); }) {}
   void set_full(bool full) { full_ = full; }
   std::string address() const { return server_.address(); }
-  std::vector<Arrived> arrived() const {
+  std::vector<ReceivedRequest> received() const {
     const std::lock_guard lock(mutex_);
-    return arrived_;
+    return received_;
   }
 
  private:
@@ -51,7 +51,7 @@
     const std::string id = id_of(request);
     {
       const std::lock_guard lock(mutex_);
-      arrived_.push_back({id, request.substr(0, head), request.substr(head)});
+      received_.push_back({id, request.substr(0, head), request.substr(head)});
     }
     const std::string named = "X-Request-Id: " + id + "\r\n";
     if (full_) {
@@ -65,7 +65,7 @@
   }
 
   mutable std::mutex mutex_;
-  std::vector<Arrived> arrived_;
+  std::vector<ReceivedRequest> received_;
   std::atomic<bool> full_{false};
   ScriptedServer server_;
 };
@@ -105,7 +105,7 @@
           return std::make_unique<ItemRunner>(io_, forwarder_, follower_, table, std::move(hooks));
         });
     take_configuration();
-    place({service_->disk_id(), kCopyDisk});
+    place({service_->disk_id(), kReplicaDisk});
   }
 
   StoreService& service() { return *service_; }
@@ -113,8 +113,8 @@
   // Tells the store where the shard is kept, with a lease from now on.
   void place(const std::vector<StoreId>& members) {
     table_.sequence += 1;
-    table_.stores = {record(service_->disk_id(), "10.0.0.9:7000"), record(kCopyDisk, kCopy),
-                     record(kStrangerDisk, kStranger)};
+    table_.stores = {record(service_->disk_id(), "10.0.0.9:7000"), record(kReplicaDisk, kReplica),
+                     record(kOtherStoreDisk, kOtherStore)};
     ShardPlacement row{};
     row.shard = batch_shard_of(kTenant);
     row.epoch = table_.sequence;
@@ -131,7 +131,7 @@
     JobCall call = call_on(JobCallKind::kSubmit, spec.id);
     call.spec.push_back(spec);
     send(call);
-    answer_as_copy();
+    answer_as_replica();
     REQUIRE(reply_to(call.call).status == 202);
   }
   // Submits a job; the status of the answer.
@@ -144,7 +144,7 @@
     return replies.front().second.status;
   }
   // Asks for a job's end; its outcome is left open.
-  void ask_end(const std::string& job) { send(call_on(JobCallKind::kEnd, job)); }
+  void request_end(const std::string& job) { send(call_on(JobCallKind::kEnd, job)); }
   std::string read(const std::string& job) {
     const JobCall call = call_on(JobCallKind::kRead, job);
     send(call);
@@ -152,7 +152,7 @@
   }
 
   // As the copy: answers what was sent to it, until nothing more is. `later` is added to the store's clock.
-  void answer_as_copy(Millis later = 0) {
+  void answer_as_replica(Millis later = 0) {
     for (;;) {
       const auto sent = messenger_.take<Replicate>(MessageType::kReplicate);
       if (sent.empty()) return;
@@ -161,7 +161,7 @@
         reply.shard = message.shard;
         reply.epoch = message.epoch;
         reply.number = message.number;
-        reply.from = kCopyDisk;
+        reply.from = kReplicaDisk;
         reply.accepted = true;
         reply.has_digest = message.digest_wanted;
         if (reply.has_digest) reply.digest = digests_;
@@ -170,19 +170,19 @@
     }
   }
   // As the one message of the copy that answers what was sent first.
-  void answer_first_as_copy(Millis later) {
+  void answer_first_as_replica(Millis later) {
     const auto sent = messenger_.take<Replicate>(MessageType::kReplicate);
     REQUIRE_FALSE(sent.empty());
     ReplicateReply reply{};
     reply.shard = sent.front().second.shard;
     reply.epoch = sent.front().second.epoch;
     reply.number = sent.front().second.number;
-    reply.from = kCopyDisk;
+    reply.from = kReplicaDisk;
     reply.accepted = true;
     service_->on_replicate_reply(steady_now() + later, reply);
   }
   // What the copy tells that it holds, once it is asked anew.
-  void set_copy_holds(const std::vector<JobDigest>& digests) { digests_ = digests; }
+  void set_replica_digests(const std::vector<JobDigest>& digests) { digests_ = digests; }
   // A change that another primary sends to this store.
   void replicate_from(const std::string& primary, const JobChange& change, MessageNumber number = {1, 1, 1},
                       std::uint64_t earlier_epochs = 0) {
@@ -211,7 +211,7 @@
     REQUIRE(io_.stopped());
   }
   // Whether something was sent that the copy has not answered.
-  bool waits_for_copy() const {
+  bool awaits_replica() const {
     return std::any_of(messenger_.sent.begin(), messenger_.sent.end(),
                        [](const RecordingMessenger::Sent& each) {
                          return each.message.front() == static_cast<char>(MessageType::kReplicate);
@@ -291,7 +291,7 @@
     return JobReply{};
   }
 
-  TempFolder folder_;
+  TempDirectory folder_;
   asio::io_context io_;
   RecordingMessenger messenger_;
   PartialView view_;
@@ -306,30 +306,30 @@
   std::uint64_t calls_ = 0;
 };
 
-constexpr Millis kPastRetryMs = 200;  // by then an item that was turned away may be offered again
+constexpr Millis kAfterRetryDelayMs = 200;  // by then an item that was turned away may be offered again
 
 }  // namespace
 
 TEST_CASE("a listed item is not sent again while the end of its job is on its way") {
   ItemServer server;
   Store store(server);
-  store.answer_as_copy();
+  store.answer_as_replica();
   store.submit(job_of("j", 2));
   store.settle();
-  REQUIRE(server.arrived().size() == 2);
+  REQUIRE(server.received().size() == 2);
   // The first result is written here, the second waits behind it; the copy is silent, and the client ends the
   // job.
-  REQUIRE(store.waits_for_copy());
-  store.ask_end("j");
+  REQUIRE(store.awaits_replica());
+  store.request_end("j");
   server.set_full(true);
   store.tick();
   store.settle();
   // The copy answers for the first result alone: its item is listed, and the job not ended yet.
-  store.answer_first_as_copy(kPastRetryMs);
+  store.answer_first_as_replica(kAfterRetryDelayMs);
   store.settle();
-  store.answer_as_copy();
+  store.answer_as_replica();
   CHECK(store.read("j").find("done") != std::string::npos);
-  for (const Arrived& each : server.arrived()) CHECK(each.body == kBody);
+  for (const ReceivedRequest& each : server.received()) CHECK(each.body == kBody);
 }
 
 TEST_CASE(
@@ -337,41 +337,41 @@
     "it") {
   ItemServer server;
   Store store(server);
-  store.answer_as_copy();
+  store.answer_as_replica();
   store.submit(job_of("j", 2));  // its items are started, and no send has begun
-  store.place({kStrangerDisk, store.service().disk_id()});
+  store.place({kOtherStoreDisk, store.service().disk_id()});
   store.settle();
-  REQUIRE(server.arrived().empty());
-  JobChange listed{};
-  listed.tenant = kTenant;
-  listed.job = "j";
+  REQUIRE(server.received().empty());
+  JobChange result_change{};
+  result_change.tenant = kTenant;
+  result_change.job = "j";
   JobResult result{};
   result.text = "elsewhere";
-  listed.results.push_back(result);
-  store.replicate_from(kStranger, listed);
+  result_change.results.push_back(result);
+  store.replicate_from(kOtherStore, result_change);
   JobTable elsewhere;
   JobChange taken{};
   taken.tenant = kTenant;
   taken.job = "j";
   taken.spec.push_back(job_of("j", 2));
   elsewhere.apply(1, taken);
-  elsewhere.apply(1, listed);
-  store.set_copy_holds({elsewhere.digest({kTenant, "j"})});
-  store.place({store.service().disk_id(), kCopyDisk});
-  store.answer_as_copy();
-  store.tick(kPastRetryMs);
+  elsewhere.apply(1, result_change);
+  store.set_replica_digests({elsewhere.digest({kTenant, "j"})});
+  store.place({store.service().disk_id(), kReplicaDisk});
+  store.answer_as_replica();
+  store.tick(kAfterRetryDelayMs);
   store.settle();
-  store.answer_as_copy();
+  store.answer_as_replica();
   CHECK(store.read("j").find("elsewhere") != std::string::npos);
-  REQUIRE(server.arrived().size() == 1);
-  CHECK(server.arrived().front().id == "j-1");
-  CHECK(server.arrived().front().body == kBody);
+  REQUIRE(server.received().size() == 1);
+  CHECK(server.received().front().id == "j-1");
+  CHECK(server.received().front().body == kBody);
 }
 
 TEST_CASE("headers of an item neither frame nor name its request") {
   ItemServer server;
   Store store(server);
-  store.answer_as_copy();
+  store.answer_as_replica();
   JobSpec spec = job_of("j", 1);
   JobItem& item = spec.items.front();
   item.header_names = {"Content-Length", "transfer-encoding", "X-Request-Id", "X-Tenant", "Connection",
@@ -380,57 +380,57 @@
   set_digest(item);
   store.submit(spec);
   store.settle();
-  REQUIRE(server.arrived().size() == 1);
-  const Arrived arrived = server.arrived().front();
-  CHECK(arrived.id == "j-0");
-  CHECK(arrived.body == kBody);
-  CHECK(arrived.head.find("X-Tenant: t\r\n") != std::string::npos);
-  CHECK(arrived.head.find("X-Model: m\r\n") != std::string::npos);
+  REQUIRE(server.received().size() == 1);
+  const ReceivedRequest received = server.received().front();
+  CHECK(received.id == "j-0");
+  CHECK(received.body == kBody);
+  CHECK(received.head.find("X-Tenant: t\r\n") != std::string::npos);
+  CHECK(received.head.find("X-Model: m\r\n") != std::string::npos);
   for (const char* absent : {"chunked", "another", "X-Hop", "X-Api-Key", "close"}) {
     INFO(absent);
-    CHECK(arrived.head.find(absent) == std::string::npos);
+    CHECK(received.head.find(absent) == std::string::npos);
   }
 }
 
 TEST_CASE("an item whose body has changed is never sent, and the others of its job are") {
   ItemServer server;
   Store store(server);
-  store.answer_as_copy();
+  store.answer_as_replica();
   store.submit(job_of("j", 2));  // started, and not sent yet
-  store.place({kStrangerDisk, store.service().disk_id()});
+  store.place({kOtherStoreDisk, store.service().disk_id()});
   store.settle();
   store.damage_body("j", 0);
-  store.place({store.service().disk_id(), kCopyDisk});
-  store.answer_as_copy();
-  store.tick(kPastRetryMs);
+  store.place({store.service().disk_id(), kReplicaDisk});
+  store.answer_as_replica();
+  store.tick(kAfterRetryDelayMs);
   store.settle();
-  REQUIRE(server.arrived().size() == 1);
-  CHECK(server.arrived().front().id == "j-1");
+  REQUIRE(server.received().size() == 1);
+  CHECK(server.received().front().id == "j-1");
 }
 
 TEST_CASE("a copy passes over messages that come behind newer ones, of its primary and of earlier epochs") {
   ItemServer server;
   Store store(server);
-  store.place({kStrangerDisk, store.service().disk_id()});
-  JobChange copy{};
-  copy.tenant = kTenant;
-  copy.job = "j";
-  copy.spec.push_back(job_of("j", 2));
-  copy.reset = true;
-  JobChange listed{};
-  listed.tenant = kTenant;
-  listed.job = "j";
-  listed.results.emplace_back();
+  store.place({kOtherStoreDisk, store.service().disk_id()});
+  JobChange snapshot{};
+  snapshot.tenant = kTenant;
+  snapshot.job = "j";
+  snapshot.spec.push_back(job_of("j", 2));
+  snapshot.reset = true;
+  JobChange result_change{};
+  result_change.tenant = kTenant;
+  result_change.job = "j";
+  result_change.results.emplace_back();
   const auto results = [&store] { return store.jobs().find({kTenant, "j"})->results.size(); };
-  store.replicate_from(kStranger, copy, {1, 1, 3});
-  store.replicate_from(kStranger, listed, {1, 1, 5});
+  store.replicate_from(kOtherStore, snapshot, {1, 1, 3});
+  store.replicate_from(kOtherStore, result_change, {1, 1, 5});
   REQUIRE(results() == 1);
-  store.replicate_from(kStranger, copy, {1, 1, 4});  // a repair of the time before the result
+  store.replicate_from(kOtherStore, snapshot, {1, 1, 4});  // a repair of the time before the result
   CHECK(results() == 1);
-  store.place({kStrangerDisk, store.service().disk_id()});
-  store.replicate_from(kStranger, copy, {1, 1, 9}, 1);
+  store.place({kOtherStoreDisk, store.service().disk_id()});
+  store.replicate_from(kOtherStore, snapshot, {1, 1, 9}, 1);
   CHECK(results() == 1);
-  store.replicate_from(kStranger, copy, {1, 1, 1});  // the first message of the new epoch
+  store.replicate_from(kOtherStore, snapshot, {1, 1, 1});  // the first message of the new epoch
   CHECK(results() == 0);
 }
 
@@ -442,18 +442,18 @@
   const MessageNumber before{1, later.start > 1 ? kTenuresOfYears : 1, kMessagesOfDays};
   ItemServer server;
   Store store(server);
-  store.place({kStrangerDisk, store.service().disk_id()});
-  JobChange copy{};
-  copy.tenant = kTenant;
-  copy.job = "j";
-  copy.spec.push_back(job_of("j", 2));
-  copy.reset = true;
-  JobChange listed{};
-  listed.tenant = kTenant;
-  listed.job = "j";
-  listed.results.emplace_back();
-  store.replicate_from(kStranger, copy, before);
-  store.replicate_from(kStranger, listed, later);
+  store.place({kOtherStoreDisk, store.service().disk_id()});
+  JobChange snapshot{};
+  snapshot.tenant = kTenant;
+  snapshot.job = "j";
+  snapshot.spec.push_back(job_of("j", 2));
+  snapshot.reset = true;
+  JobChange result_change{};
+  result_change.tenant = kTenant;
+  result_change.job = "j";
+  result_change.results.emplace_back();
+  store.replicate_from(kOtherStore, snapshot, before);
+  store.replicate_from(kOtherStore, result_change, later);
   CHECK(store.jobs().find({kTenant, "j"})->results.size() == 1);
 }
 
@@ -477,7 +477,7 @@
     "a job whose body has changed on its way to its store is not kept, and its edge node sends it again") {
   ItemServer server;
   Store store(server);
-  store.answer_as_copy();
+  store.answer_as_replica();
   JobSpec spec = job_of("j", 2);
   spec.items[1].body += "!";
   CHECK(store.try_submit(spec) == 0);
@@ -490,24 +490,24 @@
 TEST_CASE("a copy tells of bodies that have changed, and passes over those that were given up") {
   ItemServer server;
   Store store(server);
-  store.place({kStrangerDisk, store.service().disk_id()});
+  store.place({kOtherStoreDisk, store.service().disk_id()});
   JobTable elsewhere;
   JobChange job{};
   job.tenant = kTenant;
   job.job = "j";
   job.spec.push_back(job_of("j", 3));
   elsewhere.apply(1, job);
-  JobChange listed{};
-  listed.tenant = kTenant;
-  listed.job = "j";
-  listed.results.emplace_back();
-  elsewhere.apply(1, listed);
-  JobChange copy = elsewhere.copy_of({kTenant, "j"});
-  REQUIRE(copy.spec.front().items[0].body.empty());
-  store.replicate_from(kStranger, copy, {1, 1, 1});
+  JobChange result_change{};
+  result_change.tenant = kTenant;
+  result_change.job = "j";
+  result_change.results.emplace_back();
+  elsewhere.apply(1, result_change);
+  JobChange snapshot = elsewhere.snapshot_of({kTenant, "j"});
+  REQUIRE(snapshot.spec.front().items[0].body.empty());
+  store.replicate_from(kOtherStore, snapshot, {1, 1, 1});
   CHECK(store.service().body_check().is_clean());
-  copy.spec.front().items[1].path += "/other";
-  copy.spec.front().items[2].header_names.emplace_back("X-More");
-  store.replicate_from(kStranger, copy, {1, 1, 2});
+  snapshot.spec.front().items[1].path += "/other";
+  snapshot.spec.front().items[2].header_names.emplace_back("X-More");
+  store.replicate_from(kOtherStore, snapshot, {1, 1, 2});
   CHECK(store.service().body_check().differences(BodyStep::kCopy) == 2);
 }
--- a/tests/system/schedule_test.cpp
+++ b/tests/system/schedule_test.cpp
@@ -12,10 +12,10 @@
 
 namespace {
 
-constexpr std::size_t kMostRuns = 5;
+constexpr std::size_t kMaxRuns = 5;
 constexpr int kSteps = 1500;
 constexpr std::uint64_t kWalks = 60;
-constexpr int kAttempts = 3;
+constexpr int kMaxAttempts = 3;
 
 JobChange change_of(const JobKey& key) {
   JobChange out{};
@@ -33,7 +33,7 @@
   void run() {
     for (int step = 0; step < kSteps; ++step) {
       now_ += static_cast<Millis>(below(60));
-      act();
+      random_action();
       schedule_.pump(now_);
     }
   }
@@ -41,23 +41,23 @@
   std::size_t results() const { return results_; }
 
  private:
-  bool may_run(Millis, const JobKey&) override { return leads_; }
-  ItemRules rules_of(Millis, const std::string&) override {
-    ItemRules out;
-    out.state = below(20) == 0 ? ItemRules::State::kUnknown : ItemRules::State::kOpen;
+  bool may_run(Millis, const JobKey&) override { return is_primary_; }
+  ItemLimits limits_for(Millis, const std::string&) override {
+    ItemLimits out;
+    out.state = below(20) == 0 ? ItemLimits::RouteState::kUnknown : ItemLimits::RouteState::kPresent;
     out.max_wait_s = 6;
-    out.max_attempts = kAttempts;
+    out.max_attempts = kMaxAttempts;
     return out;
   }
-  bool can_start() const override { return runs_.size() < kMostRuns; }
-  bool has_room(Millis, const std::string&) override { return below(4) != 0; }
+  bool can_start() const override { return runs_.size() < kMaxRuns; }
+  bool has_capacity(Millis, const std::string&) override { return below(4) != 0; }
   void start(Millis, const ItemRun& run) override {
     ++starts_;
     const Job* job = table_.find(run.key);
     REQUIRE(job != nullptr);
-    CHECK(leads_);
+    CHECK(is_primary_);
     CHECK_FALSE(job->ended);
-    CHECK_FALSE(job->listed[run.item]);
+    CHECK_FALSE(job->has_result[run.item]);
     CHECK(job->spec.items[run.item].body == body_of(run.key, run.item));
     CHECK_FALSE(stopped_.contains(run.key));
     CHECK_FALSE(decided_.contains({run.key, run.item}));
@@ -68,12 +68,12 @@
     }
     runs_.emplace(run.id, Running{run, true});
   }
-  void withheld(const JobKey& key, std::uint32_t item, StartReason) override {
+  void on_corrupted_item(const JobKey& key, std::uint32_t item, StartReason) override {
     FAIL_CHECK("no body changes here, and one is missing: " << key.id << " " << item);
   }
-  void decided(Millis, const JobKey& key, JobResult result) override {
+  void on_result(Millis, const JobKey& key, JobResult result) override {
     CHECK(decided_.insert({key, result.item}).second);
-    on_their_way_.emplace_back(key, std::move(result));
+    uncommitted_results_.emplace_back(key, std::move(result));
   }
   void abandon(RunId run) override { runs_.at(run).counts = false; }
 
@@ -87,19 +87,19 @@
     return at->first;
   }
 
-  void act() {
+  void random_action() {
     const std::uint64_t drawn = below(100);
     if (table_.jobs().empty() || drawn < 6) return submit();
     if (drawn < 50) return end_run();
     if (drawn < 85) return commit();
-    if (drawn < 88) return ask_end();
-    if (drawn < 91) return demote();
-    if (drawn < 94) return list_elsewhere();
-    if (drawn < 98) return lead();
+    if (drawn < 88) return request_end();
+    if (drawn < 91) return step_down();
+    if (drawn < 94) return apply_result_elsewhere();
+    if (drawn < 98) return become_primary();
     remove();
   }
   void submit() {
-    if (!leads_) return;
+    if (!is_primary_) return;
     const JobKey key{"t" + std::to_string(below(3)), "j" + std::to_string(++jobs_)};
     JobChange job = change_of(key);
     JobSpec spec{};
@@ -124,14 +124,14 @@
     RunOutcome outcome;
     outcome.end = static_cast<RunEnd>(below(5));
     if (outcome.end == RunEnd::kCompleted) outcome.text = PartialText{"text", 4, true};
-    const std::size_t before = on_their_way_.size();
-    schedule_.on_end(now_, running.run.id, std::move(outcome));
-    if (!running.counts) CHECK(on_their_way_.size() == before);
+    const std::size_t before = uncommitted_results_.size();
+    schedule_.on_run_ended(now_, running.run.id, std::move(outcome));
+    if (!running.counts) CHECK(uncommitted_results_.size() == before);
   }
   void commit() {
-    if (on_their_way_.empty()) return;
-    const auto [key, result] = on_their_way_.front();
-    on_their_way_.erase(on_their_way_.begin());
+    if (uncommitted_results_.empty()) return;
+    const auto [key, result] = uncommitted_results_.front();
+    uncommitted_results_.erase(uncommitted_results_.begin());
     apply_result(key, result);
   }
   void apply_result(const JobKey& key, const JobResult& result) {
@@ -144,42 +144,42 @@
     table_.apply(now_, change);
   }
   // The end is asked for now and committed behind what is on its way.
-  void ask_end() {
+  void request_end() {
     const JobKey key = any_job();
-    if (!leads_) return;
+    if (!is_primary_) return;
     schedule_.stop(key);
     stopped_.insert(key);
     if (below(2) == 0) return;
-    while (!on_their_way_.empty()) commit();
+    while (!uncommitted_results_.empty()) commit();
     JobChange change = change_of(key);
     change.ended = true;
     table_.apply(now_, change);
     schedule_.forget(key);
   }
   // What is on its way may be on disk, or lost.
-  void demote() {
-    leads_ = false;
-    while (!on_their_way_.empty()) {
+  void step_down() {
+    is_primary_ = false;
+    while (!uncommitted_results_.empty()) {
       if (below(2) == 0) break;
       commit();
     }
-    on_their_way_.clear();
+    uncommitted_results_.clear();
     for (const auto& [key, job] : table_.jobs()) schedule_.forget(key);
     for (auto& [id, running] : runs_) CHECK_FALSE(running.counts);
     decided_.clear();
     stopped_.clear();
   }
-  void list_elsewhere() {
-    if (leads_) return;
+  void apply_result_elsewhere() {
+    if (is_primary_) return;
     const JobKey key = any_job();
     JobResult result{};
     result.item = static_cast<std::uint32_t>(below(table_.find(key)->spec.items.size()));
-    if (!table_.find(key)->listed[result.item]) apply_result(key, result);
+    if (!table_.find(key)->has_result[result.item]) apply_result(key, result);
   }
-  void lead() { leads_ = true; }
+  void become_primary() { is_primary_ = true; }
   void remove() {
     const JobKey key = any_job();
-    if (!leads_ || !(table_.find(key)->complete() || table_.find(key)->ended)) return;
+    if (!is_primary_ || !(table_.find(key)->complete() || table_.find(key)->ended)) return;
     JobChange change = change_of(key);
     change.removed = true;
     table_.apply(now_, change);
@@ -194,13 +194,13 @@
   JobTable table_;
   ItemSchedule schedule_;
   Millis now_ = 1000;
-  bool leads_ = true;
+  bool is_primary_ = true;
   std::uint64_t jobs_ = 0;
   std::map<RunId, Running> runs_;
   std::set<RunId> ids_;
   std::set<std::pair<JobKey, std::uint32_t>> decided_;
   std::set<JobKey> stopped_;
-  std::vector<std::pair<JobKey, JobResult>> on_their_way_;
+  std::vector<std::pair<JobKey, JobResult>> uncommitted_results_;
   std::size_t starts_ = 0, results_ = 0;
 };
 
--- a/tests/system/storage_test.cpp
+++ b/tests/system/storage_test.cpp
@@ -12,7 +12,7 @@
 #include "simulate/simulated_disk.h"
 #include "storage/segment_format.h"
 #include "storage/segment_ring.h"
-#include "temp_folder.h"
+#include "temp_directory.h"
 
 using namespace nettlestand::tier;
 using storage::Generation;
@@ -22,11 +22,11 @@
 
 namespace {
 
-RingOptions options_in(const std::string& folder, std::uint64_t bytes = 4096, std::size_t most = 4) {
+RingOptions options_in(const std::string& folder, std::uint64_t bytes = 4096, std::size_t max_segments = 4) {
   RingOptions options;
   options.directory = folder;
   options.segment_bytes = bytes;
-  options.max_segments = most;
+  options.max_segments = max_segments;
   return options;
 }
 
@@ -67,7 +67,7 @@
 }  // namespace
 
 TEST_CASE("synced records are shown in order after each start, over several segments") {
-  TempFolder folder;
+  TempDirectory folder;
   std::vector<std::string> written;
   for (int life = 0; life < 3; ++life) {
     std::vector<std::string> seen;
@@ -86,7 +86,7 @@
 }
 
 TEST_CASE("a record torn at any byte is not shown, and those before it are") {
-  TempFolder folder;
+  TempDirectory folder;
   const std::string last = "the last record of all";
   {
     auto ring = SegmentRing::open(options_in(folder.path()), [](std::string_view, Generation) {});
@@ -101,7 +101,7 @@
     std::string bytes = whole;
     std::fill(bytes.begin() + static_cast<std::ptrdiff_t>(torn),
               bytes.begin() + static_cast<std::ptrdiff_t>(end), '\0');
-    TempFolder torn_folder;
+    TempDirectory torn_folder;
     write_bytes(torn_folder.path() + "/segment-0", bytes);
     INFO("torn at " << torn);
     // A zero byte at the very end may be what stood there anyway: never so in this text.
@@ -110,7 +110,7 @@
 }
 
 TEST_CASE("a record that was lost in the middle hides what was not synced behind it, for good") {
-  TempFolder folder;
+  TempDirectory folder;
   std::string path;
   {
     auto ring = SegmentRing::open(options_in(folder.path()), [](std::string_view, Generation) {});
@@ -133,7 +133,7 @@
 }
 
 TEST_CASE("a segment that was given back shows nothing of its earlier use") {
-  TempFolder folder;
+  TempDirectory folder;
   auto ring = SegmentRing::open(options_in(folder.path(), 512, 2), [](std::string_view, Generation) {});
   REQUIRE(ring.ok());
   for (int round = 0; round < 10; ++round) {
@@ -151,7 +151,7 @@
 }
 
 TEST_CASE("a full ring refuses, and keeps what it has") {
-  TempFolder folder;
+  TempDirectory folder;
   std::vector<std::string> kept;
   {
     auto ring = SegmentRing::open(options_in(folder.path(), 300, 3), [](std::string_view, Generation) {});
@@ -170,7 +170,7 @@
 
 TEST_CASE(
     "a full control journal still takes a checkpoint, and starts that follow on each other don't fill it") {
-  TempFolder folder;
+  TempDirectory folder;
   const auto entry_at = [](consensus::LogIndex index) {
     consensus::Ready ready;
     consensus::LogEntry entry{};
@@ -207,7 +207,7 @@
 }
 
 TEST_CASE("the control journal gives back logs, votes and snapshots, also after a checkpoint") {
-  TempFolder folder;
+  TempDirectory folder;
   std::uint64_t identity = 0;
   {
     auto journal = ControlJournal::open(journal_in(folder.path()), 77);
@@ -272,7 +272,7 @@
 }  // namespace
 
 TEST_CASE("a group of one applies what it is told once in a life, and again after a restart") {
-  TempFolder folder;
+  TempDirectory folder;
   boost::asio::io_context io;
   Network network(io, "127.0.0.1:1", [](const std::string&, std::string_view) {});
   const auto open = [&](StateMachineMock& machine, Millis now) {
@@ -336,14 +336,14 @@
 }  // namespace
 
 TEST_CASE("damage to what was synced is told from a torn tail, wherever it is") {
-  TempFolder folder;
+  TempDirectory folder;
   const RingOptions options = options_in(folder.path(), 4096, 8);
   const std::string path = write_synced(options);
   const std::string whole = bytes_of(path);
   const std::size_t first = whole.find("record one"), last = whole.find("record three");
   SECTION("a byte of any record that others were synced behind") {
     for (std::size_t at = first; at < whole.find("record two") + 10; ++at) {
-      TempFolder copy;
+      TempDirectory copy;
       write_bytes(copy.path() + "/segment-0", whole);
       flip(copy.path() + "/segment-0", at);
       INFO("byte " << at);
@@ -368,7 +368,7 @@
 }
 
 TEST_CASE("a damaged journal is begun anew under another identity, which has promised nothing") {
-  TempFolder folder;
+  TempDirectory folder;
   std::uint64_t before = 0;
   {
     auto journal = ControlJournal::open(journal_in(folder.path()), 11);
@@ -391,7 +391,7 @@
 }
 
 TEST_CASE("a folder of an earlier format is refused and left as it is") {
-  TempFolder folder;
+  TempDirectory folder;
   const std::string magic = GENERATE("NTLNGSG1", "NTLNGSG2");
   const std::string old = magic + std::string(200, 'x');
   write_bytes(folder.path() + "/segment-0", old);
--- a/tests/system/submission_test.cpp
+++ b/tests/system/submission_test.cpp
@@ -45,24 +45,23 @@
 }
 
 // A body of any bytes, those that frame messages among them.
-std::string random_body(std::mt19937_64& random, std::size_t most) {
+std::string random_body(std::mt19937_64& random, std::size_t max_bytes) {
   static const std::string kSpecial = std::string("\0\r\n\"\\{}:,", 9);
-  std::string out(random() % (most + 1), '\0');
+  std::string out(random() % (max_bytes + 1), '\0');
   for (char& byte : out) {
     byte = random() % 3 == 0 ? kSpecial[random() % kSpecial.size()] : static_cast<char>(random());
   }
   return out;
 }
 
-std::vector<ClientItem> random_items(std::mt19937_64& random, std::size_t most_items,
-                                     std::size_t most_bytes) {
+std::vector<ClientItem> random_items(std::mt19937_64& random, std::size_t max_items, std::size_t max_bytes) {
   std::vector<ClientItem> out;
-  const std::size_t count = 1 + random() % most_items;
+  const std::size_t count = 1 + random() % max_items;
   for (std::size_t i = 0; i < count; ++i) {
     ClientItem item;
     item.id = "item-" + std::to_string(i);
     item.path = "/jobs/" + std::to_string(random() % 1000) + "?q=" + std::to_string(i);
-    item.body = random_body(random, most_bytes);
+    item.body = random_body(random, max_bytes);
     for (std::size_t n = random() % 4; n > 0; --n) {
       item.headers.emplace_back("X-Field-" + std::to_string(n), std::to_string(random()));
     }
@@ -92,13 +91,13 @@
 }
 
 // Parses each submission as an edge node does, and keeps what came out.
-class Front {
+class TestFront {
  public:
-  Front() {
+  TestFront() {
     server_.listen();
     thread_ = std::thread([this] { io_.run(); });
   }
-  ~Front() {
+  ~TestFront() {
     io_.stop();
     thread_.join();
   }
@@ -182,7 +181,7 @@
 }  // namespace
 
 TEST_CASE("a submission that is cut at any byte is the one that its client sent") {
-  Front front;
+  TestFront front;
   std::mt19937_64 random(1);
   const std::vector<ClientItem> items = random_items(random, 2, 20);
   const std::string request = with_length("r", json_of(items));
@@ -195,7 +194,7 @@
 }
 
 TEST_CASE("submissions in chunks and one behind the other are those that their clients sent") {
-  Front front;
+  TestFront front;
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     INFO("seed " << seed);
     std::mt19937_64 random(seed);
@@ -221,7 +220,7 @@
 }
 
 TEST_CASE("a submission of the largest size is the one that its client sent, and a larger one is refused") {
-  Front front;
+  TestFront front;
   std::mt19937_64 random(7);
   std::vector<ClientItem> items(1);
   items[0].id = "large";
--- a/tests/system/temp_folder.h
+++ b/tests/system/temp_directory.h
@@ -6,19 +6,19 @@
 #include <stdexcept>
 #include <string>
 
-class TempFolder {
+class TempDirectory {
  public:
-  TempFolder() {
+  TempDirectory() {
     std::string name = (std::filesystem::temp_directory_path() / "nettlestand-XXXXXX").string();
     if (::mkdtemp(name.data()) == nullptr) throw std::runtime_error("no temporary folder");
     path_ = name;
   }
-  ~TempFolder() {
+  ~TempDirectory() {
     std::error_code ignored;
     std::filesystem::remove_all(path_, ignored);
   }
-  TempFolder(const TempFolder&) = delete;
-  TempFolder& operator=(const TempFolder&) = delete;
+  TempDirectory(const TempDirectory&) = delete;
+  TempDirectory& operator=(const TempDirectory&) = delete;
   const std::string& path() const { return path_; }
 
  private:
--- a/tools/simulate/cluster.cpp
+++ b/tools/simulate/cluster.cpp
@@ -171,19 +171,19 @@
 
  private:
   bool may_run(Millis now, const JobKey& key) override { return hooks_.may_run(now, key); }
-  ItemRules rules_of(Millis, const std::string&) override {
-    ItemRules out;
-    out.state = ItemRules::State::kOpen;
+  ItemLimits limits_for(Millis, const std::string&) override {
+    ItemLimits out;
+    out.state = ItemLimits::RouteState::kPresent;
     out.max_attempts = kItemAttempts;
     return out;
   }
   bool can_start() const override { return under_way_ < kMostRunning; }
-  bool has_room(Millis, const std::string&) override { return can_start(); }
-  void withheld(const JobKey& key, std::uint32_t, StartReason) override {
+  bool has_capacity(Millis, const std::string&) override { return can_start(); }
+  void on_corrupted_item(const JobKey& key, std::uint32_t, StartReason) override {
     cluster_.history_.fail("an item was to be sent with another body: " + key.id);
   }
-  void decided(Millis now, const JobKey& key, JobResult result) override {
-    hooks_.done(now, key, std::move(result));
+  void on_result(Millis now, const JobKey& key, JobResult result) override {
+    hooks_.report_result(now, key, std::move(result));
   }
   void abandon(RunId) override {}
 
@@ -197,20 +197,20 @@
         return later(30 + static_cast<Millis>(cluster_.random(300)), [this, run] { end(run); });
       }
       RunOutcome refused;
-      refused.end = RunEnd::kTurnedAway;
+      refused.end = RunEnd::kRejected;
       finish(run, std::move(refused));
     });
   }
   void end(const ItemRun& run) {
     RunOutcome outcome;
     const std::uint64_t drawn = cluster_.random(100);
-    outcome.end = drawn < kTurnedAwayPercent                        ? RunEnd::kTurnedAway
+    outcome.end = drawn < kTurnedAwayPercent                        ? RunEnd::kRejected
                   : drawn < kTurnedAwayPercent + kFailedPercent     ? RunEnd::kServerError
-                  : drawn < kTurnedAwayPercent + 2 * kFailedPercent ? RunEnd::kBroken
+                  : drawn < kTurnedAwayPercent + 2 * kFailedPercent ? RunEnd::kInterrupted
                                                                     : RunEnd::kCompleted;
-    const bool has_text = outcome.end == RunEnd::kCompleted || outcome.end == RunEnd::kBroken;
+    const bool has_text = outcome.end == RunEnd::kCompleted || outcome.end == RunEnd::kInterrupted;
     if (has_text) {
-      outcome.text = run.held;
+      outcome.text = run.partial_text;
       outcome.text->text += "run " + std::to_string(++cluster_.runs_);
       outcome.text->has_event = true;
     }
@@ -219,7 +219,7 @@
   void finish(const ItemRun& run, RunOutcome outcome) {
     --under_way_;
     const Millis now = cluster_.clock_of(machine_);
-    schedule_.on_end(now, run.id, std::move(outcome));
+    schedule_.on_run_ended(now, run.id, std::move(outcome));
     schedule_.pump(now);
   }
   void later(Millis span, std::function<void()> act) {
