--- a/src/control/journal.cpp
+++ b/src/control/journal.cpp
@@ -142,9 +142,9 @@
 }
 
 absl::Status ControlJournal::write_with_reserve(const std::map<GroupId, consensus::StoredState>& groups) {
-  ring_->use_reserve(true);
+  ring_->allow_reserved_segments(true);
   absl::Status status = write_groups(groups);
-  ring_->use_reserve(false);
+  ring_->allow_reserved_segments(false);
   return status;
 }
 
--- a/src/node/node_core.cpp
+++ b/src/node/node_core.cpp
@@ -76,7 +76,7 @@
   store_ =
       std::make_unique<StoreService>(messenger_, control_client_, settings_, *std::move(store_disk_), runner);
   store_disk_.reset();
-  control_client_.set_in_sync_source([this] { return store_->in_sync(); });
+  control_client_.set_in_sync_source([this] { return store_->in_sync_reports(); });
 }
 
 NodeCore::~NodeCore() = default;
