--- a/bench/duties.cpp
+++ b/bench/duties.cpp
@@ -20,7 +20,7 @@
 inline std::string TempDir() { return "/tmp/"; }
 }  // namespace testing
 
-#include "duties/service.h"
+#include "duties/client_service.h"
 #include "duties/voter_service.h"
 #include "tests/duties/cluster.h"
 #include "tests/duties/world.h"
@@ -85,7 +85,7 @@
       {"handed over (SIGTERM)",
        [](Cluster& c, std::size_t n) {
          auto* node = c.node(n);
-         node->client.leave(node->local(c.sim.now()), node->out);
+         node->client.release_all(node->local(c.sim.now()), node->out);
        }},
       {"killed", [actor](Cluster& c, std::size_t n) { c.sim.kill(actor(c, n)); }},
       {"stopped", [actor](Cluster& c, std::size_t n) { c.sim.pause(actor(c, n)); }},
@@ -177,14 +177,14 @@
     for (std::size_t i = 0; i < count; ++i) {
       duties::VoterOptions o;
       o.voter.self = {"v" + std::to_string(i), i + 1, "", ""};
-      o.voter.agreement.election_ms = election_ms;
-      o.voter.agreement.heartbeat_ms = heartbeat_ms;
-      o.folder = folder + "/" + o.voter.self.name;
-      std::filesystem::create_directory(o.folder);
-      duties::SqliteStore::make(o.folder);
+      o.voter.raft.election_timeout_ms = election_ms;
+      o.voter.raft.heartbeat_interval_ms = heartbeat_ms;
+      o.data_dir = folder + "/" + o.voter.self.name;
+      std::filesystem::create_directory(o.data_dir);
+      duties::SqliteStore::create(o.data_dir);
       if (i == 0) {
-        duties::SqliteStore store(o.folder);
-        duties::Agreement::found(store, "v0");
+        duties::SqliteStore store(o.data_dir);
+        duties::RaftReplica::bootstrap(store, "v0");
       }
       boost::asio::io_context probe;
       boost::asio::ip::tcp::acceptor port(probe, {boost::asio::ip::make_address("127.0.0.1"), 0});
@@ -204,8 +204,8 @@
         bool answered = false;
         duties::Request r;
         r.kind = duties::Request::Kind::kAddVoter;
-        r.to = "v" + std::to_string(i);
-        s->ask(r, [&](const std::vector<duties::Reply>&, const std::string& error) {
+        r.target = "v" + std::to_string(i);
+        s->send_operator_request(r, [&](const std::vector<duties::Reply>&, const std::string& error) {
           answered = true;
           done = error.empty();
         });
@@ -219,14 +219,14 @@
     std::error_code ignored;
     std::filesystem::remove_all(folder, ignored);
   }
-  std::unique_ptr<duties::Service> client(const std::string& name, std::vector<Duty> wants = {}) {
-    duties::ServiceOptions o;
-    o.client.holding.self = {name, std::hash<std::string>()(name) | 1, "", ""};
+  std::unique_ptr<duties::ClientService> client(const std::string& name, std::vector<Duty> wants = {}) {
+    duties::ClientServiceOptions o;
+    o.client.lease_holder.self = {name, std::hash<std::string>()(name) | 1, "", ""};
     o.client.seed = std::hash<std::string>()(name);
     o.voters = addresses;
-    auto out = std::make_unique<duties::Service>(io, o, [](const LogEvent&) {});
+    auto out = std::make_unique<duties::ClientService>(io, o, [](const LogEvent&) {});
     out->start();
-    for (const Duty& d : wants) out->want(d, {});
+    for (const Duty& d : wants) out->acquire(d, {});
     return out;
   }
   boost::asio::io_context io;
@@ -267,7 +267,7 @@
   for (const pid_t t : threads_of_this_process()) {
     if (!std::binary_search(before.begin(), before.end(), t)) threads.push_back(t);
   }
-  std::vector<std::unique_ptr<duties::Service>> all;
+  std::vector<std::unique_ptr<duties::ClientService>> all;
   for (std::size_t i = 0; i < clients; ++i)
     all.push_back(v.client("c" + std::to_string(i), {{"d0", 5, {}, {}, {}}}));
   v.io.run_for(std::chrono::seconds(5));
@@ -307,7 +307,7 @@
       v.io.run_for(std::chrono::milliseconds(2));
       v.io.restart();
       held = 0;
-      for (const Duty& d : wants) held += s->holds(d.name) ? 1 : 0;
+      for (const Duty& d : wants) held += s->held_token(d.name) ? 1 : 0;
     }
     if (held == 1000) all.push_back(1000 / (nettlestand::now() - from));
     s.reset();
@@ -318,19 +318,19 @@
 void log_growth() {
   std::string folder = "/tmp/nettlestand_log_XXXXXX";
   if (mkdtemp(folder.data()) == nullptr) return;
-  duties::SqliteStore::make(folder);
+  duties::SqliteStore::create(folder);
   double took = 0;
   {
     duties::SqliteStore store(folder);
-    duties::Agreement::found(store, "v0");
+    duties::RaftReplica::bootstrap(store, "v0");
   }
   std::uint64_t last = 0;
   {
     duties::SqliteStore store(folder);
-    duties::AgreementSettings s;
+    duties::RaftSettings s;
     s.name = "v0";
-    duties::Agreement a(s, store, nettlestand::now());
-    a.take();
+    duties::RaftReplica a(s, store, nettlestand::now());
+    a.take_events();
     std::vector<duties::Command> batch;
     duties::Command define;
     define.kind = duties::Command::Kind::kDefine;
@@ -349,7 +349,7 @@
       batch.push_back(release);
       if (batch.size() == 200) {
         a.propose(nettlestand::now(), batch);
-        a.take();
+        a.take_events();
         batch.clear();
       }
     }
@@ -361,9 +361,9 @@
     size += static_cast<double>(e.file_size());
   const double from = nettlestand::now();
   duties::SqliteStore store(folder);
-  duties::AgreementSettings s;
+  duties::RaftSettings s;
   s.name = "v0";
-  duties::Agreement a(s, store, nettlestand::now());
+  duties::RaftReplica a(s, store, nettlestand::now());
   const double reopened = nettlestand::now() - from;
   std::printf(
       "a million changes in batches of 200: %.1f s (%.0f changes/s), %.2f MB of files, last token %llu; "
--- a/daemon/config.cpp
+++ b/daemon/config.cpp
@@ -155,16 +155,16 @@
   if (config.peers)
     peers::identify(*config.peers, {config.name, zone, s.tier, s.copy_index, s.copy_count, config.seed});
   if (!config.duties) return;
-  duties::Node& self = config.duties->service.client.holding.self;
-  self.name = config.name.substr(0, duties::kLongestName);
-  self.zone = zone.substr(0, duties::kLongestName);
+  duties::Node& self = config.duties->service.client.lease_holder.self;
+  self.name = config.name.substr(0, duties::kMaxNameBytes);
+  self.zone = zone.substr(0, duties::kMaxNameBytes);
   // A life of its own for each start: no clock and no disk can be trusted with that.
   std::random_device random;
-  self.life = (static_cast<std::uint64_t>(random()) << 31 ^ random()) + 1;
-  config.duties->service.client.seed = self.life;
+  self.generation = (static_cast<std::uint64_t>(random()) << 31 ^ random()) + 1;
+  config.duties->service.client.seed = self.generation;
   if (!config.duties->voter) return;
   config.duties->voter->voter.self = self;
-  config.duties->voter->voter.agreement.seed = self.life;
+  config.duties->voter->voter.raft.seed = self.generation;
 }
 
 }  // namespace nettlestand
--- a/daemon/config.h
+++ b/daemon/config.h
@@ -10,7 +10,7 @@
 
 #include "core/members.h"
 #include "daemon/log.h"
-#include "duties/service.h"
+#include "duties/client_service.h"
 #include "duties/voter_service.h"
 #include "http/listener.h"
 #include "peers/service.h"
@@ -28,7 +28,7 @@
 
 // Duties held by one node.
 struct DutiesConfig {
-  duties::ServiceOptions service;
+  duties::ClientServiceOptions service;
   std::optional<duties::VoterOptions> voter;  // where this node votes
   std::vector<DutyProgram> programs;
   std::optional<report::ReporterOptions> report;
--- a/daemon/duties.cpp
+++ b/daemon/duties.cpp
@@ -5,7 +5,7 @@
 #include <stdexcept>
 #include <utility>
 
-#include "duties/agreement.h"
+#include "duties/raft_replica.h"
 #include "json/read.h"
 #include "util/clock.h"
 #include "util/columns.h"
@@ -65,13 +65,13 @@
 }
 
 void NodeDuties::leave() {
-  service_.leave();
+  service_.release_all();
   if (voter_) await_idle(now() + kGivingBack);
 }
 
 // What this node gives back goes through quickest while its own voter leads, if it does.
 void NodeDuties::await_idle(double until) {
-  if (service_.idle() || now() >= until) return voter_->leave();
+  if (service_.idle() || now() >= until) return voter_->transfer_leadership();
   leaving_.expires_after(std::chrono::milliseconds(10));
   leaving_.async_wait([this, until](const boost::system::error_code& error) {
     if (!error) await_idle(until);
@@ -96,10 +96,11 @@
   using Words = std::vector<std::string>;
   using Answer = Control::Answer;
   const auto ask = [this](Request r, Answer answer) {
-    service_.ask(std::move(r), [answer = std::move(answer)](const std::vector<duties::Reply>& replies,
-                                                            const std::string& error) {
-      answer(replies.empty() ? "" : replies.front().text, error);
-    });
+    service_.send_operator_request(
+        std::move(r),
+        [answer = std::move(answer)](const std::vector<duties::Reply>& replies, const std::string& error) {
+          answer(replies.empty() ? "" : replies.front().text, error);
+        });
   };
   const auto needs = [](const Words& words, std::size_t least, std::size_t most) {
     if (words.size() < least || words.size() > most)
@@ -111,8 +112,8 @@
       needs(words, 1, 2);
       Request r;
       r.kind = kind;
-      (voter ? r.to : r.duty) = words[0];
-      if (words.size() > 1) (voter ? r.text : r.to) = words[1];
+      (voter ? r.target : r.duty) = words[0];
+      if (words.size() > 1) (voter ? r.text : r.target) = words[1];
       ask(std::move(r), std::move(answer));
     };
   };
@@ -124,13 +125,13 @@
       ask(std::move(r), std::move(answer));
     };
   };
-  return {{"duties", show(Request::Kind::kShow)},
+  return {{"duties", show(Request::Kind::kListDuties)},
           {"duties own",
            [this, needs](const Words& words, const Answer& answer) {
              needs(words, 0, 0);
              answer(service_.report(), "");
            }},
-          {"duties pass", order(Request::Kind::kPass, false)},
+          {"duties pass", order(Request::Kind::kTransfer, false)},
           {"duties remove", order(Request::Kind::kRemove, false)},
           {"duties define",
            [this, ask, needs](const Words& words, Answer answer) {
@@ -144,16 +145,16 @@
              if (r.settings.name.empty()) throw std::runtime_error("this node's file names no such duty");
              ask(std::move(r), std::move(answer));
            }},
-          {"duties voters", show(Request::Kind::kVoters)},
+          {"duties voters", show(Request::Kind::kListVoters)},
           {"duties voters add", order(Request::Kind::kAddVoter, true)},
           {"duties voters remove", order(Request::Kind::kRemoveVoter, true)}};
 }
 
 std::string init_voter(const std::string& folder, const std::string& found) {
-  const std::uint64_t id = duties::SqliteStore::make(folder);
+  const std::uint64_t id = duties::SqliteStore::create(folder);
   if (!found.empty()) {
     duties::SqliteStore store(folder);
-    duties::Agreement::found(store, found);
+    duties::RaftReplica::bootstrap(store, found);
   }
   return "voter " + std::to_string(id) +
          (found.empty() ? ": to be added by 'duties voters add' once its node runs\n"
--- a/daemon/duties.h
+++ b/daemon/duties.h
@@ -36,7 +36,7 @@
   boost::asio::io_context& io_;
   const DutiesConfig config_;
   const Log log_;
-  duties::Service service_;
+  duties::ClientService service_;
   std::unique_ptr<duties::VoterService> voter_;
   report::Tally tally_;
   std::unique_ptr<DutyPrograms> programs_;
--- a/daemon/duty_program.cpp
+++ b/daemon/duty_program.cpp
@@ -32,7 +32,7 @@
 }  // namespace
 
 DutyPrograms::DutyPrograms(boost::asio::io_context& io, std::vector<DutyProgram> programs,
-                           duties::Service& duties, Log log)
+                           duties::ClientService& duties, Log log)
     : io_(io), duties_(duties), log_(std::move(log)), children_(io, SIGCHLD), turn_(io) {
   for (DutyProgram& p : programs) {
     all_.push_back(std::make_unique<One>());
@@ -51,9 +51,9 @@
   await_child();
   await_turn();
   for (auto& one : all_) {
-    duties_.want(
+    duties_.acquire(
         one->program.duty,
-        [this, it = one.get()](const duties::Holding::Change& change) { changed(*it, change); }, true);
+        [this, it = one.get()](const duties::LeaseHolder::Change& change) { changed(*it, change); }, true);
   }
 }
 
@@ -61,7 +61,7 @@
   return std::any_of(all_.begin(), all_.end(), [](const auto& one) { return one->guardian > 0; });
 }
 
-void DutyPrograms::changed(One& one, const duties::Holding::Change& change) {
+void DutyPrograms::changed(One& one, const duties::LeaseHolder::Change& change) {
   if (change.gained) {
     one.wanted = change.token;
     if (one.guardian <= 0) begin(one);
@@ -69,7 +69,7 @@
   }
   one.wanted = 0;
   if (one.guardian <= 0) {
-    duties_.stopped(change.duty);
+    duties_.confirm_stopped(change.duty);
     return;
   }
   stop(one);
@@ -90,8 +90,8 @@
           "the program of the duty " + duty + " can't be started: " + std::strerror(error),
           {{"duty", duty}}});
     one.wanted = one.token = 0;
-    duties_.failed(duty);
-    duties_.stopped(duty);
+    duties_.report_failure(duty);
+    duties_.confirm_stopped(duty);
   };
   if (pipe2(ends, O_CLOEXEC) != 0) return fail(errno);
   std::vector<std::string> words = {"nettlestand", "duty-guard", std::to_string(one.program.stop)};
@@ -144,7 +144,7 @@
 
 void DutyPrograms::tell(One& one) {
   char line[64];
-  const int size = std::snprintf(line, sizeof line, "u %.6f\n", duties_.until(one.program.duty.name));
+  const int size = std::snprintf(line, sizeof line, "u %.6f\n", duties_.held_until(one.program.duty.name));
   // What does not fit is said again with the next turn.
   if (one.pipe >= 0) static_cast<void>(!write(one.pipe, line, static_cast<std::size_t>(size)));
 }
@@ -156,7 +156,7 @@
 
 void DutyPrograms::await_turn() {
   double every = 0.5;
-  for (const auto& one : all_) every = std::min(every, one->program.duty.length / 10);
+  for (const auto& one : all_) every = std::min(every, one->program.duty.lease_seconds / 10);
   turn_.expires_after(duration(every));
   turn_.async_wait([this](const error_code& error) {
     if (error) return;
@@ -187,9 +187,9 @@
       if (!one->stopping && one->wanted == one->token) {
         // By itself, while the duty is held: somebody else is to try.
         one->wanted = 0;
-        duties_.failed(duty);
+        duties_.report_failure(duty);
       }
-      duties_.stopped(duty);
+      duties_.confirm_stopped(duty);
       if (one->wanted != 0) begin(*one);  // it has come back meanwhile
     }
   });
--- a/daemon/duty_program.h
+++ b/daemon/duty_program.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "daemon/config.h"
-#include "duties/service.h"
+#include "duties/client_service.h"
 #include "util/log.h"
 
 namespace nettlestand {
@@ -20,7 +20,7 @@
 // On the loop's thread.
 class DutyPrograms {
  public:
-  DutyPrograms(boost::asio::io_context& io, std::vector<DutyProgram> programs, duties::Service& duties,
+  DutyPrograms(boost::asio::io_context& io, std::vector<DutyProgram> programs, duties::ClientService& duties,
                Log log);
   ~DutyPrograms();  // ends what runs
   DutyPrograms(const DutyPrograms&) = delete;
@@ -37,7 +37,7 @@
     duties::Token token = 0, wanted = 0;
     bool stopping = false;
   };
-  void changed(One& one, const duties::Holding::Change& change);
+  void changed(One& one, const duties::LeaseHolder::Change& change);
   void begin(One& one);
   void stop(One& one);
   void tell(One& one);
@@ -45,7 +45,7 @@
   void await_turn();
 
   boost::asio::io_context& io_;
-  duties::Service& duties_;
+  duties::ClientService& duties_;
   const Log log_;
   boost::asio::signal_set children_;
   boost::asio::steady_timer turn_;
--- a/daemon/operator_file.cpp
+++ b/daemon/operator_file.cpp
@@ -414,10 +414,10 @@
   nettlestand::duties::Duty duty_of(Section& s, const std::string& name, double lease_ms) {
     nettlestand::duties::Duty d;
     d.name = name;
-    d.length = s.ms("lease_ms", lease_ms, 200, kHourMs);
-    d.prefer = names(s, "prefer", duties::kLongestName, duties::kMostListed);
-    d.apart = names(s, "apart", duties::kLongestName, duties::kMostListed);
-    d.never = names(s, "never", duties::kLongestName, duties::kMostListed);
+    d.lease_seconds = s.ms("lease_ms", lease_ms, 200, kHourMs);
+    d.preferred_locations = names(s, "prefer", duties::kMaxNameBytes, duties::kMaxListEntries);
+    d.anti_affinity = names(s, "apart", duties::kMaxNameBytes, duties::kMaxListEntries);
+    d.excluded_nodes = names(s, "never", duties::kMaxNameBytes, duties::kMaxListEntries);
     return d;
   }
 
@@ -435,20 +435,21 @@
     root_.wrong("duties", "this build has none; configure with -DNETTLESTAND_BUILD_DUTIES=ON");
 #endif
     DutiesConfig& d = out_.duties.emplace();
-    duties::ServiceOptions& o = d.service;
+    duties::ClientServiceOptions& o = d.service;
     o.cluster = s.text("cluster", kLongestName).value_or(o.cluster);
     d.key_file = s.text("key_file", 4096).value_or("");
-    duties::HoldingSettings& h = o.client.holding;
-    h.self.region = s.text("region", duties::kLongestName).value_or("");
+    duties::LeaseHolderSettings& h = o.client.lease_holder;
+    h.self.region = s.text("region", duties::kMaxNameBytes).value_or("");
     h.drift = s.number("drift", h.drift, 0, 0.2);
-    h.ask_period = s.ms("ask_ms", h.ask_period * 1000, 20, 60'000);
-    h.answer_patience = s.ms("answer_ms", h.answer_patience * 1000, 20, 60'000);
-    o.client.way.patience = s.ms("patience_ms", o.client.way.patience * 1000, 50, 60'000);
+    h.request_interval = s.ms("ask_ms", h.request_interval * 1000, 20, 60'000);
+    h.reply_timeout = s.ms("answer_ms", h.reply_timeout * 1000, 20, 60'000);
+    o.client.voter_selector.reply_timeout =
+        s.ms("patience_ms", o.client.voter_selector.reply_timeout * 1000, 50, 60'000);
     d.may_start_programs = s.flag("programs", alone_);
     std::map<std::string, std::uint32_t> seen;
     for (const toml::table* table : voters) {
       Section v(problems_, table, "voter");
-      const auto name = v.text("name", duties::kLongestName);
+      const auto name = v.text("name", duties::kMaxNameBytes);
       named(v, seen, name);
       const auto address = v.address("address");
       if (!v.has("address")) v.missing("address");
@@ -459,20 +460,23 @@
     if (voters.empty()) problems_.add(s.where(), "nothing says who votes: [[voter]] is missing");
     if (voters.size() > 63) root_.wrong("voter", "more than 63");
     duties::VoterOptions v;
-    v.folder = s.text("folder", 4096).value_or("");
+    v.data_dir = s.text("folder", 4096).value_or("");
     v.addresses = o.voters;
     v.voter.cluster = o.cluster;
-    v.voter.keeper.drift = h.drift;
-    v.voter.keeper.ask_memory = 2.5 * h.ask_period;
-    duties::AgreementSettings& a = v.voter.agreement;
-    a.election_ms = static_cast<unsigned>(s.whole("election_ms", a.election_ms, 50, 60'000));
-    a.heartbeat_ms = static_cast<unsigned>(s.whole("heartbeat_ms", a.heartbeat_ms, 10, 10'000));
-    a.snapshot_after = static_cast<unsigned>(s.whole("snapshot_after", a.snapshot_after, 16, 1e6));
-    a.snapshot_keeps = static_cast<unsigned>(s.whole("snapshot_keeps", a.snapshot_keeps, 1, 1e6));
-    v.voter.keeper.take_patience = s.ms("take_ms", v.voter.keeper.take_patience * 1000, 50, 60'000);
-    v.voter.keeper.propose_patience = 3e-3 * a.election_ms;
-    if (a.heartbeat_ms * 3 > a.election_ms) {
-      s.wrong("heartbeat_ms", "is over a third of duties.election_ms, which is " + plain(a.election_ms));
+    v.voter.lease_manager.drift = h.drift;
+    v.voter.lease_manager.request_ttl = 2.5 * h.request_interval;
+    duties::RaftSettings& a = v.voter.raft;
+    a.election_timeout_ms = static_cast<unsigned>(s.whole("election_ms", a.election_timeout_ms, 50, 60'000));
+    a.heartbeat_interval_ms =
+        static_cast<unsigned>(s.whole("heartbeat_ms", a.heartbeat_interval_ms, 10, 10'000));
+    a.snapshot_threshold = static_cast<unsigned>(s.whole("snapshot_after", a.snapshot_threshold, 16, 1e6));
+    a.snapshot_trailing = static_cast<unsigned>(s.whole("snapshot_keeps", a.snapshot_trailing, 1, 1e6));
+    v.voter.lease_manager.first_renewal_timeout =
+        s.ms("take_ms", v.voter.lease_manager.first_renewal_timeout * 1000, 50, 60'000);
+    v.voter.lease_manager.propose_timeout = 3e-3 * a.election_timeout_ms;
+    if (a.heartbeat_interval_ms * 3 > a.election_timeout_ms) {
+      s.wrong("heartbeat_ms",
+              "is over a third of duties.election_ms, which is " + plain(a.election_timeout_ms));
     }
     if (const auto listen = s.address("listen")) {
       v.listen = *listen;
@@ -484,7 +488,7 @@
     std::map<std::string, std::uint32_t> named_duties;
     for (const toml::table* table : all) {
       Section x(problems_, table, "duty");
-      const auto name = x.text("name", duties::kLongestName);
+      const auto name = x.text("name", duties::kMaxNameBytes);
       named(x, named_duties, name);
       DutyProgram p;
       p.duty = duty_of(x, name.value_or(""), 5000);
@@ -497,8 +501,8 @@
       o.duties.push_back(p.duty);
       d.programs.push_back(std::move(p));
     }
-    if (all.size() > duties::kMostDuties)
-      root_.wrong("duty", "more than " + std::to_string(duties::kMostDuties));
+    if (all.size() > duties::kMaxDuties)
+      root_.wrong("duty", "more than " + std::to_string(duties::kMaxDuties));
     if (r.there()) {
       report::ReporterOptions& q = d.report.emplace();
       q.book = r.text("book", 4096).value_or("");
@@ -508,7 +512,7 @@
       r.finish();
       o.duties.push_back(q.duty);
     }
-    if (out_.name.size() > duties::kLongestName)
+    if (out_.name.size() > duties::kMaxNameBytes)
       root_.wrong("node", "name: over 64 bytes, which [duties] can't tell of");
     s.finish();
   }
--- a/duties/service.cpp
+++ b/duties/client_service.cpp
@@ -1,4 +1,4 @@
-#include "duties/service.h"
+#include "duties/client_service.h"
 
 #include <rapidjson/stringbuffer.h>
 #include <rapidjson/writer.h>
@@ -13,7 +13,7 @@
 
 using boost::system::error_code;
 
-ClientSettings settings_of(const ServiceOptions& o) {
+ClientSettings settings_of(const ClientServiceOptions& o) {
   ClientSettings out = o.client;
   out.voters.clear();
   for (const VoterAddress& v : o.voters) out.voters.push_back(v.name);
@@ -22,70 +22,72 @@
 
 }  // namespace
 
-Service::Service(boost::asio::io_context& io, ServiceOptions options, Log log)
+ClientService::ClientService(boost::asio::io_context& io, ClientServiceOptions options, Log log)
     : io_(io),
       options_(std::move(options)),
       log_(std::move(log)),
       client_(settings_of(options_)),
       timer_(io) {}
 
-Service::~Service() {
+ClientService::~ClientService() {
   *alive_ = false;
   disconnect();
 }
 
-void Service::start() {
+void ClientService::start() {
   running_ = true;
   connect();
-  arm();
+  schedule_timer();
 }
 
-void Service::want(const Duty& duty, Changed changed, bool slowly) {
+void ClientService::acquire(const Duty& duty, ChangeListener changed, bool slowly) {
   listeners_[duty.name] = std::move(changed);
   Client::Actions out;
-  client_.want(now(), duty, out, slowly);
-  act(out);
+  client_.acquire(now(), duty, out, slowly);
+  apply_actions(out);
 }
 
-void Service::stopped(const std::string& duty) {
+void ClientService::confirm_stopped(const std::string& duty) {
   Client::Actions out;
-  client_.stopped(now(), duty, out);
-  act(out);
+  client_.confirm_stopped(now(), duty, out);
+  apply_actions(out);
 }
 
-void Service::unwant(const std::string& duty) {
+void ClientService::release(const std::string& duty) {
   Client::Actions out;
-  client_.unwant(now(), duty, out);
-  act(out);
+  client_.release(now(), duty, out);
+  apply_actions(out);
 }
 
-void Service::failed(const std::string& duty) {
+void ClientService::report_failure(const std::string& duty) {
   Client::Actions out;
-  client_.failed(now(), duty, out);
-  act(out);
+  client_.report_failure(now(), duty, out);
+  apply_actions(out);
 }
 
-void Service::leave() {
+void ClientService::release_all() {
   Client::Actions out;
-  client_.leave(now(), out);
-  act(out);
+  client_.release_all(now(), out);
+  apply_actions(out);
 }
 
-void Service::close() {
+void ClientService::close() {
   running_ = false;
   timer_.cancel();
   if (link_) std::exchange(link_, nullptr)->close(true);
 }
 
-void Service::ask(Request request, Client::Done done) {
+void ClientService::send_operator_request(Request request, Client::RequestCallback done) {
   Client::Actions out;
-  client_.ask(now(), std::move(request), std::move(done), out);
-  act(out);
+  client_.send_operator_request(now(), std::move(request), std::move(done), out);
+  apply_actions(out);
 }
 
-std::optional<Token> Service::holds(const std::string& duty) const { return client_.holds(now(), duty); }
+std::optional<Token> ClientService::held_token(const std::string& duty) const {
+  return client_.held_token(now(), duty);
+}
 
-void Service::disconnect() {
+void ClientService::disconnect() {
   connecting_ = false;
   if (!link_) return;
   bytes_sent_ += link_->bytes_sent();
@@ -93,58 +95,59 @@
   std::exchange(link_, nullptr)->close();
 }
 
-void Service::connect() {
-  if (!running_ || link_ || now() < client_.way().try_at()) return;
-  const VoterAddress& voter = options_.voters[client_.way().target()];
-  Link::Options o;
+void ClientService::connect() {
+  if (!running_ || link_ || now() < client_.voter_selector().next_attempt_at()) return;
+  const VoterAddress& voter = options_.voters[client_.voter_selector().target()];
+  FrameConnection::Options o;
   o.keys = options_.keys;
-  o.patience = options_.client.way.patience;
-  link_ = std::make_shared<Link>(io_, o);
+  o.handshake_timeout = options_.client.voter_selector.reply_timeout;
+  link_ = std::make_shared<FrameConnection>(io_, o);
   connecting_ = true;
   Frame hello;
   hello.kind = Frame::Kind::kHello;
   hello.cluster = options_.cluster;
-  hello.who = self();
-  Link::Handlers h;
-  h.met = [this, alive = alive_](const Frame& other) {
+  hello.sender = self();
+  FrameConnection::Handlers h;
+  h.on_handshake = [this, alive = alive_](const Frame& other) {
     if (!*alive) return;
     connecting_ = false;
     Client::Actions out;
-    if (other.cluster != options_.cluster || other.voter == 0) {
-      client_.went_down(now(), out);
+    if (other.cluster != options_.cluster || other.voter_id == 0) {
+      client_.on_disconnected(now(), out);
     } else {
-      client_.came_up(now(), out);
-      if (std::exchange(told_away_, false))
+      client_.on_connected(now(), out);
+      if (std::exchange(unreachable_logged_, false))
         log_({LogLevel::kInfo,
               "duties",
               "voters_reached",
               "the voters are reached again",
-              {{"voter", other.who.name}}});
+              {{"voter", other.sender.name}}});
     }
-    act(out);
+    apply_actions(out);
   };
-  h.frame = [this, alive = alive_](const Frame& f) {
+  h.on_frame = [this, alive = alive_](const Frame& f) {
     if (!*alive) return;
     Client::Actions out;
-    client_.frame(now(), f, out);
-    act(out);
+    client_.on_frame(now(), f, out);
+    apply_actions(out);
   };
-  h.closed = [this, alive = alive_](const std::string&) {
+  h.on_closed = [this, alive = alive_](const std::string&) {
     if (!*alive) return;
     Client::Actions out;
-    client_.went_down(now(), out);
-    act(out);
+    client_.on_disconnected(now(), out);
+    apply_actions(out);
   };
-  link_->connect(voter.at, hello, std::move(h));
+  link_->connect(voter.endpoint, hello, std::move(h));
 }
 
-void Service::act(Client::Actions& out) {
+void ClientService::apply_actions(Client::Actions& out) {
   // Before anything is sent: what is given back must be nobody's here by the time that another one has it.
-  if (turned_) turned_();
+  if (state_listener_) state_listener_();
   if (out.reconnect) {
     disconnect();
-    if (!client_.way().connected() && !told_away_ && client_.way().try_at() > now() + 0.5) {
-      told_away_ = true;
+    if (!client_.voter_selector().connected() && !unreachable_logged_ &&
+        client_.voter_selector().next_attempt_at() > now() + 0.5) {
+      unreachable_logged_ = true;
       log_({LogLevel::kWarning,
             "duties",
             "voters_not_reached",
@@ -155,12 +158,12 @@
   for (const Frame& f : out.frames) {
     if (link_) link_->send(f);
   }
-  for (const Holding::Change& c : out.changes) tell(c);
+  for (const LeaseHolder::Change& c : out.changes) report_change(c);
   if (running_) connect();
-  arm();
+  schedule_timer();
 }
 
-void Service::tell(const Holding::Change& c) {
+void ClientService::report_change(const LeaseHolder::Change& c) {
   if (c.gained) {
     log_({LogLevel::kInfo,
           "duties",
@@ -168,22 +171,24 @@
           "holds the duty " + c.duty + " by token " + std::to_string(c.token),
           {{"duty", c.duty}, {"token", static_cast<std::int64_t>(c.token)}}});
   } else {
-    log_({c.why == Holding::Lost::kLapsed || c.why == Holding::Lost::kTaken ? LogLevel::kWarning
-                                                                            : LogLevel::kInfo,
+    log_({c.loss_reason == LeaseHolder::LossReason::kExpired ||
+                  c.loss_reason == LeaseHolder::LossReason::kRevoked
+              ? LogLevel::kWarning
+              : LogLevel::kInfo,
           "duties",
           "lost",
-          "holds the duty " + c.duty + " no more: " + name_of(c.why),
+          "holds the duty " + c.duty + " no more: " + name_of(c.loss_reason),
           {{"duty", c.duty},
            {"token", static_cast<std::int64_t>(c.token)},
-           {"why", std::string(name_of(c.why))}}});
+           {"why", std::string(name_of(c.loss_reason))}}});
   }
   const auto it = listeners_.find(c.duty);
   if (it != listeners_.end() && it->second) it->second(c);
 }
 
-void Service::arm() {
+void ClientService::schedule_timer() {
   if (!running_) return;
-  double next = client_.next();
+  double next = client_.next_deadline();
   // While it connects, the connection's own patience counts.
   if (connecting_) next = std::max(next, now() + 0.05);
   timer_.expires_at(at(std::max(next, now() + 0.001)));
@@ -191,11 +196,11 @@
     if (error || !*alive || !running_) return;
     Client::Actions out;
     client_.tick(now(), out);
-    act(out);
+    apply_actions(out);
   });
 }
 
-std::string Service::report() const {
+std::string ClientService::report() const {
   rapidjson::StringBuffer buffer;
   rapidjson::Writer<rapidjson::StringBuffer> w(buffer);
   const auto text = [&](const char* name, const std::string& value) {
@@ -205,14 +210,15 @@
   w.StartObject();
   text("name", self().name);
   w.Key("life");
-  w.Uint64(self().life);
-  text("voter", client_.way().connected() ? options_.voters[client_.way().target()].name : "");
+  w.Uint64(self().generation);
+  text("voter",
+       client_.voter_selector().connected() ? options_.voters[client_.voter_selector().target()].name : "");
   w.Key("duties");
   w.StartArray();
   for (const auto& [name, ignored] : listeners_) {
     w.StartObject();
     text("duty", name);
-    const auto token = holds(name);
+    const auto token = held_token(name);
     w.Key("held");
     w.Bool(token.has_value());
     w.Key("token");
@@ -230,7 +236,7 @@
   number("gained", c.gained);
   number("lost", c.lost);
   number("connections", c.connections);
-  number("silent", c.silent);
+  number("silent", c.timed_out);
   number("bytes_sent", bytes_sent_ + (link_ ? link_->bytes_sent() : 0));
   number("bytes_received", bytes_received_ + (link_ ? link_->bytes_received() : 0));
   w.EndObject();
--- a/duties/fence.h
+++ b/duties/fencing_checker.h
@@ -7,11 +7,11 @@
 #include <map>
 #include <string>
 
-#include "duties/table.h"
+#include "duties/lease_table.h"
 
 namespace nettlestand::duties {
 
-class Fence {
+class FencingChecker {
  public:
   // Whether an effect of a duty may take place; false changes nothing.
   bool admit(const std::string& duty, Token token) {
--- a/duties/link.h
+++ b/duties/frame_connection.h
@@ -13,23 +13,24 @@
 
 namespace nettlestand::duties {
 
-class Link : public std::enable_shared_from_this<Link> {
+class FrameConnection : public std::enable_shared_from_this<FrameConnection> {
  public:
   using Tcp = boost::asio::ip::tcp;
   struct Handlers {
-    std::function<void(const Frame& hello)> met;         // the other side's hello is good
-    std::function<void(const Frame& frame)> frame;       // each one behind it
-    std::function<void(const std::string& why)> closed;  // once, at the end; not after close()
+    std::function<void(const Frame& hello)> on_handshake;   // the other side's hello is good
+    std::function<void(const Frame& on_frame)> on_frame;    // each one behind it
+    std::function<void(const std::string& why)> on_closed;  // once, at the end; not after close()
   };
   struct Options {
     Keys keys;
-    std::size_t most = kMostClientFrame;        // bytes of a frame from there
-    std::size_t most_queued = 8 * 1024 * 1024;  // bytes that wait to be written; beyond it send() says no
-    double patience = 1;                        // s until it is connected and the hello is there
-    double silence = 0;                         // s without a byte until it is taken for dead; 0: never
+    std::size_t max_frame_bytes = kMaxClientFrameBytes;  // bytes of a frame from there
+    std::size_t max_queued_bytes =
+        8 * 1024 * 1024;           // bytes that wait to be written; beyond it send() says no
+    double handshake_timeout = 1;  // s until it is connected and the hello is there
+    double idle_timeout = 0;       // s without a byte until it is taken for dead; 0: never
   };
 
-  Link(boost::asio::io_context& io, Options options);
+  FrameConnection(boost::asio::io_context& io, Options options);
 
   // Says `hello` as soon as it is up.
   void connect(const Tcp::endpoint& to, const Frame& hello, Handlers handlers);
@@ -37,20 +38,20 @@
   // False: there is no hello yet, or too much waits; nothing of it is sent.
   bool send(const Frame& frame);
   // Bytes that a frame from there may have from now on.
-  void allow(std::size_t most) { channel_.allow(most); }
+  void set_max_frame_bytes(std::size_t most) { channel_.set_max_frame_bytes(most); }
   // Closes it, and tells nobody. `flush`: what waits is still written, for 0.2 s at the most.
   void close(bool flush = false);
-  bool met() const { return channel_.met() && !closed_; }
+  bool handshake_done() const { return channel_.handshake_done() && !closed_; }
   const std::string& nonce() const { return channel_.nonce(); }
   std::uint64_t bytes_sent() const { return sent_; }
   std::uint64_t bytes_received() const { return received_; }
 
  private:
-  void begin(const Frame& hello);
+  void start_handshake(const Frame& hello);
   void read();
   void write();
-  void watch(double seconds);
-  void end(const std::string& why);
+  void arm_timeout(double seconds);
+  void fail(const std::string& why);
 
   boost::asio::io_context& io_;
   const Options options_;
@@ -58,14 +59,14 @@
   boost::asio::steady_timer timer_;
   Channel channel_;
   Handlers handlers_;
-  std::string out_, writing_;
-  std::array<char, 16384> in_;
-  double heard_at_ = 0;
+  std::string queued_, writing_;
+  std::array<char, 16384> read_buffer_;
+  double last_byte_at_ = 0;
   std::uint64_t sent_ = 0, received_ = 0;
-  bool closed_ = false, closing_ = false, up_ = false;
+  bool closed_ = false, closing_ = false, connected_ = false;
 };
 
 // kNonce bytes that nobody can foretell.
-std::string fresh_nonce();
+std::string random_nonce();
 
 }  // namespace nettlestand::duties
--- /dev/null
+++ b/duties/lease_holder.cpp
@@ -0,0 +1,287 @@
+#include "duties/lease_holder.h"
+
+#include <algorithm>
+#include <cmath>
+#include <limits>
+#include <stdexcept>
+#include <utility>
+
+namespace nettlestand::duties {
+namespace {
+
+constexpr double kNever = std::numeric_limits<double>::infinity();
+constexpr std::size_t kMaxUnconfirmedRenewals = 64;  // renewals that are remembered
+
+}  // namespace
+
+const char* name_of(LeaseHolder::LossReason why) {
+  constexpr const char* names[] = {"not lost",   "lapsed", "taken",  "hand over",
+                                   "given back", "failed", "removed"};
+  return names[static_cast<std::size_t>(why)];
+}
+
+LeaseHolder::LeaseHolder(LeaseHolderSettings settings) : s_(std::move(settings)) {
+  if (s_.self.name.empty() || s_.self.name.size() > kMaxNameBytes)
+    throw std::invalid_argument("name: 1 to 64 bytes");
+  if (!(s_.drift >= 0 && s_.drift <= 0.2)) throw std::invalid_argument("drift: 0 to 0.2");
+  if (!(s_.renew_fraction > 0 && s_.renew_fraction < 1))
+    throw std::invalid_argument("renew_part: between 0 and 1");
+  if (!(s_.request_interval > 0) || !(s_.reply_timeout > 0) || !(s_.min_backoff > 0) ||
+      !(s_.max_backoff >= s_.min_backoff)) {
+    throw std::invalid_argument("times: above 0");
+  }
+}
+
+void LeaseHolder::acquire(double now, const std::string& duty, Actions& out, bool slowly) {
+  if (leaving_) return;
+  const auto [it, fresh] = duties_.try_emplace(duty);
+  it->second.wanted = true;
+  it->second.stops_slowly = slowly;
+  if (fresh) send_request(now, duty, it->second, out);
+}
+
+void LeaseHolder::release(double now, const std::string& duty, Actions& out) {
+  const auto it = duties_.find(duty);
+  if (it == duties_.end()) return;
+  it->second.wanted = false;
+  if (it->second.token == 0) {
+    duties_.erase(it);
+  } else if (it->second.state != State::kReleasing && it->second.state != State::kStopping) {
+    start_release(now, duty, it->second, LossReason::kReleased, out);
+  }
+}
+
+void LeaseHolder::report_failure(double now, const std::string& duty, Actions& out) {
+  const auto it = duties_.find(duty);
+  if (it == duties_.end() || it->second.state != State::kHeld) return;
+  Acquisition& one = it->second;
+  one.backoff = std::clamp(one.backoff * 2, s_.min_backoff, s_.max_backoff);
+  one.failed_here = true;
+  start_release(now, duty, one, LossReason::kFailed, out);
+}
+
+void LeaseHolder::release_all(double now, Actions& out) {
+  leaving_ = true;
+  std::vector<std::string> all;
+  for (const auto& [duty, one] : duties_) all.push_back(duty);
+  for (const std::string& duty : all) release(now, duty, out);
+}
+
+std::optional<Token> LeaseHolder::held_token(double now, const std::string& duty) const {
+  const auto it = duties_.find(duty);
+  if (it == duties_.end() || it->second.state != State::kHeld || now >= it->second.held_until)
+    return std::nullopt;
+  return it->second.token;
+}
+
+bool LeaseHolder::idle() const {
+  return std::none_of(duties_.begin(), duties_.end(), [](const auto& d) { return d.second.token != 0; });
+}
+
+bool LeaseHolder::is_requesting(const std::string& duty) const {
+  const auto it = duties_.find(duty);
+  return it != duties_.end() && it->second.state == State::kRequesting;
+}
+
+void LeaseHolder::request_soon(double now, const std::string& duty) {
+  const auto it = duties_.find(duty);
+  if (it != duties_.end())
+    it->second.next_send_at = std::min(it->second.next_send_at, now + s_.request_interval / 10);
+}
+
+void LeaseHolder::end_lease(const std::string& duty, Acquisition& one, LossReason why, Actions& out) {
+  if (one.state == State::kHeld) {
+    one.last_lost_token = one.token;
+    out.changes.push_back({duty, one.token, false, why});
+  }
+  one.held_until = -1e18;
+  one.unconfirmed_renewals.clear();
+}
+
+void LeaseHolder::start_release(double now, const std::string& duty, Acquisition& one, LossReason why,
+                                Actions& out) {
+  const bool had = one.state == State::kHeld;
+  end_lease(duty, one, why, out);
+  if (had && one.stops_slowly) {
+    one.state = State::kStopping;
+    one.next_send_at = kNever;
+    return;
+  }
+  one.state = State::kReleasing;
+  send_request(now, duty, one, out);
+}
+
+void LeaseHolder::confirm_stopped(double now, const std::string& duty, Actions& out) {
+  const auto it = duties_.find(duty);
+  if (it == duties_.end() || it->second.state != State::kStopping) return;
+  it->second.state = State::kReleasing;
+  send_request(now, duty, it->second, out);
+}
+
+double LeaseHolder::held_until(const std::string& duty) const {
+  const auto it = duties_.find(duty);
+  return it == duties_.end() ? -1e18 : it->second.last_held_until;
+}
+
+// What is to be said of a duty now.
+void LeaseHolder::send_request(double now, const std::string& duty, Acquisition& one, Actions& out) {
+  Request r;
+  r.seq = ++seq_;
+  r.node = s_.self;
+  r.duty = duty;
+  r.token = one.token;
+  switch (one.state) {
+    case State::kBackingOff:
+    case State::kRequesting:
+      one.state = State::kRequesting;
+      r.kind = Request::Kind::kAcquire;
+      one.next_send_at = now + s_.request_interval;
+      break;
+    case State::kConfirming:
+    case State::kHeld:
+      r.kind = Request::Kind::kRenew;
+      if (one.unconfirmed_renewals.size() >= kMaxUnconfirmedRenewals)
+        one.unconfirmed_renewals.erase(one.unconfirmed_renewals.begin());
+      one.unconfirmed_renewals[r.seq] = now;
+      one.next_send_at = now + s_.reply_timeout;
+      break;
+    case State::kStopping:
+      return;
+    case State::kReleasing:
+      r.kind = Request::Kind::kRelease;
+      r.failed = one.failed_here;
+      one.next_send_at = now + s_.reply_timeout;
+      break;
+  }
+  out.requests.push_back(std::move(r));
+}
+
+void LeaseHolder::on_reply(double now, const Reply& reply, Actions& out) {
+  auto it = duties_.find(reply.duty);
+  if (it == duties_.end()) {
+    if (reply.kind != Reply::Kind::kGranted) return;
+    it = duties_.try_emplace(reply.duty).first;
+    it->second.wanted = false;
+    it->second.state = State::kReleasing;
+  }
+  Acquisition& one = it->second;
+  switch (reply.kind) {
+    case Reply::Kind::kGranted:
+      if (reply.token <= one.token) return;  // heard before
+      one.token = reply.token;
+      // Told that it was lost, by a leader whose word did not last: what was done under it is over all the
+      // same.
+      if (reply.token <= one.last_lost_token && one.state != State::kStopping) {
+        one.state = State::kReleasing;
+        one.reacquire_at_once = true;
+        return send_request(now, reply.duty, one, out);
+      }
+      // Danger: a grant that was on its way when this node wanted the duty no more would stay with it for a
+      // lease.
+      if (one.state == State::kStopping) return;  // a later grant: it is given back with the rest
+      if (one.state == State::kReleasing || one.state == State::kBackingOff) {
+        one.state = State::kReleasing;
+        return send_request(now, reply.duty, one, out);
+      }
+      if (one.state == State::kHeld) end_lease(reply.duty, one, LossReason::kRevoked, out);
+      one.state = State::kConfirming;
+      one.unconfirmed_renewals.clear();
+      return send_request(now, reply.duty, one, out);
+    case Reply::Kind::kRenewed: {
+      const auto sent = one.unconfirmed_renewals.find(reply.seq);
+      if (reply.token != one.token || sent == one.unconfirmed_renewals.end())
+        return;  // of an earlier lease, or heard before
+      const double until = sent->second + reply.lease_seconds * (1 - s_.drift);
+      one.unconfirmed_renewals.erase(one.unconfirmed_renewals.begin(), std::next(sent));
+      one.lease_seconds = reply.lease_seconds;
+      if (until <= now) return;  // too late to count: the next one may not be
+      one.held_until = std::max(one.held_until, until);
+      one.last_held_until = one.held_until;
+      if (one.state == State::kConfirming) {
+        one.state = State::kHeld;
+        one.failed_here = false;
+        out.changes.push_back({reply.duty, one.token, true, LossReason::kNone});
+      }
+      one.next_send_at = now + reply.lease_seconds * s_.renew_fraction;
+      return;
+    }
+    case Reply::Kind::kLost:
+      if (reply.token != one.token || (one.state != State::kHeld && one.state != State::kConfirming)) return;
+      end_lease(reply.duty, one, LossReason::kRevoked, out);
+      one.state = State::kRequesting;
+      one.token = 0;
+      one.next_send_at = now;
+      return;
+    case Reply::Kind::kHandOver:
+      if (reply.token != one.token || (one.state != State::kHeld && one.state != State::kConfirming)) return;
+      return start_release(now, reply.duty, one, LossReason::kHandOver, out);
+    case Reply::Kind::kDone:
+      if (one.state != State::kReleasing) return;
+      one.token = 0;
+      if (!one.wanted) {
+        duties_.erase(it);
+        return;
+      }
+      one.state = State::kBackingOff;
+      one.next_send_at =
+          now +
+          (std::exchange(one.reacquire_at_once, false) ? 0 : std::max(one.backoff, s_.request_interval));
+      return;
+    case Reply::Kind::kRefused:
+      if (one.state == State::kStopping) return;
+      end_lease(reply.duty, one, LossReason::kRemoved, out);
+      one.token = 0;
+      if (!one.wanted) {
+        duties_.erase(it);
+        return;
+      }
+      one.state = State::kBackingOff;
+      one.next_send_at = now + s_.max_backoff / 6;  // it may be defined, or allowed, one day
+      return;
+    default:  // waiting, no leader, busy: it is said again in time
+      return;
+  }
+}
+
+void LeaseHolder::on_leader_changed(double now, Actions& out) {
+  for (auto& [duty, one] : duties_) {
+    if (one.state != State::kBackingOff && one.state != State::kStopping) send_request(now, duty, one, out);
+  }
+}
+
+void LeaseHolder::tick(double now, Actions& out) {
+  for (auto& [duty, one] : duties_) {
+    if (one.state == State::kHeld && now >= one.held_until) {
+      // Perhaps the voters have not given it away. All the same it is given back, and asked for anew: what
+      // was done under this token is over, and whatever of it comes late is told from what is done then.
+      one.reacquire_at_once = true;
+      start_release(now, duty, one, LossReason::kExpired, out);
+    }
+    if (now >= one.next_send_at) send_request(now, duty, one, out);
+  }
+}
+
+void LeaseHolder::describe(double now, std::string& out) const {
+  const auto put = [&out](double value) { out += std::to_string(std::llround(value * 1e4)) + ","; };
+  for (const auto& [duty, one] : duties_) {
+    out += duty + ":" + std::to_string(static_cast<int>(one.state)) + (one.wanted ? "w" : "-") +
+           (one.failed_here ? "f" : "-") + (one.reacquire_at_once ? "s" : "-") + std::to_string(one.token) +
+           "," + std::to_string(one.last_lost_token) + ";";
+    put(std::max(one.held_until - now, -1.0));
+    put(std::max(one.next_send_at - now, -1.0));
+    put(one.backoff);
+    for (const auto& [seq, sent] : one.unconfirmed_renewals) put(now - sent);
+  }
+  out += leaving_ ? "l" : "-";
+}
+
+double LeaseHolder::next_deadline() const {
+  double out = kNever;
+  for (const auto& [duty, one] : duties_) {
+    out = std::min(out, one.next_send_at);
+    if (one.state == State::kHeld) out = std::min(out, one.held_until);
+  }
+  return out;
+}
+
+}  // namespace nettlestand::duties
--- a/duties/table.h
+++ b/duties/lease_table.h
@@ -18,38 +18,40 @@
 // seen.
 using Token = std::uint64_t;
 
-inline constexpr const char* kAnyOther = "*";
+inline constexpr const char* kAnyOtherNode = "*";
 
-constexpr std::size_t kLongestName = 64;  // bytes, of duties, nodes, zones and regions
-constexpr std::size_t kMostListed = 64;   // names in one list of a duty
-constexpr std::size_t kMostDuties = 4096;
+constexpr std::size_t kMaxNameBytes = 64;    // bytes, of duties, nodes, zones and regions
+constexpr std::size_t kMaxListEntries = 64;  // names in one list of a duty
+constexpr std::size_t kMaxDuties = 4096;
 
 // A process that may hold duties: its name, and the life that tells it from its former selves.
 struct Node {
   std::string name;
-  std::uint64_t life = 0;
+  std::uint64_t generation = 0;
   std::string zone, region;
   bool operator==(const Node&) const = default;
-  bool is(const Node& other) const { return name == other.name && life == other.life; }
+  bool same_generation(const Node& other) const {
+    return name == other.name && generation == other.generation;
+  }
 };
 
 struct Duty {
   std::string name;
-  double length = 5;                // s; of a lease
-  std::vector<std::string> prefer;  // zones or regions, the best first
-  std::vector<std::string> apart;   // duties that are never to be on the same node
-  std::vector<std::string> never;   // nodes that may not hold it
+  double lease_seconds = 5;                      // s; of a lease
+  std::vector<std::string> preferred_locations;  // zones or regions, the best first
+  std::vector<std::string> anti_affinity;        // duties that are never to be on the same node
+  std::vector<std::string> excluded_nodes;       // nodes that may not hold it
   bool operator==(const Duty&) const = default;
 };
 
 // Why a duty is where it is.
 enum class Cause : std::uint8_t {
-  kNew,        // it was never held
-  kAsked,      // granted to who asked
-  kGivenBack,  // its holder gave it back
-  kPassed,     // an operator had it passed on
-  kLapsed,     // its holder was not heard for a lease's length
-  kFailed      // its holder could not do it
+  kNew,          // it was never held
+  kRequested,    // granted to who asked
+  kReleased,     // its holder gave it back
+  kTransferred,  // an operator had it passed on
+  kExpired,      // its holder was not heard for a lease's length
+  kFailed        // its holder could not do it
 };
 const char* name_of(Cause cause);
 
@@ -58,8 +60,8 @@
   Token token = 0;             // of the last grant
   std::optional<Node> holder;  // none: it is free
   Cause cause = Cause::kNew;
-  std::string
-      next;  // whom an operator wants it passed to, until somebody has it; kAnyOther: no matter to whom
+  std::string transfer_to;  // whom an operator wants it passed to, until somebody has it; kAnyOther: no
+                            // matter to whom
   bool operator==(const Lease&) const = default;
 };
 
@@ -69,7 +71,7 @@
     kRemove,   // `name`: it is nobody's, and forgotten
     kGrant,    // `name` to `node`, if it is free and `token` is still that of the last grant
     kRelease,  // `name` from who has `token`, for `cause`
-    kPass      // `name` to the node called `node.name`, or kAnyOther, once it is free
+    kTransfer  // `name` to the node called `node.name`, or kAnyOther, once it is free
   };
   Kind kind = Kind::kGrant;
   std::string name;
@@ -82,38 +84,38 @@
 
 enum class Refusal : std::uint8_t {
   kNone,
-  kUnknown,  // no such duty
-  kHeld,     // somebody has it
-  kStale,    // the token is not that of the last grant
-  kNever,    // this node may not have it
-  kApart,    // this node has a duty that must be elsewhere
-  kBadName,  // a name or a list that is empty or too long, a length out of range
-  kTooMany
+  kUnknownDuty,   // no such duty
+  kHeld,          // somebody has it
+  kStaleToken,    // the token is not that of the last grant
+  kNodeExcluded,  // this node may not have it
+  kAntiAffinity,  // this node has a duty that must be elsewhere
+  kInvalid,       // a name or a list that is empty or too long, a length out of range
+  kTooManyDuties
 };
 const char* name_of(Refusal refusal);
 
-struct Applied {
+struct CommandResult {
   Refusal refusal = Refusal::kNone;
   Token token = 0;  // of a grant
-  bool done() const { return refusal == Refusal::kNone; }
+  bool ok() const { return refusal == Refusal::kNone; }
 };
 
 // What can't be read: bytes that are none of ours, or of another version.
-struct BadBytes : std::runtime_error {
+struct DecodeError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-class Table {
+class LeaseTable {
  public:
   // Whether a command would do something, and why not. For whoever means to propose it.
   Refusal check(const Command& command) const;
-  Applied apply(const Command& command);
+  CommandResult apply(const Command& command);
 
   const Lease* find(const std::string& duty) const;
   const std::map<std::string, Lease>& leases() const { return leases_; }
   Token last_token() const { return last_token_; }
-  std::uint64_t applied() const { return applied_; }
-  bool operator==(const Table&) const = default;
+  std::uint64_t applied_count() const { return applied_; }
+  bool operator==(const LeaseTable&) const = default;
 
   // The whole table as bytes, and back. Throws BadBytes, and changes nothing.
   std::string snapshot() const;
--- a/duties/pack.h
+++ b/duties/msgpack_codec.h
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-#include "duties/table.h"
+#include "duties/lease_table.h"
 
 namespace nettlestand::duties {
 
@@ -19,36 +19,36 @@
 void pack_bytes(Packer& out, std::string_view bytes);
 
 // Reading: what does not fit throws BadBytes, or msgpack's own type errors.
-const msgpack::object& part(const msgpack::object& o, std::uint32_t i, std::uint32_t size);
+const msgpack::object& element(const msgpack::object& o, std::uint32_t i, std::uint32_t size);
 template <class Value>
-Value as(const msgpack::object& o, std::uint32_t i, std::uint32_t size) {
-  return part(o, i, size).as<Value>();
+Value element_as(const msgpack::object& o, std::uint32_t i, std::uint32_t size) {
+  return element(o, i, size).as<Value>();
 }
 template <class Enum>
-Enum word(const msgpack::object& o, std::uint32_t i, std::uint32_t size, Enum last) {
-  const auto value = as<std::uint8_t>(o, i, size);
-  if (value > static_cast<std::uint8_t>(last)) throw BadBytes("a word that is none");
+Enum enum_element(const msgpack::object& o, std::uint32_t i, std::uint32_t size, Enum last) {
+  const auto value = element_as<std::uint8_t>(o, i, size);
+  if (value > static_cast<std::uint8_t>(last)) throw DecodeError("a word that is none");
   return static_cast<Enum>(value);
 }
-std::string text_of(const msgpack::object& o, std::size_t most);
-Node node_of(const msgpack::object& o);
-Duty duty_of(const msgpack::object& o);
-std::vector<const msgpack::object*> parts_of(const msgpack::object& o, std::size_t most);
+std::string string_value(const msgpack::object& o, std::size_t most);
+Node node_from(const msgpack::object& o);
+Duty duty_from(const msgpack::object& o);
+std::vector<const msgpack::object*> array_elements(const msgpack::object& o, std::size_t most);
 
 // Reads one object that fills `bytes`, or throws BadBytes.
 template <class Read>
-auto reading(std::string_view bytes, Read read) {
+auto decode_msgpack(std::string_view bytes, Read read) {
   try {
     std::size_t at = 0;
     const msgpack::unpack_limit limit(1 << 20, 16, 1 << 26, 1 << 26, 0, 16);
     const msgpack::object_handle handle =
         msgpack::unpack(bytes.data(), bytes.size(), at, nullptr, nullptr, limit);
-    if (at != bytes.size()) throw BadBytes("more bytes than belong there");
+    if (at != bytes.size()) throw DecodeError("more bytes than belong there");
     return read(handle.get());
-  } catch (const BadBytes&) {
+  } catch (const DecodeError&) {
     throw;
   } catch (const std::exception& problem) {
-    throw BadBytes(problem.what());
+    throw DecodeError(problem.what());
   }
 }
 
--- a/duties/agreement.cpp
+++ b/duties/raft_replica.cpp
@@ -1,4 +1,4 @@
-#include "duties/agreement.h"
+#include "duties/raft_replica.h"
 
 extern "C" {
 #include <raft.h>
@@ -14,20 +14,20 @@
 #include <stdexcept>
 #include <utility>
 
-#include "duties/pack.h"
+#include "duties/msgpack_codec.h"
 
 namespace nettlestand::duties {
 namespace {
 
-constexpr std::uint64_t kMostTerm = std::uint64_t{1} << 62;  // also of indices: libraft adds to them
-constexpr std::uint64_t kMostId = (std::uint64_t{1} << 63) - 1;
-constexpr std::size_t kMostEntries = 65536;  // in one message
-constexpr std::size_t kMostServers = 64;
+constexpr std::uint64_t kMaxTerm = std::uint64_t{1} << 62;  // also of indices: libraft adds to them
+constexpr std::uint64_t kMaxId = (std::uint64_t{1} << 63) - 1;
+constexpr std::size_t kMaxEntriesPerMessage = 65536;  // in one message
+constexpr std::size_t kMaxServers = 64;
 
 // libraft has functions of these names, too.
 using ApplyRequest = struct ::raft_apply;
 
-raft_buffer copied(std::string_view bytes) {
+raft_buffer to_raft_buffer(std::string_view bytes) {
   raft_buffer out{raft_malloc(std::max<std::size_t>(bytes.size(), 1)), bytes.size()};
   if (out.base == nullptr) throw std::bad_alloc();
   std::memcpy(out.base, bytes.data(), bytes.size());
@@ -37,7 +37,7 @@
 
 // libraft's own form of a configuration: a version, a count, then id, a text that ends with 0, and a role
 // each. Danger: it reads past the end of one that is cut short.
-bool sound_configuration(std::string_view b) {
+bool valid_configuration(std::string_view b) {
   const auto number = [&b]() -> std::optional<std::uint64_t> {
     if (b.size() < 8) return std::nullopt;
     std::uint64_t out = 0;
@@ -48,7 +48,7 @@
   if (b.empty() || b[0] != 1) return false;
   b.remove_prefix(1);
   const auto n = number();
-  if (!n || *n == 0 || *n > kMostServers) return false;
+  if (!n || *n == 0 || *n > kMaxServers) return false;
   std::vector<std::uint64_t> ids;
   std::vector<std::string> names;
   for (std::uint64_t i = 0; i < *n; ++i) {
@@ -73,20 +73,20 @@
     out.push_back({c.servers[i].id, c.servers[i].address, c.servers[i].role});
   return out;
 }
-void fill(raft_configuration& out, const std::vector<StoredServer>& servers) {
+void fill_configuration(raft_configuration& out, const std::vector<StoredServer>& servers) {
   raft_configuration_init(&out);
   for (const StoredServer& s : servers) {
     if (raft_configuration_add(&out, s.id, s.name.c_str(), s.role) != 0) {
       raft_configuration_close(&out);
-      throw BadBytes("servers that can't be");
+      throw DecodeError("servers that can't be");
     }
   }
 }
 
-std::uint64_t sane(const msgpack::object& o, std::uint32_t i, std::uint32_t size,
-                   std::uint64_t most = kMostTerm) {
-  const auto out = as<std::uint64_t>(o, i, size);
-  if (out > most) throw BadBytes("a number that can't be");
+std::uint64_t bounded(const msgpack::object& o, std::uint32_t i, std::uint32_t size,
+                      std::uint64_t most = kMaxTerm) {
+  const auto out = element_as<std::uint64_t>(o, i, size);
+  if (out > most) throw DecodeError("a number that can't be");
   return out;
 }
 
@@ -173,15 +173,15 @@
 
 }  // namespace
 
-struct Agreement::Impl {
-  Impl(AgreementSettings settings, Store& store, double now)
+struct RaftReplica::Impl {
+  Impl(RaftSettings settings, Store& store, double now)
       : s(std::move(settings)), store(store), now(now), random(s.seed) {
     stored = store.load();
-    last = stored.first + stored.entries.size() - 1;
+    last_index = stored.first_index + stored.entries.size() - 1;
     io.version = 1;
     io.impl = this;
     io.init = [](raft_io*, raft_id, const char*) { return 0; };
-    io.close = [](raft_io* io, raft_io_close_cb cb) { of(io).later([io, cb] { cb(io); }); };
+    io.close = [](raft_io* io, raft_io_close_cb cb) { of(io).defer([io, cb] { cb(io); }); };
     io.load = load;
     io.start = [](raft_io* io, unsigned, raft_io_tick_cb tick, raft_io_recv_cb recv) {
       of(io).on_tick = tick;
@@ -191,20 +191,22 @@
     io.bootstrap = [](raft_io*, const raft_configuration*) { return RAFT_INVALID; };
     io.recover = [](raft_io*, const raft_configuration*) { return RAFT_INVALID; };
     io.set_term = [](raft_io* io, raft_term term) {
-      return of(io).guarded([&] { of(io).store.set_term(term); });
+      return of(io).guard_store([&] { of(io).store.set_term(term); });
+    };
+    io.set_vote = [](raft_io* io, raft_id id) {
+      return of(io).guard_store([&] { of(io).store.set_vote(id); });
     };
-    io.set_vote = [](raft_io* io, raft_id id) { return of(io).guarded([&] { of(io).store.set_vote(id); }); };
     io.send = send;
     io.append = append;
     io.truncate = [](raft_io* io, raft_index index) {
       Impl& me = of(io);
-      me.write();  // what was to come before it
-      const int code = me.guarded([&] { me.store.truncate(index); });
-      if (code == 0) me.last = std::min<std::uint64_t>(me.last, index - 1);
+      me.write_pending();  // what was to come before it
+      const int code = me.guard_store([&] { me.store.truncate(index); });
+      if (code == 0) me.last_index = std::min<std::uint64_t>(me.last_index, index - 1);
       return code;
     };
-    io.snapshot_put = put;
-    io.snapshot_get = get;
+    io.snapshot_put = put_snapshot;
+    io.snapshot_get = get_snapshot;
     io.time = [](raft_io* io) { return static_cast<raft_time>(of(io).now * 1000); };
     io.random = [](raft_io* io, int min, int max) {
       return std::uniform_int_distribution<int>(min, std::max(min, max - 1))(of(io).random);
@@ -216,14 +218,14 @@
     fsm.snapshot = [](raft_fsm* fsm, raft_buffer* bufs[], unsigned* n) {
       *bufs = static_cast<raft_buffer*>(raft_malloc(sizeof(raft_buffer)));
       if (*bufs == nullptr) return RAFT_NOMEM;
-      (*bufs)[0] = copied(of(fsm).table.snapshot());
+      (*bufs)[0] = to_raft_buffer(of(fsm).table.snapshot());
       *n = 1;
       return 0;
     };
     fsm.restore = [](raft_fsm* fsm, raft_buffer* buf) {
       try {
         of(fsm).table.restore(view(*buf));
-      } catch (const BadBytes&) {
+      } catch (const DecodeError&) {
         return RAFT_MALFORMED;
       }
       raft_free(buf->base);
@@ -231,45 +233,45 @@
     };
     if (raft_init(&raft, &io, &fsm, stored.id, s.name.c_str()) != 0)
       throw std::runtime_error(std::string("agreement: ") + raft_errmsg(&raft));
-    begun = true;
-    raft_set_election_timeout(&raft, s.election_ms);
-    raft_set_heartbeat_timeout(&raft, s.heartbeat_ms);
-    raft_set_snapshot_threshold(&raft, s.snapshot_after);
-    raft_set_snapshot_trailing(&raft, s.snapshot_keeps);
+    started = true;
+    raft_set_election_timeout(&raft, s.election_timeout_ms);
+    raft_set_heartbeat_timeout(&raft, s.heartbeat_interval_ms);
+    raft_set_snapshot_threshold(&raft, s.snapshot_threshold);
+    raft_set_snapshot_trailing(&raft, s.snapshot_trailing);
     raft_set_pre_vote(&raft, true);
     const int code = raft_start(&raft);
     if (code != 0) {
-      const std::string why = raft_errmsg(&raft);
+      const std::string failure = raft_errmsg(&raft);
       close();
-      throw std::runtime_error("agreement: " + (why.empty() ? raft_strerror(code) : why));
+      throw std::runtime_error("agreement: " + (failure.empty() ? raft_strerror(code) : failure));
     }
-    settle();
+    run_pending();
   }
   ~Impl() { close(); }
 
   void close() {
-    if (!begun) return;
-    begun = false;
+    if (!started) return;
+    started = false;
     closing = true;
     raft.data = this;
     raft_close(&raft, [](struct raft* r) { static_cast<Impl*>(r->data)->closed = true; });
-    while (!closed && !(pending.empty() && due.empty())) settle();
+    while (!closed && !(pending_appends.empty() && deferred.empty())) run_pending();
   }
 
   static Impl& of(raft_io* io) { return *static_cast<Impl*>(io->impl); }
   static Impl& of(raft_fsm* fsm) { return *static_cast<Impl*>(fsm->data); }
 
   // libraft's callbacks come after the call that led to them, never inside it.
-  void later(std::function<void()> f) { due.push_back(std::move(f)); }
+  void defer(std::function<void()> f) { deferred.push_back(std::move(f)); }
 
-  int guarded(const std::function<void()>& f) {
+  int guard_store(const std::function<void()>& f) {
     try {
       f();
       ++counters.writes;
       return 0;
     } catch (const StoreError& error) {
       std::snprintf(io.errmsg, sizeof io.errmsg, "%s", error.what());
-      why = error.what();
+      failure = error.what();
       // Danger: after a write that failed libraft's leader forgets the entry and leads on, and may put
       // another in its place in the same term. So this is taken as a crash: all begins again from what is
       // stored.
@@ -283,8 +285,8 @@
     Impl& me = of(io);
     *term = me.stored.term;
     *vote = me.stored.vote;
-    *snapshot = me.stored.snapshot ? made(*me.stored.snapshot) : nullptr;
-    *start = me.stored.first;
+    *snapshot = me.stored.snapshot ? to_raft_snapshot(*me.stored.snapshot) : nullptr;
+    *start = me.stored.first_index;
     *n = me.stored.entries.size();
     *entries = to_entries(me.stored.entries);
     return 0;
@@ -310,15 +312,15 @@
     return out;
   }
 
-  static raft_snapshot* made(const StoredSnapshot& from) {
+  static raft_snapshot* to_raft_snapshot(const StoredSnapshot& from) {
     auto* out = static_cast<raft_snapshot*>(raft_calloc(1, sizeof(raft_snapshot)));
     if (out == nullptr) throw std::bad_alloc();
     out->index = from.index;
     out->term = from.term;
-    fill(out->configuration, from.servers);
-    out->configuration_index = from.servers_index;
+    fill_configuration(out->configuration, from.servers);
+    out->configuration_index = from.configuration_index;
     out->bufs = static_cast<raft_buffer*>(raft_malloc(sizeof(raft_buffer)));
-    out->bufs[0] = copied(from.data);
+    out->bufs[0] = to_raft_buffer(from.data);
     out->n_bufs = 1;
     return out;
   }
@@ -332,7 +334,7 @@
     e.bytes = encode(*message);
     me.events.push_back(std::move(e));
     // Who hands over the lead does not want to hear of it.
-    if (cb != nullptr) me.later([req, cb] { cb(req, 0); });
+    if (cb != nullptr) me.defer([req, cb] { cb(req, 0); });
     return 0;
   }
 
@@ -347,56 +349,56 @@
     Append a{{}, req, cb};
     for (unsigned i = 0; i < n; ++i)
       a.entries.push_back({entries[i].term, entries[i].type, std::string(view(entries[i].buf))});
-    me.pending.push_back(std::move(a));
+    me.pending_appends.push_back(std::move(a));
     return 0;
   }
 
   // All that waits, in one transaction (group commit).
-  void write() {
-    if (pending.empty()) return;
-    const std::vector<Append> now_written = std::exchange(pending, {});
+  void write_pending() {
+    if (pending_appends.empty()) return;
+    const std::vector<Append> now_written = std::exchange(pending_appends, {});
     std::vector<StoredEntry> all;
     for (const Append& a : now_written) all.insert(all.end(), a.entries.begin(), a.entries.end());
     if (!closing) {
-      if (guarded([&] { store.append(last + 1, all); }) != 0) {  // for close() to call back
-        pending = now_written;
+      if (guard_store([&] { store.append(last_index + 1, all); }) != 0) {  // for close() to call back
+        pending_appends = now_written;
         return;
       }
-      last += all.size();
-      counters.written += all.size();
+      last_index += all.size();
+      counters.entries_written += all.size();
     }
     // Danger: libraft 0.15 frees an entry twice where its write is called back as failed. It is never told
     // so: at the end, when it does nothing any more but free, as done.
-    for (const Append& a : now_written) later([req = a.req, cb = a.cb] { cb(req, 0); });
+    for (const Append& a : now_written) defer([req = a.req, cb = a.cb] { cb(req, 0); });
   }
 
-  static int put(raft_io* io, unsigned trailing, raft_io_snapshot_put* req, const raft_snapshot* snapshot,
-                 raft_io_snapshot_put_cb cb) {
+  static int put_snapshot(raft_io* io, unsigned trailing, raft_io_snapshot_put* req,
+                          const raft_snapshot* snapshot, raft_io_snapshot_put_cb cb) {
     Impl& me = of(io);
-    me.later([&me, trailing, req, snapshot, cb] {
+    me.defer([&me, trailing, req, snapshot, cb] {
       if (me.closing) return cb(req, RAFT_CANCELED);
-      me.write();
+      me.write_pending();
       StoredSnapshot s{snapshot->index, snapshot->term, servers_of(snapshot->configuration),
                        snapshot->configuration_index, ""};
       for (unsigned i = 0; i < snapshot->n_bufs; ++i) s.data += view(snapshot->bufs[i]);
-      const int code = me.guarded([&] { me.store.put(s, trailing); });
+      const int code = me.guard_store([&] { me.store.put_snapshot(s, trailing); });
       if (code == 0) {
         ++me.counters.snapshots;
-        if (trailing == 0) me.last = s.index;
+        if (trailing == 0) me.last_index = s.index;
       }
       cb(req, code);
     });
     return 0;
   }
 
-  static int get(raft_io* io, raft_io_snapshot_get* req, raft_io_snapshot_get_cb cb) {
+  static int get_snapshot(raft_io* io, raft_io_snapshot_get* req, raft_io_snapshot_get_cb cb) {
     Impl& me = of(io);
-    me.later([&me, req, cb] {
+    me.defer([&me, req, cb] {
       if (me.closing) return cb(req, nullptr, RAFT_CANCELED);
       std::optional<StoredSnapshot> s;
-      const int code = me.guarded([&] { s = me.store.snapshot(); });
+      const int code = me.guard_store([&] { s = me.store.load_snapshot(); });
       if (code != 0 || !s) return cb(req, nullptr, code != 0 ? code : RAFT_NOTFOUND);
-      cb(req, made(*s), 0);
+      cb(req, to_raft_snapshot(*s), 0);
     });
     return 0;
   }
@@ -408,7 +410,7 @@
     e.kind = Event::Kind::kApplied;
     try {
       e.command = decode(view(*buf));
-    } catch (const BadBytes&) {
+    } catch (const DecodeError&) {
       return 0;  // of another version, the same for all voters: it does nothing
     }
     e.result = me.table.apply(e.command);
@@ -417,37 +419,37 @@
   }
 
   // Everything that a call has led to, until nothing is left.
-  void settle() {
-    while ((!pending.empty() || !due.empty()) && (!broken || closing)) {
-      write();
+  void run_pending() {
+    while ((!pending_appends.empty() || !deferred.empty()) && (!broken || closing)) {
+      write_pending();
       if (broken && !closing) break;
-      std::deque<std::function<void()>> now_due = std::exchange(due, {});
-      for (auto& f : now_due) f();
+      std::deque<std::function<void()>> now_deferred = std::exchange(deferred, {});
+      for (auto& f : now_deferred) f();
     }
     if (closing) return;
     const int state = raft_state(&raft);
     broken = broken || state == RAFT_UNAVAILABLE;
     if (broken) {
-      lead_ended();
-      if (!std::exchange(told_failed, true))
-        tell(Event::Kind::kFailed, why.empty() ? std::string(raft_errmsg(&raft)) : why);
+      lose_leadership();
+      if (!std::exchange(failure_reported, true))
+        emit(Event::Kind::kFailed, failure.empty() ? std::string(raft_errmsg(&raft)) : failure);
       return;
     }
     if (state != RAFT_LEADER) {
-      lead_ended();
+      lose_leadership();
       led_term = 0;
     } else if (led_term != raft.current_term) {
-      lead_ended();
+      lose_leadership();
       led_term = raft.current_term;
       // What is applied behind this is all of former terms.
-      if (!make_barrier(0)) led_term = 0;  // asked again with the next turn
-      settle();
+      if (!start_barrier(0)) led_term = 0;  // asked again with the next turn
+      run_pending();
     }
   }
-  void lead_ended() {
-    if (std::exchange(leading, false)) tell(Event::Kind::kFollows, "");
+  void lose_leadership() {
+    if (std::exchange(is_leader, false)) emit(Event::Kind::kLostLeadership, "");
   }
-  void tell(Event::Kind kind, std::string bytes) {
+  void emit(Event::Kind kind, std::string bytes) {
     Event e;
     e.kind = kind;
     e.bytes = std::move(bytes);
@@ -459,7 +461,7 @@
     Impl* me = nullptr;
     std::uint64_t number = 0, term = 0;
   };
-  bool make_barrier(std::uint64_t number) {
+  bool start_barrier(std::uint64_t number) {
     auto b = std::make_unique<Barrier>();
     b->me = this;
     b->number = number;
@@ -471,12 +473,12 @@
       if (status != 0 || me.closing) return;
       if (done->number == 0) {
         if (me.led_term == done->term && raft_state(&me.raft) == RAFT_LEADER &&
-            !std::exchange(me.leading, true))
-          me.tell(Event::Kind::kLeads, "");
+            !std::exchange(me.is_leader, true))
+          me.emit(Event::Kind::kBecameLeader, "");
         return;
       }
       Event e;
-      e.kind = Event::Kind::kBarrier;
+      e.kind = Event::Kind::kBarrierDone;
       e.number = done->number;
       me.events.push_back(std::move(e));
     });
@@ -491,9 +493,9 @@
     std::uint64_t id = 0;
     bool promote = false;
   };
-  void changed(int status) {
-    changing = false;
-    tell(Event::Kind::kChanged, status == 0 ? "" : raft_strerror(status));
+  void finish_change(int status) {
+    change_pending = false;
+    emit(Event::Kind::kMembershipChanged, status == 0 ? "" : raft_strerror(status));
   }
   bool promote(std::uint64_t id) {
     auto c = std::make_unique<Change>();
@@ -501,10 +503,10 @@
     c->req.data = c.get();
     const int code = raft_assign(&raft, &c->req, id, RAFT_VOTER, [](raft_change* req, int status) {
       const std::unique_ptr<Change> done(static_cast<Change*>(req->data));
-      done->me->changed(status);
+      done->me->finish_change(status);
     });
     if (code != 0) {
-      changed(code);
+      finish_change(code);
       return false;
     }
     c.release();
@@ -513,48 +515,48 @@
 
   // What is a voter's message, or none. Danger: libraft is built without its assertions, and goes on with
   // whatever it is given; all that is freed later is made here by its own allocator.
-  bool read(const msgpack::object& o, raft_message& m) {
-    if (o.type != msgpack::type::ARRAY || o.via.array.size == 0) throw BadBytes("no message");
+  bool decode_message(const msgpack::object& o, raft_message& m) {
+    if (o.type != msgpack::type::ARRAY || o.via.array.size == 0) throw DecodeError("no message");
     const std::uint32_t n = o.via.array.size;
-    m.type = as<std::uint8_t>(o, 0, n);
+    m.type = element_as<std::uint8_t>(o, 0, n);
     const bool leads_too = raft_state(&raft) == RAFT_LEADER;
     switch (m.type) {
       case RAFT_IO_REQUEST_VOTE: {
         auto& x = m.request_vote;
-        x.term = sane(o, 1, 7);
-        x.candidate_id = sane(o, 2, 7, kMostId);
-        x.last_log_index = sane(o, 3, 7);
-        x.last_log_term = sane(o, 4, 7);
-        x.disrupt_leader = as<bool>(o, 5, 7);
-        x.pre_vote = as<bool>(o, 6, 7);
+        x.term = bounded(o, 1, 7);
+        x.candidate_id = bounded(o, 2, 7, kMaxId);
+        x.last_log_index = bounded(o, 3, 7);
+        x.last_log_term = bounded(o, 4, 7);
+        x.disrupt_leader = element_as<bool>(o, 5, 7);
+        x.pre_vote = element_as<bool>(o, 6, 7);
         return x.term > 0 && x.candidate_id == m.server_id;
       }
       case RAFT_IO_REQUEST_VOTE_RESULT: {
         auto& x = m.request_vote_result;
-        x.term = sane(o, 1, 4);
-        x.vote_granted = as<bool>(o, 2, 4);
-        x.pre_vote = static_cast<raft_tribool>(sane(o, 3, 4, raft_tribool_false));
+        x.term = bounded(o, 1, 4);
+        x.vote_granted = element_as<bool>(o, 2, 4);
+        x.pre_vote = static_cast<raft_tribool>(bounded(o, 3, 4, raft_tribool_false));
         return true;
       }
       case RAFT_IO_APPEND_ENTRIES: {
         auto& x = m.append_entries;
-        x.term = sane(o, 1, 6);
-        x.prev_log_index = sane(o, 2, 6);
-        x.prev_log_term = sane(o, 3, 6);
-        x.leader_commit = sane(o, 4, 6);
+        x.term = bounded(o, 1, 6);
+        x.prev_log_index = bounded(o, 2, 6);
+        x.prev_log_term = bounded(o, 3, 6);
+        x.leader_commit = bounded(o, 4, 6);
         if (x.term == 0 || x.prev_log_term > x.term || (x.prev_log_index == 0) != (x.prev_log_term == 0))
           return false;
         // Two leaders in one term can't be: one of them lies.
         if (leads_too && x.term <= raft.current_term && x.term == raft.current_term) return false;
         std::vector<StoredEntry> entries;
         std::uint64_t before = x.prev_log_term;
-        for (const msgpack::object* e : parts_of(part(o, 5, 6), kMostEntries)) {
+        for (const msgpack::object* e : array_elements(element(o, 5, 6), kMaxEntriesPerMessage)) {
           StoredEntry one;
-          one.term = sane(*e, 0, 3);
-          one.type = static_cast<std::uint16_t>(sane(*e, 1, 3, RAFT_CHANGE));
-          one.data = text_of(part(*e, 2, 3), 1 << 26);
+          one.term = bounded(*e, 0, 3);
+          one.type = static_cast<std::uint16_t>(bounded(*e, 1, 3, RAFT_CHANGE));
+          one.data = string_value(element(*e, 2, 3), 1 << 26);
           if (one.term == 0 || one.term < before || one.term > x.term || one.type == 0) return false;
-          if (one.type == RAFT_CHANGE && !sound_configuration(one.data)) return false;
+          if (one.type == RAFT_CHANGE && !valid_configuration(one.data)) return false;
           if (x.prev_log_index == 0 && entries.empty() && one.type != RAFT_CHANGE) return false;
           before = one.term;
           entries.push_back(std::move(one));
@@ -565,40 +567,40 @@
       }
       case RAFT_IO_APPEND_ENTRIES_RESULT: {
         auto& x = m.append_entries_result;
-        x.term = sane(o, 1, 4);
-        x.rejected = sane(o, 2, 4);
-        x.last_log_index = sane(o, 3, 4);
+        x.term = bounded(o, 1, 4);
+        x.rejected = bounded(o, 2, 4);
+        x.last_log_index = bounded(o, 3, 4);
         return true;
       }
       case RAFT_IO_INSTALL_SNAPSHOT: {
         auto& x = m.install_snapshot;
-        x.term = sane(o, 1, 7);
-        x.last_index = sane(o, 2, 7);
-        x.last_term = sane(o, 3, 7);
-        x.conf_index = sane(o, 4, 7);
+        x.term = bounded(o, 1, 7);
+        x.last_index = bounded(o, 2, 7);
+        x.last_term = bounded(o, 3, 7);
+        x.conf_index = bounded(o, 4, 7);
         if (x.term == 0 || x.last_index == 0 || x.last_term == 0 || x.last_term > x.term ||
             x.conf_index == 0 || x.conf_index > x.last_index || (leads_too && x.term == raft.current_term)) {
           return false;
         }
         std::vector<StoredServer> servers;
-        for (const msgpack::object* e : parts_of(part(o, 5, 7), kMostServers)) {
-          servers.push_back({sane(*e, 0, 3, kMostId), text_of(part(*e, 1, 3), 512),
-                             static_cast<int>(sane(*e, 2, 3, RAFT_SPARE))});
+        for (const msgpack::object* e : array_elements(element(o, 5, 7), kMaxServers)) {
+          servers.push_back({bounded(*e, 0, 3, kMaxId), string_value(element(*e, 1, 3), 512),
+                             static_cast<int>(bounded(*e, 2, 3, RAFT_SPARE))});
           const std::string& name = servers.back().name;
           if (servers.back().id == 0 || name.empty() || name.find('\0') != std::string::npos) return false;
         }
-        const std::string data = text_of(part(o, 6, 7), 1 << 26);
-        Table().restore(data);  // throws for what is none
+        const std::string data = string_value(element(o, 6, 7), 1 << 26);
+        LeaseTable().restore(data);  // throws for what is none
         if (servers.empty()) return false;
-        fill(x.conf, servers);
-        x.data = copied(data);
+        fill_configuration(x.conf, servers);
+        x.data = to_raft_buffer(data);
         return true;
       }
       case RAFT_IO_TIMEOUT_NOW: {
         auto& x = m.timeout_now;
-        x.term = sane(o, 1, 4);
-        x.last_log_index = sane(o, 2, 4);
-        x.last_log_term = sane(o, 3, 4);
+        x.term = bounded(o, 1, 4);
+        x.last_log_index = bounded(o, 2, 4);
+        x.last_log_term = bounded(o, 3, 4);
         return x.term > 0;
       }
       default:
@@ -606,36 +608,36 @@
     }
   }
 
-  AgreementSettings s;
+  RaftSettings s;
   Store& store;
   double now;
   pcg64 random;
-  Stored stored;
+  StoredState stored;
   raft_io io{};
   raft_fsm fsm{};
   struct raft raft {};
   raft_io_tick_cb on_tick = nullptr;
   raft_io_recv_cb on_receive = nullptr;
-  Table table;
-  std::uint64_t last = 0;  // index of the last entry that is stored
-  std::vector<Append> pending;
-  std::deque<std::function<void()>> due;
+  LeaseTable table;
+  std::uint64_t last_index = 0;  // index of the last entry that is stored
+  std::vector<Append> pending_appends;
+  std::deque<std::function<void()>> deferred;
   std::vector<Event> events;
-  bool begun = false, closing = false, closed = false, leading = false, told_failed = false, changing = false,
-       broken = false;
+  bool started = false, closing = false, closed = false, is_leader = false, failure_reported = false,
+       change_pending = false, broken = false;
   struct raft_transfer transfer {};
   bool transferring = false;
   std::uint64_t led_term = 0;
-  std::string why;
+  std::string failure;
   Counters counters;
 };
 
-Agreement::Agreement(AgreementSettings settings, Store& store, double now)
+RaftReplica::RaftReplica(RaftSettings settings, Store& store, double now)
     : impl_(std::make_unique<Impl>(std::move(settings), store, now)) {}
-Agreement::~Agreement() = default;
+RaftReplica::~RaftReplica() = default;
 
-void Agreement::found(Store& store, const std::string& name) {
-  const Stored there = store.load();
+void RaftReplica::bootstrap(Store& store, const std::string& name) {
+  const StoredState there = store.load();
   if (there.term != 0 || there.snapshot || !there.entries.empty())
     throw std::runtime_error(
         "this voter's state has been used: it can't be the first one of a new agreement");
@@ -654,16 +656,16 @@
   store.append(1, {{1, RAFT_CHANGE, data}});
 }
 
-std::vector<Agreement::Event> Agreement::take() { return std::exchange(impl_->events, {}); }
+std::vector<RaftReplica::Event> RaftReplica::take_events() { return std::exchange(impl_->events, {}); }
 
-void Agreement::tick(double now) {
+void RaftReplica::tick(double now) {
   impl_->now = now;
   if (impl_->broken) return;
   impl_->on_tick(&impl_->io);
-  impl_->settle();
+  impl_->run_pending();
 }
 
-void Agreement::receive(double now, std::uint64_t from, const std::string& name, std::string_view bytes) {
+void RaftReplica::receive(double now, std::uint64_t from, const std::string& name, std::string_view bytes) {
   impl_->now = now;
   if (impl_->broken) return;
   raft_message m{};
@@ -671,23 +673,24 @@
   m.server_address = name.c_str();
   bool good = false;
   try {
-    good = from != 0 && reading(bytes, [&](const msgpack::object& o) { return impl_->read(o, m); });
-  } catch (const BadBytes&) {
+    good = from != 0 &&
+           decode_msgpack(bytes, [&](const msgpack::object& o) { return impl_->decode_message(o, m); });
+  } catch (const DecodeError&) {
   }
   if (!good) {
-    ++impl_->counters.refused;
+    ++impl_->counters.rejected_messages;
     return;
   }
   impl_->on_receive(&impl_->io, &m);
-  impl_->settle();
+  impl_->run_pending();
 }
 
-bool Agreement::propose(double now, const std::vector<Command>& commands) {
+bool RaftReplica::propose(double now, const std::vector<Command>& commands) {
   if (commands.empty()) return true;
   impl_->now = now;
   if (impl_->broken) return false;
   std::vector<raft_buffer> bufs;
-  for (const Command& c : commands) bufs.push_back(copied(nettlestand::duties::encode(c)));
+  for (const Command& c : commands) bufs.push_back(to_raft_buffer(nettlestand::duties::encode(c)));
   auto* req = new ApplyRequest{};
   const int code = raft_apply(&impl_->raft, req, bufs.data(), static_cast<unsigned>(bufs.size()),
                               [](struct raft_apply* done, int, void*) { delete done; });
@@ -695,21 +698,21 @@
     for (const raft_buffer& b : bufs) raft_free(b.base);
     delete req;
   }
-  impl_->settle();
+  impl_->run_pending();
   return code == 0;
 }
 
-bool Agreement::barrier(double now, std::uint64_t number) {
+bool RaftReplica::barrier(double now, std::uint64_t number) {
   impl_->now = now;
   if (impl_->broken) return false;
-  const bool out = impl_->make_barrier(number);
-  impl_->settle();
+  const bool out = impl_->start_barrier(number);
+  impl_->run_pending();
   return out;
 }
 
-bool Agreement::add(double now, std::uint64_t id, const std::string& name) {
+bool RaftReplica::add_voter(double now, std::uint64_t id, const std::string& name) {
   impl_->now = now;
-  if (impl_->changing || impl_->broken) return false;
+  if (impl_->change_pending || impl_->broken) return false;
   auto c = std::make_unique<Impl::Change>();
   c->me = impl_.get();
   c->id = id;
@@ -717,58 +720,58 @@
   const int code = raft_add(&impl_->raft, &c->req, id, name.c_str(), [](raft_change* req, int status) {
     const std::unique_ptr<Impl::Change> done(static_cast<Impl::Change*>(req->data));
     Impl& me = *done->me;
-    if (status != 0 || me.closing) return me.changed(status);
-    me.later([&me, id = done->id] { me.promote(id); });
+    if (status != 0 || me.closing) return me.finish_change(status);
+    me.defer([&me, id = done->id] { me.promote(id); });
   });
   if (code != 0) return false;
-  impl_->changing = true;
+  impl_->change_pending = true;
   c.release();
-  impl_->settle();
+  impl_->run_pending();
   return true;
 }
 
-bool Agreement::promote(double now, std::uint64_t id) {
+bool RaftReplica::promote_voter(double now, std::uint64_t id) {
   impl_->now = now;
-  if (impl_->changing || impl_->broken) return false;
-  impl_->changing = true;
+  if (impl_->change_pending || impl_->broken) return false;
+  impl_->change_pending = true;
   const bool out = impl_->promote(id);
-  impl_->settle();
+  impl_->run_pending();
   return out;
 }
 
-bool Agreement::remove(double now, std::uint64_t id) {
+bool RaftReplica::remove_voter(double now, std::uint64_t id) {
   impl_->now = now;
-  if (impl_->changing || impl_->broken) return false;
+  if (impl_->change_pending || impl_->broken) return false;
   auto c = std::make_unique<Impl::Change>();
   c->me = impl_.get();
   c->req.data = c.get();
   const int code = raft_remove(&impl_->raft, &c->req, id, [](raft_change* req, int status) {
     const std::unique_ptr<Impl::Change> done(static_cast<Impl::Change*>(req->data));
-    done->me->changed(status);
+    done->me->finish_change(status);
   });
   if (code != 0) return false;
-  impl_->changing = true;
+  impl_->change_pending = true;
   c.release();
-  impl_->settle();
+  impl_->run_pending();
   return true;
 }
 
-void Agreement::step_down(double now) {
+void RaftReplica::transfer_leadership(double now) {
   impl_->now = now;
   if (impl_->transferring || impl_->broken || raft_state(&impl_->raft) != RAFT_LEADER) return;
   impl_->transfer.data = impl_.get();
   impl_->transferring = raft_transfer(&impl_->raft, &impl_->transfer, 0, [](struct raft_transfer* t) {
                           static_cast<Impl*>(t->data)->transferring = false;
                         }) == 0;
-  impl_->settle();
+  impl_->run_pending();
 }
 
-bool Agreement::leads() const { return impl_->leading; }
-std::uint64_t Agreement::id() const { return impl_->stored.id; }
-std::uint64_t Agreement::starts() const { return impl_->stored.starts; }
-std::uint64_t Agreement::run() const { return impl_->stored.run; }
-std::uint64_t Agreement::term() const { return impl_->raft.current_term; }
-const char* Agreement::state() const {
+bool RaftReplica::is_leader() const { return impl_->is_leader; }
+std::uint64_t RaftReplica::id() const { return impl_->stored.id; }
+std::uint64_t RaftReplica::start_count() const { return impl_->stored.start_count; }
+std::uint64_t RaftReplica::start_id() const { return impl_->stored.start_id; }
+std::uint64_t RaftReplica::term() const { return impl_->raft.current_term; }
+const char* RaftReplica::state_name() const {
   switch (raft_state(&impl_->raft)) {
     case RAFT_FOLLOWER:
       return "follower";
@@ -780,11 +783,11 @@
       return "unavailable";
   }
 }
-std::uint64_t Agreement::last_index() const { return raft_last_index(&impl_->raft); }
-const Table& Agreement::table() const { return impl_->table; }
-const Agreement::Counters& Agreement::counters() const { return impl_->counters; }
+std::uint64_t RaftReplica::last_index() const { return raft_last_index(&impl_->raft); }
+const LeaseTable& RaftReplica::table() const { return impl_->table; }
+const RaftReplica::Counters& RaftReplica::counters() const { return impl_->counters; }
 
-std::uint64_t Agreement::leader(std::string* name) const {
+std::uint64_t RaftReplica::leader_id(std::string* name) const {
   raft_id id = 0;
   const char* address = nullptr;
   raft_leader(&impl_->raft, &id, &address);
@@ -792,8 +795,8 @@
   return id;
 }
 
-std::vector<VoterId> Agreement::voters() const {
-  std::vector<VoterId> out;
+std::vector<VoterInfo> RaftReplica::voters() const {
+  std::vector<VoterInfo> out;
   for (const StoredServer& s : servers_of(impl_->raft.configuration))
     out.push_back({s.id, s.name, static_cast<VoterRole>(s.role)});
   return out;
--- a/duties/sqlite.h
+++ b/duties/sqlite.h
@@ -20,8 +20,9 @@
     const int flags = SQLITE_OPEN_READWRITE | SQLITE_OPEN_NOMUTEX | (make ? SQLITE_OPEN_CREATE : 0);
     const int code = sqlite3_open_v2(path.c_str(), &db_, flags, nullptr);
     if (code != SQLITE_OK) {
-      const StoreError error(code == SQLITE_CANTOPEN && !make ? StoreError::Kind::kNone : kind_of(code),
-                             path + ": " + sqlite3_errmsg(db_));
+      const StoreError error(
+          code == SQLITE_CANTOPEN && !make ? StoreError::Kind::kNotInitialized : kind_of(code),
+          path + ": " + sqlite3_errmsg(db_));
       sqlite3_close(db_);
       throw error;
     }
@@ -60,21 +61,21 @@
       return *this;
     }
     // The next row, or false.
-    bool row() {
+    bool step() {
       const int code = sqlite3_step(it_);
       if (code == SQLITE_ROW) return true;
       if (code != SQLITE_DONE) owner_.check(code);
       return false;
     }
     void run() {
-      while (row()) {
+      while (step()) {
       }
       sqlite3_reset(it_);
     }
-    std::uint64_t number(int i) { return static_cast<std::uint64_t>(sqlite3_column_int64(it_, i)); }
-    double real(int i) { return sqlite3_column_double(it_, i); }
-    bool null(int i) { return sqlite3_column_type(it_, i) == SQLITE_NULL; }
-    std::string bytes(int i) {
+    std::uint64_t column_uint64(int i) { return static_cast<std::uint64_t>(sqlite3_column_int64(it_, i)); }
+    double column_double(int i) { return sqlite3_column_double(it_, i); }
+    bool column_is_null(int i) { return sqlite3_column_type(it_, i) == SQLITE_NULL; }
+    std::string column_bytes(int i) {
       const void* at = sqlite3_column_blob(it_, i);
       return {static_cast<const char*>(at), static_cast<std::size_t>(sqlite3_column_bytes(it_, i))};
     }
@@ -108,7 +109,7 @@
         return StoreError::Kind::kCorrupt;
       case SQLITE_BUSY:
       case SQLITE_LOCKED:
-        return StoreError::Kind::kTaken;
+        return StoreError::Kind::kLocked;
       default:
         return StoreError::Kind::kIo;
     }
--- a/duties/place.h
+++ b/duties/sqlite_fencing_checker.h
@@ -4,15 +4,15 @@
 
 #include <string>
 
+#include "duties/lease_table.h"
 #include "duties/sqlite.h"
-#include "duties/table.h"
 
 namespace nettlestand::duties {
 
-class Place {
+class SqliteFencingChecker {
  public:
   // Throws StoreError.
-  explicit Place(Sqlite& sql) : sql_(sql) {
+  explicit SqliteFencingChecker(Sqlite& sql) : sql_(sql) {
     sql_.run("CREATE TABLE IF NOT EXISTS fence(duty TEXT PRIMARY KEY, token INTEGER) WITHOUT ROWID");
   }
   // Within a transaction: whether an effect of the duty may take place in it.
@@ -21,7 +21,7 @@
     {
       Sqlite::Statement find(sql_, "SELECT token FROM fence WHERE duty = ?1");
       find.bind(1, duty);
-      if (find.row() && find.number(0) > token) return false;
+      if (find.step() && find.column_uint64(0) > token) return false;
     }
     Sqlite::Statement(sql_, "INSERT INTO fence VALUES(?1, ?2) ON CONFLICT(duty) DO UPDATE SET token = ?2")
         .bind(1, duty)
@@ -31,7 +31,7 @@
   }
   Token highest(const std::string& duty) {
     Sqlite::Statement find(sql_, "SELECT token FROM fence WHERE duty = ?1");
-    return find.bind(1, duty).row() ? find.number(0) : 0;
+    return find.bind(1, duty).step() ? find.column_uint64(0) : 0;
   }
 
  private:
--- a/duties/store.h
+++ b/duties/store.h
@@ -16,8 +16,8 @@
     kFull,
     kIo,
     kCorrupt,
-    kNone,
-    kTaken
+    kNotInitialized,
+    kLocked
   };  // kNone: no voter's state; kTaken: another process has it
   StoreError(Kind k, const std::string& what) : std::runtime_error(what), kind(k) {}
   Kind kind;
@@ -39,17 +39,17 @@
 struct StoredSnapshot {
   std::uint64_t index = 0, term = 0;
   std::vector<StoredServer> servers;
-  std::uint64_t servers_index = 0;
+  std::uint64_t configuration_index = 0;
   std::string data;
 };
 
-struct Stored {
-  std::uint64_t id = 0;      // of this voter, drawn when its state was made
-  std::uint64_t starts = 0;  // how often the state was started on, this time included
-  std::uint64_t run = 0;     // drawn for this start
+struct StoredState {
+  std::uint64_t id = 0;           // of this voter, drawn when its state was made
+  std::uint64_t start_count = 0;  // how often the state was started on, this time included
+  std::uint64_t start_id = 0;     // drawn for this start
   std::uint64_t term = 0, vote = 0;
   std::optional<StoredSnapshot> snapshot;
-  std::uint64_t first = 1;  // index of the first of `entries`
+  std::uint64_t first_index = 1;  // index of the first of `entries`
   std::vector<StoredEntry> entries;
 };
 
@@ -57,18 +57,18 @@
  public:
   virtual ~Store() = default;
   // Counts a start.
-  virtual Stored load() = 0;
+  virtual StoredState load() = 0;
   virtual void set_term(std::uint64_t term) = 0;  // and forgets the vote
   virtual void set_vote(std::uint64_t id) = 0;
   virtual void append(std::uint64_t first, const std::vector<StoredEntry>& entries) = 0;
   // Forgets the entries from an index on.
   virtual void truncate(std::uint64_t from) = 0;
   // Keeps `trailing` entries up to the snapshot's, and none at all for 0: what follows it then is gone, too.
-  virtual void put(const StoredSnapshot& snapshot, std::uint64_t trailing) = 0;
-  virtual std::optional<StoredSnapshot> snapshot() = 0;
+  virtual void put_snapshot(const StoredSnapshot& snapshot, std::uint64_t trailing) = 0;
+  virtual std::optional<StoredSnapshot> load_snapshot() = 0;
   // A voter is here as (starts, run). False where a later start of it was met, or another one that called
   // itself the same: then its state is one of former days, and it may not vote.
-  virtual bool met(std::uint64_t voter, std::uint64_t starts, std::uint64_t run) = 0;
+  virtual bool record_peer_start(std::uint64_t voter, std::uint64_t starts, std::uint64_t run) = 0;
 };
 
 // In a folder's file voter.db: SQLite with a write-ahead log, each write synced. Not for two processes.
@@ -76,7 +76,7 @@
  public:
   // Makes the state of a new voter, with a new id, where there is none. Returns the id; throws StoreError,
   // also where there is one.
-  static std::uint64_t make(const std::string& folder);
+  static std::uint64_t create(const std::string& folder);
 
   // Throws StoreError: kNone where no state was made there, kTaken where another process has it.
   explicit SqliteStore(const std::string& folder);
@@ -84,14 +84,14 @@
   SqliteStore(const SqliteStore&) = delete;
   SqliteStore& operator=(const SqliteStore&) = delete;
 
-  Stored load() override;
+  StoredState load() override;
   void set_term(std::uint64_t term) override;
   void set_vote(std::uint64_t id) override;
   void append(std::uint64_t first, const std::vector<StoredEntry>& entries) override;
   void truncate(std::uint64_t from) override;
-  void put(const StoredSnapshot& snapshot, std::uint64_t trailing) override;
-  std::optional<StoredSnapshot> snapshot() override;
-  bool met(std::uint64_t voter, std::uint64_t starts, std::uint64_t run) override;
+  void put_snapshot(const StoredSnapshot& snapshot, std::uint64_t trailing) override;
+  std::optional<StoredSnapshot> load_snapshot() override;
+  bool record_peer_start(std::uint64_t voter, std::uint64_t starts, std::uint64_t run) override;
 
  private:
   struct Db;
--- a/duties/voter_service.cpp
+++ b/duties/voter_service.cpp
@@ -20,46 +20,47 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-constexpr double kOpenAgain = 2;    // s until a state that could not be used is tried again
-constexpr double kOpenSaid = 60;    // s between words on that
-constexpr double kSilence = 10;     // s without a byte until who connected is taken for gone
-constexpr double kAnswered = 5;     // s for which a connection is kept to a voter that something was to go to
-constexpr double kReconnect = 0.1;  // s between tries to reach a voter, doubled each time,
-constexpr double kLongestReconnect = 1;  // up to this
+constexpr double kReopenInterval = 2;         // s until a state that could not be used is tried again
+constexpr double kOpenErrorLogInterval = 60;  // s between words on that
+constexpr double kClientIdleTimeout = 10;     // s without a byte until who connected is taken for gone
+constexpr double kReplyConnectionTtl =
+    5;  // s for which a connection is kept to a voter that something was to go to
+constexpr double kMinReconnectDelay = 0.1;  // s between tries to reach a voter, doubled each time,
+constexpr double kMaxReconnectDelay = 1;    // up to this
 
 }  // namespace
 
 class VoterService::Impl {
  public:
   Impl(asio::io_context& main, VoterOptions options, Log log)
-      : main_(main), options_(std::move(options)), log_(std::move(log)), acceptor_(io_), timer_(io_) {
+      : log_loop_(main), options_(std::move(options)), log_(std::move(log)), acceptor_(io_), timer_(io_) {
     acceptor_.open(options_.listen.protocol());
     acceptor_.set_option(tcp::acceptor::reuse_address(true));
     acceptor_.bind(options_.listen);
     acceptor_.listen();
-    silence_ = std::max(1.0, 2e-3 * options_.voter.agreement.election_ms);
+    voter_idle_timeout_ = std::max(1.0, 2e-3 * options_.voter.raft.election_timeout_ms);
   }
   ~Impl() {
     asio::post(io_, [this] { io_.stop(); });
     if (thread_.joinable()) thread_.join();
     // What is closed here must not call back.
-    for (auto& [name, o] : others_) {
+    for (auto& [name, o] : peer_voters_) {
       if (o.link) o.link->close();
     }
     for (auto& [number, link] : clients_) link->close();
-    for (auto& link : strangers_) link->close();
+    for (auto& link : unidentified_) link->close();
   }
 
   void start() {
     thread_ = std::thread([this] {
       open();
       accept();
-      turn();
+      run_once();
       while (!io_.stopped()) {
         try {
           io_.run();
         } catch (const std::exception& surprise) {
-          say(LogLevel::kError, "surprise", std::string("voter: ") + surprise.what());
+          log_event(LogLevel::kError, "surprise", std::string("voter: ") + surprise.what());
         }
       }
     });
@@ -67,49 +68,49 @@
   void leave() {
     asio::post(io_, [this] {
       if (!voter_) return;
-      Voter::Outs out;
-      voter_->leave(now(), out);
-      deliver(out);
+      Voter::OutgoingFrames out;
+      voter_->transfer_leadership(now(), out);
+      send_all(out);
     });
   }
   tcp::endpoint address() const { return acceptor_.local_endpoint(); }
 
  private:
-  struct Other {  // a voter, as this one sends to it
-    std::shared_ptr<Link> link;
-    double try_at = 0, pause = kReconnect, pinged_at = 0;
+  struct PeerVoter {  // a voter, as this one sends to it
+    std::shared_ptr<FrameConnection> link;
+    double next_attempt_at = 0, reconnect_delay = kMinReconnectDelay, pinged_at = 0;
     bool met = false;
   };
 
-  void say(LogLevel level, const char* event, const std::string& text) {
-    asio::post(main_, [log = log_, level, event, text] { log({level, "duties", event, text, {}}); });
+  void log_event(LogLevel level, const char* event, const std::string& text) {
+    asio::post(log_loop_, [log = log_, level, event, text] { log({level, "duties", event, text, {}}); });
   }
 
   void open() {
     try {
-      store_ = options_.open ? options_.open() : std::make_unique<SqliteStore>(options_.folder);
+      store_ = options_.open_store ? options_.open_store() : std::make_unique<SqliteStore>(options_.data_dir);
       voter_ = std::make_unique<Voter>(options_.voter, *store_, now());
-      say(LogLevel::kInfo, "voter_started",
-          "votes on duties as " + options_.voter.self.name + " from term " +
-              std::to_string(voter_->agreement().term()));
+      log_event(LogLevel::kInfo, "voter_started",
+                "votes on duties as " + options_.voter.self.name + " from term " +
+                    std::to_string(voter_->raft().term()));
     } catch (const std::exception& problem) {
       voter_.reset();
       store_.reset();
-      if (now() >= say_again_) {
-        say_again_ = now() + kOpenSaid;
-        say(LogLevel::kError, "voter_off", std::string("does not vote: ") + problem.what());
+      if (now() >= next_open_error_log_at_) {
+        next_open_error_log_at_ = now() + kOpenErrorLogInterval;
+        log_event(LogLevel::kError, "voter_off", std::string("does not vote: ") + problem.what());
       }
     }
-    open_at_ = now() + kOpenAgain;
+    reopen_at_ = now() + kReopenInterval;
   }
 
   void close_all() {
-    for (auto& [name, o] : others_) {
+    for (auto& [name, o] : peer_voters_) {
       if (o.link) o.link->close();
     }
-    others_.clear();
+    peer_voters_.clear();
     for (auto& [number, link] : std::exchange(clients_, {})) link->close();
-    for (auto& link : std::exchange(strangers_, {})) link->close();
+    for (auto& link : std::exchange(unidentified_, {})) link->close();
   }
 
   // ------------------------------------------------------------ who comes
@@ -117,8 +118,8 @@
   void accept() {
     acceptor_.async_accept([this](const error_code& error, tcp::socket socket) {
       if (error == asio::error::operation_aborted) return;
-      if (!error && voter_ && clients_.size() + strangers_.size() < options_.most_connections)
-        come(std::move(socket));
+      if (!error && voter_ && clients_.size() + unidentified_.size() < options_.max_connections)
+        accept_connection(std::move(socket));
       if (!error) return accept();
       // No descriptor to spare, for one: a little later there may be.
       accept_timer_.expires_after(std::chrono::milliseconds(100));
@@ -128,155 +129,156 @@
     });
   }
 
-  void come(tcp::socket socket) {
-    Link::Options o;
+  void accept_connection(tcp::socket socket) {
+    FrameConnection::Options o;
     o.keys = options_.keys;
-    o.silence = kSilence;
-    o.most_queued = 32 * 1024 * 1024;
-    auto link = std::make_shared<Link>(io_, o);
-    strangers_.insert(link);
-    const std::weak_ptr<Link> weak = link;
-    Link::Handlers h;
-    h.met = [this, weak](const Frame& hello) {
+    o.idle_timeout = kClientIdleTimeout;
+    o.max_queued_bytes = 32 * 1024 * 1024;
+    auto link = std::make_shared<FrameConnection>(io_, o);
+    unidentified_.insert(link);
+    const std::weak_ptr<FrameConnection> weak = link;
+    FrameConnection::Handlers h;
+    h.on_handshake = [this, weak](const Frame& hello) {
       const auto it = weak.lock();
       if (!it || !voter_) return;
-      strangers_.erase(it);
+      unidentified_.erase(it);
       if (hello.cluster != options_.voter.cluster) return it->close();
-      if (hello.voter != 0) {
-        Voter::Outs out;
-        const bool good = voter_->meets(now(), hello, out);
-        deliver(out);
+      if (hello.voter_id != 0) {
+        Voter::OutgoingFrames out;
+        const bool good = voter_->on_voter_hello(now(), hello, out);
+        send_all(out);
         if (!good || !voter_) return it->close();
-        it->allow(kMostFrame);
+        it->set_max_frame_bytes(kMaxFrameBytes);
       }
-      const std::uint64_t number = ++last_;
+      const std::uint64_t number = ++last_client_id_;
       clients_[number] = it;
-      if (hello.voter != 0) voters_[number] = {hello.voter, hello.who.name};
-      by_link_[it.get()] = number;
+      if (hello.voter_id != 0) voters_[number] = {hello.voter_id, hello.sender.name};
+      client_ids_[it.get()] = number;
     };
-    h.frame = [this, weak](const Frame& f) {
+    h.on_frame = [this, weak](const Frame& f) {
       const auto it = weak.lock();
       if (!it || !voter_) return;
-      const auto number = by_link_.find(it.get());
-      if (number == by_link_.end()) return;
-      Voter::Outs out;
+      const auto number = client_ids_.find(it.get());
+      if (number == client_ids_.end()) return;
+      Voter::OutgoingFrames out;
       if (const auto v = voters_.find(number->second); v != voters_.end()) {
-        voter_->from_voter(now(), v->second.first, v->second.second, f, out);
+        voter_->on_voter_frame(now(), v->second.first, v->second.second, f, out);
       } else {
-        voter_->from_client(now(), number->second, f, out);
+        voter_->on_client_frame(now(), number->second, f, out);
       }
-      deliver(out);
-      arm();
+      send_all(out);
+      schedule_timer();
     };
-    h.closed = [this, weak](const std::string&) {
+    h.on_closed = [this, weak](const std::string&) {
       const auto it = weak.lock();
-      if (it) gone(it);
+      if (it) on_client_closed(it);
     };
     link->accept(std::move(socket), hello(), std::move(h));
   }
 
-  void gone(const std::shared_ptr<Link>& link) {
-    strangers_.erase(link);
-    const auto it = by_link_.find(link.get());
-    if (it == by_link_.end()) return;
+  void on_client_closed(const std::shared_ptr<FrameConnection>& link) {
+    unidentified_.erase(link);
+    const auto it = client_ids_.find(link.get());
+    if (it == client_ids_.end()) return;
     const std::uint64_t number = it->second;
-    by_link_.erase(it);
+    client_ids_.erase(it);
     clients_.erase(number);
     if (voters_.erase(number) > 0 || !voter_) return;
-    Voter::Outs out;
-    voter_->client_gone(now(), number, out);
-    deliver(out);
+    Voter::OutgoingFrames out;
+    voter_->on_client_gone(now(), number, out);
+    send_all(out);
   }
 
-  Frame hello() const { return voter_->hello(std::string(kNonce, '\0')); }
+  Frame hello() const { return voter_->hello(std::string(kNonceBytes, '\0')); }
 
   // ------------------------------------------------------------ other voters
 
   std::optional<tcp::endpoint> address_of(const std::string& label) const {
     const std::string name = voter_name(label);
     for (const VoterAddress& a : options_.addresses) {
-      if (a.name == name) return a.at;
+      if (a.name == name) return a.endpoint;
     }
     return endpoint_of(voter_address(label));
   }
 
-  void reach() {
+  void connect_to_voters() {
     std::set<std::string> wanted;
-    std::vector<std::string> labels = voter_->wanted();
-    std::erase_if(answered_, [](const auto& a) { return now() > a.second.second; });
-    for (const auto& [name, label] : answered_) labels.push_back(label.first);
+    std::vector<std::string> labels = voter_->voters_to_connect();
+    std::erase_if(reply_targets_, [](const auto& a) { return now() > a.second.second; });
+    for (const auto& [name, label] : reply_targets_) labels.push_back(label.first);
     for (const std::string& label : labels) {
       const std::string name = voter_name(label);
       if (name == options_.voter.self.name || !wanted.insert(name).second) continue;
-      Other& o = others_[name];
-      if (!o.link && now() >= o.try_at) connect(name, label, o);
-      if (o.link && o.met && now() - o.pinged_at >= silence_ / 3) {
+      PeerVoter& o = peer_voters_[name];
+      if (!o.link && now() >= o.next_attempt_at) connect(name, label, o);
+      if (o.link && o.met && now() - o.pinged_at >= voter_idle_timeout_ / 3) {
         o.pinged_at = now();
         o.link->send(Frame());
       }
     }
-    std::erase_if(others_, [&](auto& other) {
+    std::erase_if(peer_voters_, [&](auto& other) {
       if (wanted.contains(other.first)) return false;
       if (other.second.link) other.second.link->close();
       return true;
     });
   }
 
-  void connect(const std::string& name, const std::string& label, Other& o) {
-    o.pause = std::min(o.pause * 2, kLongestReconnect);
-    o.try_at = now() + o.pause;
+  void connect(const std::string& name, const std::string& label, PeerVoter& o) {
+    o.reconnect_delay = std::min(o.reconnect_delay * 2, kMaxReconnectDelay);
+    o.next_attempt_at = now() + o.reconnect_delay;
     const auto at = address_of(label);
     if (!at) return;
-    Link::Options options;
+    FrameConnection::Options options;
     options.keys = options_.keys;
-    options.silence = silence_;
-    o.link = std::make_shared<Link>(io_, options);
+    options.idle_timeout = voter_idle_timeout_;
+    o.link = std::make_shared<FrameConnection>(io_, options);
     o.met = false;
-    const std::weak_ptr<Link> weak = o.link;
-    const auto mine = [this, name, weak]() -> Other* {
-      const auto it = others_.find(name);
-      return it != others_.end() && it->second.link == weak.lock() ? &it->second : nullptr;
+    const std::weak_ptr<FrameConnection> weak = o.link;
+    const auto mine = [this, name, weak]() -> PeerVoter* {
+      const auto it = peer_voters_.find(name);
+      return it != peer_voters_.end() && it->second.link == weak.lock() ? &it->second : nullptr;
     };
-    Link::Handlers h;
-    h.met = [this, mine](const Frame& hello) {
-      Other* other = mine();
+    FrameConnection::Handlers h;
+    h.on_handshake = [this, mine](const Frame& hello) {
+      PeerVoter* other = mine();
       if (other == nullptr || !voter_) return;
-      Voter::Outs out;
-      if (hello.cluster != options_.voter.cluster || !voter_->meets(now(), hello, out)) {
+      Voter::OutgoingFrames out;
+      if (hello.cluster != options_.voter.cluster || !voter_->on_voter_hello(now(), hello, out)) {
         other->link->close();
         other->link.reset();
         return;
       }
       other->met = true;
-      other->pause = kReconnect;
+      other->reconnect_delay = kMinReconnectDelay;
       other->pinged_at = now();
-      say(LogLevel::kInfo, "voter_reached", "reaches the voter " + hello.who.name);
-      deliver(out);
+      log_event(LogLevel::kInfo, "voter_reached", "reaches the voter " + hello.sender.name);
+      send_all(out);
     };
-    h.closed = [this, mine, name](const std::string& why) {
-      Other* other = mine();
+    h.on_closed = [this, mine, name](const std::string& why) {
+      PeerVoter* other = mine();
       if (other == nullptr) return;
       if (other->met)
-        say(LogLevel::kInfo, "voter_unreached", "reaches the voter " + name + " no more: " + why);
+        log_event(LogLevel::kInfo, "voter_unreached", "reaches the voter " + name + " no more: " + why);
       other->link.reset();
       other->met = false;
-      if (voter_) voter_->lost(name);
+      if (voter_) voter_->on_voter_disconnected(name);
     };
     o.link->connect(*at, hello(), std::move(h));
   }
 
   // ------------------------------------------------------------ turns
 
-  void deliver(Voter::Outs& out) {
+  void send_all(Voter::OutgoingFrames& out) {
     std::vector<Frame> unsent;
-    for (Voter::Out& o : out) {
+    for (Voter::Outgoing& o : out) {
       if (o.to_voter) {
         const std::string name = voter_name(o.name);
         // A new voter knows of no other, and has to answer the one that adds it.
-        answered_[name] = {o.name, now() + kAnswered};
-        const auto it = others_.find(name);
+        reply_targets_[name] = {o.name, now() + kReplyConnectionTtl};
+        const auto it = peer_voters_.find(name);
         // What can't go is lost, as on any network; who waits for an answer is told.
-        if (it == others_.end() || !it->second.met || !it->second.link || !it->second.link->send(o.frame))
+        if (it == peer_voters_.end() || !it->second.met || !it->second.link ||
+            !it->second.link->send(o.frame))
           unsent.push_back(std::move(o.frame));
       } else if (const auto it = clients_.find(o.to); it != clients_.end()) {
         it->second->send(o.frame);
@@ -284,41 +286,41 @@
     }
     out.clear();
     if (!voter_) return;
-    for (const Frame& f : unsent) voter_->unsent(now(), f, out);
-    if (!out.empty()) deliver(out);
-    for (const Voter::Note& n : voter_->notes())
-      say(std::string(n.event) == "failed" || std::string(n.event) == "voter_refused" ? LogLevel::kError
-                                                                                      : LogLevel::kInfo,
-          n.event, n.text);
+    for (const Frame& f : unsent) voter_->on_send_failed(now(), f, out);
+    if (!out.empty()) send_all(out);
+    for (const Voter::Notice& n : voter_->take_notices())
+      log_event(std::string(n.event) == "failed" || std::string(n.event) == "voter_refused" ? LogLevel::kError
+                                                                                            : LogLevel::kInfo,
+                n.event, n.text);
   }
 
-  void turn() {
-    if (!voter_ && now() >= open_at_) open();
+  void run_once() {
+    if (!voter_ && now() >= reopen_at_) open();
     if (voter_) {
-      Voter::Outs out;
+      Voter::OutgoingFrames out;
       voter_->tick(now(), out);
-      deliver(out);
-      reach();
+      send_all(out);
+      connect_to_voters();
       if (voter_->failed()) {
         close_all();
-        by_link_.clear();
+        client_ids_.clear();
         voters_.clear();
         voter_.reset();
         store_.reset();
-        open_at_ = now() + kOpenAgain;
+        reopen_at_ = now() + kReopenInterval;
       }
     }
-    arm();
+    schedule_timer();
   }
 
-  void arm() {
-    timer_.expires_at(at(voter_ ? voter_->next() : open_at_));
+  void schedule_timer() {
+    timer_.expires_at(at(voter_ ? voter_->next_deadline() : reopen_at_));
     timer_.async_wait([this](const error_code& error) {
-      if (!error) turn();
+      if (!error) run_once();
     });
   }
 
-  asio::io_context& main_;
+  asio::io_context& log_loop_;
   const VoterOptions options_;
   const Log log_;
   asio::io_context io_;
@@ -326,14 +328,15 @@
   asio::steady_timer timer_, accept_timer_{io_};
   std::unique_ptr<Store> store_;
   std::unique_ptr<Voter> voter_;
-  std::map<std::string, Other> others_;
-  std::set<std::shared_ptr<Link>> strangers_;  // who has not said hello
-  std::map<std::uint64_t, std::shared_ptr<Link>> clients_;
+  std::map<std::string, PeerVoter> peer_voters_;
+  std::set<std::shared_ptr<FrameConnection>> unidentified_;  // who has not said hello
+  std::map<std::uint64_t, std::shared_ptr<FrameConnection>> clients_;
   std::map<std::uint64_t, std::pair<std::uint64_t, std::string>> voters_;  // those of the clients that vote
-  std::map<const Link*, std::uint64_t> by_link_;
-  std::map<std::string, std::pair<std::string, double>> answered_;  // whom something was to go to; until when
-  std::uint64_t last_ = 0;
-  double open_at_ = 0, say_again_ = 0, silence_ = 1;
+  std::map<const FrameConnection*, std::uint64_t> client_ids_;
+  std::map<std::string, std::pair<std::string, double>>
+      reply_targets_;  // whom something was to go to; until when
+  std::uint64_t last_client_id_ = 0;
+  double reopen_at_ = 0, next_open_error_log_at_ = 0, voter_idle_timeout_ = 1;
   std::thread thread_;
 };
 
@@ -341,7 +344,7 @@
     : impl_(std::make_unique<Impl>(loop, std::move(options), std::move(log))) {}
 VoterService::~VoterService() = default;
 void VoterService::start() { impl_->start(); }
-void VoterService::leave() { impl_->leave(); }
+void VoterService::transfer_leadership() { impl_->leave(); }
 tcp::endpoint VoterService::address() const { return impl_->address(); }
 
 }  // namespace nettlestand::duties
--- a/duties/voter_service.h
+++ b/duties/voter_service.h
@@ -9,8 +9,8 @@
 #include <string>
 #include <vector>
 
-#include "duties/link.h"
-#include "duties/service.h"
+#include "duties/client_service.h"
+#include "duties/frame_connection.h"
 #include "duties/voter.h"
 #include "util/log.h"
 
@@ -20,11 +20,11 @@
   Keys keys;
   VoterSettings voter;
   boost::asio::ip::tcp::endpoint listen;
-  std::string folder;                   // of its state, made by SqliteStore::make
+  std::string data_dir;                 // of its state, made by SqliteStore::make
   std::vector<VoterAddress> addresses;  // of voters by name; before those that the agreement has
-  std::size_t most_connections = 4096;
+  std::size_t max_connections = 4096;
   // Another store than the folder's, for tests; called on the voter's thread.
-  std::function<std::unique_ptr<Store>()> open;
+  std::function<std::unique_ptr<Store>()> open_store;
 };
 
 class VoterService {
@@ -39,7 +39,7 @@
 
   void start();
   // Has another voter lead, where this one does.
-  void leave();
+  void transfer_leadership();
   boost::asio::ip::tcp::endpoint address() const;
 
  private:
--- a/duties/wire.h
+++ b/duties/wire.h
@@ -15,11 +15,11 @@
 namespace nettlestand::duties {
 
 constexpr std::uint8_t kWireVersion = 1;
-constexpr std::size_t kMostFrame = 64 * 1024 * 1024;   // bytes of one frame between voters,
-constexpr std::size_t kMostClientFrame = 1024 * 1024;  // and from or to a node
-constexpr std::size_t kLongestText = 256 * 1024;       // bytes of a request's or a reply's text
-constexpr std::size_t kMostTogether = 8192;            // requests or replies in one frame
-constexpr std::size_t kNonce = 16;                     // bytes
+constexpr std::size_t kMaxFrameBytes = 64 * 1024 * 1024;   // bytes of one frame between voters,
+constexpr std::size_t kMaxClientFrameBytes = 1024 * 1024;  // and from or to a node
+constexpr std::size_t kMaxTextBytes = 256 * 1024;          // bytes of a request's or a reply's text
+constexpr std::size_t kMaxMessagesPerFrame = 8192;         // requests or replies in one frame
+constexpr std::size_t kNonceBytes = 16;                    // bytes
 
 // 32 bytes each, none to two: the first one seals, all are taken.
 struct Keys {
@@ -40,20 +40,20 @@
   // The bytes of the next frame this way. Anything but a hello needs the other side's hello first.
   std::string seal(const Frame& frame);
   // Takes bytes as they come.
-  void put(std::string_view bytes) { in_.append(bytes); }
+  void append_received(std::string_view bytes) { received_.append(bytes); }
   // The next whole frame, or none yet. Throws BadBytes: then the connection is of no more use.
-  std::optional<Frame> next();
-  bool met() const { return !other_nonce_.empty(); }
+  std::optional<Frame> next_frame();
+  bool handshake_done() const { return !other_nonce_.empty(); }
   const std::string& nonce() const { return nonce_; }
-  void allow(std::size_t most) { most_ = most; }
+  void set_max_frame_bytes(std::size_t most) { max_frame_bytes_ = most; }
 
  private:
   std::string digest(std::string_view body, const std::string& key, const std::string& nonce,
                      std::uint64_t number) const;
   std::vector<std::string> keys_;
-  std::string nonce_, other_nonce_, in_;
-  std::size_t most_, read_ = 0;
-  std::uint64_t sent_ = 0, taken_ = 0;
+  std::string nonce_, other_nonce_, received_;
+  std::size_t max_frame_bytes_, consumed_ = 0;
+  std::uint64_t frames_sent_ = 0, frames_received_ = 0;
 };
 
 }  // namespace nettlestand::duties
--- a/gateway/convert.cpp
+++ b/gateway/convert.cpp
@@ -113,14 +113,14 @@
 void check_duties(Checker& checker, const Options& options, Checked& out) {
   if (!options.duties) return;
   const DutiesOptions& d = *options.duties;
-  duties::ServiceOptions& to = out.duties.emplace();
-  checker.name("duties.name", d.name, duties::kLongestName);
+  duties::ClientServiceOptions& to = out.duties.emplace();
+  checker.name("duties.name", d.name, duties::kMaxNameBytes);
   checker.name("duties.cluster", d.cluster, kLongestName);
   to.cluster = d.cluster;
   if (d.voters.empty() || d.voters.size() > 63) checker.wrong("duties.voters", "not 1 to 63");
   for (std::size_t i = 0; i < d.voters.size(); ++i) {
     const std::string field = "duties.voters[" + std::to_string(i) + "]";
-    checker.name(field + ".name", d.voters[i].name, duties::kLongestName);
+    checker.name(field + ".name", d.voters[i].name, duties::kMaxNameBytes);
     if (const auto e = endpoint_of(d.voters[i].address)) {
       to.voters.push_back({d.voters[i].name, *e});
     } else {
@@ -130,12 +130,12 @@
   for (std::size_t i = 0; i < d.duties.size(); ++i) {
     const DutyOptions& x = d.duties[i];
     const std::string field = "duties.duties[" + std::to_string(i) + "]";
-    checker.name(field + ".name", x.name, duties::kLongestName);
+    checker.name(field + ".name", x.name, duties::kMaxNameBytes);
     if (x.lease < std::chrono::milliseconds(200) || x.lease > std::chrono::hours(1))
       checker.wrong(field + ".lease", "not 200 ms to 1 h");
     for (const auto* list : {&x.prefer, &x.apart}) {
-      for (const std::string& name : *list) checker.name(field, name, duties::kLongestName);
-      if (list->size() > duties::kMostListed) checker.wrong(field, "a list of more than 64");
+      for (const std::string& name : *list) checker.name(field, name, duties::kMaxNameBytes);
+      if (list->size() > duties::kMaxListEntries) checker.wrong(field, "a list of more than 64");
     }
     to.duties.push_back({x.name, std::chrono::duration<double>(x.lease).count(), x.prefer, x.apart, {}});
   }
@@ -149,12 +149,12 @@
       checker.wrong("duties.keys", problem.what());
     }
   }
-  duties::HoldingSettings& h = to.client.holding;
+  duties::LeaseHolderSettings& h = to.client.lease_holder;
   // A life of its own for each opening: no clock and no disk can be trusted with that.
   std::random_device random;
   h.self = {d.name, (static_cast<std::uint64_t>(random()) << 31 ^ random()) + 1, options.zone, d.region};
   h.drift = d.drift;
-  to.client.seed = h.self.life;
+  to.client.seed = h.self.generation;
 }
 
 }  // namespace
--- a/gateway/convert.h
+++ b/gateway/convert.h
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "core/engine.h"
-#include "duties/service.h"
+#include "duties/client_service.h"
 #include "http/cargo.h"
 #include "http/intake.h"
 #include "nettlestand/gateway.h"
@@ -21,7 +21,7 @@
   std::optional<boost::asio::ip::tcp::endpoint> discovery;
   std::optional<ServerList> servers;
   std::optional<peers::ServiceOptions> peers;
-  std::optional<duties::ServiceOptions> duties;
+  std::optional<duties::ClientServiceOptions> duties;
 };
 Error check(const Options& options, Checked& out);
 
--- a/gateway/impl.cpp
+++ b/gateway/impl.cpp
@@ -95,10 +95,10 @@
 
 // What is held goes to the table for other threads before anybody is told of it.
 void Gateway::Impl::hold_duties() {
-  duties_->on_turn([this] {
+  duties_->set_state_listener([this] {
     const std::lock_guard lock(mutex_);
     for (const DutyOptions& d : options_.duties->duties)
-      held_[d.name] = {duties_->holds(d.name).value_or(0), duties_->until(d.name)};
+      held_[d.name] = {duties_->held_token(d.name).value_or(0), duties_->held_until(d.name)};
   });
 }
 
@@ -110,7 +110,7 @@
 
 void Gateway::Impl::duty_failed(const std::string& duty) {
   on_loop([this, duty] {
-    if (duties_ && !shut_) duties_->failed(duty);
+    if (duties_ && !shut_) duties_->report_failure(duty);
   });
 }
 
@@ -128,9 +128,9 @@
     if (duties_) {
       duties_->start();
       for (std::size_t i = 0; i < checked_.duties->duties.size(); ++i) {
-        duties_->want(checked_.duties->duties[i], [this, i](const duties::Holding::Change& c) {
+        duties_->acquire(checked_.duties->duties[i], [this, i](const duties::LeaseHolder::Change& c) {
           if (!options_.duties->duties[i].changed) return;
-          DutyChange change{c.duty, c.token, c.gained, c.gained ? "" : duties::name_of(c.why)};
+          DutyChange change{c.duty, c.token, c.gained, c.gained ? "" : duties::name_of(c.loss_reason)};
           post_task([self = shared_from_this(), i, change = std::move(change)] {
             self->options_.duties->duties[i].changed(change);
           });
@@ -317,7 +317,7 @@
     stopped_ = std::move(*done);
     draining_ = true;
     if (peers_) peers_->leaving();
-    if (duties_) duties_->leave();
+    if (duties_) duties_->release_all();
     double longest = 0;
     for (const auto& c : checked_.engine.settings.classes) longest = std::max(longest, c.give_up);
     last_answers_.expires_after(duration(std::min(longest, kLongestDeadline) + kLastAnswers));
--- a/gateway/impl.h
+++ b/gateway/impl.h
@@ -17,7 +17,7 @@
 
 #include "core/engine.h"
 #include "discovery/discovery.h"
-#include "duties/service.h"
+#include "duties/client_service.h"
 #include "gateway/convert.h"
 #include "http/intake.h"
 #include "http/upstream.h"
@@ -111,7 +111,7 @@
   Upstream upstream_;
   Engine engine_;
   std::optional<peers::Service> peers_;
-  std::optional<duties::Service> duties_;
+  std::optional<duties::ClientService> duties_;
   boost::asio::steady_timer last_answers_;
   bool shut_ = false, draining_ = false;  // loop's thread only
   UniqueFunction<void()> stopped_;        // loop's thread only
--- a/report/book.cpp
+++ b/report/book.cpp
@@ -9,14 +9,14 @@
 #include <fstream>
 #include <stdexcept>
 
-#include "duties/place.h"
+#include "duties/sqlite_fencing_checker.h"
 #include "util/columns.h"
 
 namespace nettlestand::report {
 namespace {
 
-using duties::Place;
 using duties::Sqlite;
+using duties::SqliteFencingChecker;
 
 constexpr int kWait = 2000;                   // ms for another process's transaction
 constexpr std::uint64_t kForgotten = 100000;  // periods without a word of a life
@@ -54,10 +54,10 @@
           "CREATE TABLE IF NOT EXISTS taken(node TEXT, life INTEGER, tier INTEGER, zone TEXT, tenant TEXT,"
           " counts BLOB, number INTEGER, PRIMARY KEY(node, life, tier, zone, tenant)) WITHOUT ROWID");
     });
-    place = std::make_unique<Place>(sql);
+    place = std::make_unique<SqliteFencingChecker>(sql);
   }
   Sqlite sql;
-  std::unique_ptr<Place> place;
+  std::unique_ptr<SqliteFencingChecker> place;
 };
 
 Book::Book(const std::string& path) : db_(std::make_unique<Db>(path)) {}
@@ -76,9 +76,9 @@
     double began = at;
     {
       Sqlite::Statement last(sql, "SELECT number, ended FROM period ORDER BY number DESC LIMIT 1");
-      if (last.row()) {
-        number = last.number(0) + 1;
-        began = last.real(1);
+      if (last.step()) {
+        number = last.column_uint64(0) + 1;
+        began = last.column_double(1);
       }
     }
     std::map<Key, Counts> all;
@@ -92,7 +92,7 @@
               " AND tenant = ?5");
           find.bind(1, word.node).bind(2, word.life).bind(3, static_cast<std::uint64_t>(key.tier));
           find.bind(4, key.zone).bind(5, key.tenant);
-          if (find.row()) before = decode_counts(find.bytes(0));
+          if (find.step()) before = decode_counts(find.column_bytes(0));
         }
         const Counts more = counts.since(before);
         if (more.empty()) continue;
@@ -119,7 +119,7 @@
 
 double Book::last_ended() {
   Sqlite::Statement last(db_->sql, "SELECT ended FROM period ORDER BY number DESC LIMIT 1");
-  return last.row() ? last.real(0) : 0;
+  return last.step() ? last.column_double(0) : 0;
 }
 
 std::vector<Period> Book::periods(std::uint64_t last) {
@@ -128,19 +128,19 @@
       db_->sql,
       "SELECT number, began, ended, token, writer, nodes FROM period ORDER BY number DESC LIMIT ?1");
   all.bind(1, last);
-  while (all.row()) {
+  while (all.step()) {
     Period p;
-    p.number = all.number(0);
-    p.began = all.real(1);
-    p.ended = all.real(2);
-    p.token = all.number(3);
-    p.writer = all.bytes(4);
-    p.nodes = all.number(5);
+    p.number = all.column_uint64(0);
+    p.began = all.column_double(1);
+    p.ended = all.column_double(2);
+    p.token = all.column_uint64(3);
+    p.writer = all.column_bytes(4);
+    p.nodes = all.column_uint64(5);
     Sqlite::Statement entries(db_->sql, "SELECT tier, zone, tenant, counts FROM entry WHERE number = ?1");
     entries.bind(1, p.number);
-    while (entries.row()) {
-      p.counts[{static_cast<int>(entries.number(0)), entries.bytes(1), entries.bytes(2)}] =
-          decode_counts(entries.bytes(3));
+    while (entries.step()) {
+      p.counts[{static_cast<int>(entries.column_uint64(0)), entries.column_bytes(1),
+                entries.column_bytes(2)}] = decode_counts(entries.column_bytes(3));
     }
     out.push_back(std::move(p));
   }
--- a/report/book.h
+++ b/report/book.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "duties/table.h"
+#include "duties/lease_table.h"
 #include "report/tally.h"
 
 namespace nettlestand::report {
--- a/report/reporter.cpp
+++ b/report/reporter.cpp
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-Reporter::Reporter(asio::io_context& loop, ReporterOptions options, duties::Service& duties,
+Reporter::Reporter(asio::io_context& loop, ReporterOptions options, duties::ClientService& duties,
                    const Tally& tally, Log log)
     : loop_(loop),
       options_(std::move(options)),
@@ -36,7 +36,7 @@
 
 void Reporter::start() {
   if (!options_.book.empty())
-    duties_.want(options_.duty, [this](const duties::Holding::Change& c) { changed(c); });
+    duties_.acquire(options_.duty, [this](const duties::LeaseHolder::Change& c) { changed(c); });
   await_tell();
 }
 
@@ -51,13 +51,13 @@
 
 void Reporter::tell() {
   duties::Request r;
-  r.kind = duties::Request::Kind::kKeep;
+  r.kind = duties::Request::Kind::kPublishReport;
   r.text = encode(tally_.counts());
   // Lost ones are made up for by the next: the counts only grow.
-  duties_.ask(std::move(r), [](const std::vector<duties::Reply>&, const std::string&) {});
+  duties_.send_operator_request(std::move(r), [](const std::vector<duties::Reply>&, const std::string&) {});
 }
 
-void Reporter::changed(const duties::Holding::Change& c) {
+void Reporter::changed(const duties::LeaseHolder::Change& c) {
   token_ = c.gained ? c.token : 0;
   if (!c.gained) {
     period_.cancel();
@@ -86,7 +86,7 @@
 // Somebody else is to try.
 void Reporter::give_up(const std::string& why) {
   log_({LogLevel::kError, "report", "book_failed", "the report can't be written: " + why, {{"why", why}}});
-  duties_.failed(kDuty);
+  duties_.report_failure(kDuty);
 }
 
 void Reporter::await_period(double in) {
@@ -101,21 +101,21 @@
   await_period(options_.period);
   writing_ = true;
   duties::Request r;
-  r.kind = duties::Request::Kind::kGather;
-  duties_.ask(std::move(r),
-              [this, alive = alive_](std::vector<duties::Reply> replies, const std::string& error) {
-                if (!*alive) return;
-                if (!error.empty()) {
-                  writing_ = false;
-                  log_({LogLevel::kWarning,
-                        "report",
-                        "not_gathered",
-                        "a period is written later: " + error,
-                        {{"why", error}}});
-                  return;
-                }
-                write(replies);
-              });
+  r.kind = duties::Request::Kind::kCollectReports;
+  duties_.send_operator_request(
+      std::move(r), [this, alive = alive_](std::vector<duties::Reply> replies, const std::string& error) {
+        if (!*alive) return;
+        if (!error.empty()) {
+          writing_ = false;
+          log_({LogLevel::kWarning,
+                "report",
+                "not_gathered",
+                "a period is written later: " + error,
+                {{"why", error}}});
+          return;
+        }
+        write(replies);
+      });
 }
 
 void Reporter::write(const std::vector<duties::Reply>& replies) {
@@ -133,7 +133,7 @@
     }
   }
   // The guard: the last look at the lease, and the token that goes to where the effect takes place.
-  const auto token = duties_.holds(kDuty);
+  const auto token = duties_.held_token(kDuty);
   if (!token) {
     writing_ = false;
     return;
--- a/report/reporter.h
+++ b/report/reporter.h
@@ -9,7 +9,7 @@
 #include <memory>
 #include <string>
 
-#include "duties/service.h"
+#include "duties/client_service.h"
 #include "report/book.h"
 #include "report/tally.h"
 #include "util/log.h"
@@ -26,7 +26,7 @@
 class Reporter {
  public:
   // `loop`: one that other threads may post to. `tally` is counted into by the caller, on the loop's thread.
-  Reporter(boost::asio::io_context& loop, ReporterOptions options, duties::Service& duties,
+  Reporter(boost::asio::io_context& loop, ReporterOptions options, duties::ClientService& duties,
            const Tally& tally, Log log);
   // Waits for what is being written.
   ~Reporter();
@@ -38,7 +38,7 @@
   void tell();
 
  private:
-  void changed(const duties::Holding::Change& change);
+  void changed(const duties::LeaseHolder::Change& change);
   void await_tell();
   void await_period(double in);
   void gather();
@@ -47,7 +47,7 @@
 
   boost::asio::io_context& loop_;
   const ReporterOptions options_;
-  duties::Service& duties_;
+  duties::ClientService& duties_;
   const Tally& tally_;
   const Log log_;
   boost::asio::steady_timer tell_, period_;
--- a/report/tally.cpp
+++ b/report/tally.cpp
@@ -4,16 +4,16 @@
 #include <cmath>
 #include <stdexcept>
 
-#include "duties/pack.h"
+#include "duties/msgpack_codec.h"
 
 namespace nettlestand::report {
 namespace {
 
-using duties::as;
+using duties::array_elements;
+using duties::decode_msgpack;
+using duties::element;
+using duties::element_as;
 using duties::Packer;
-using duties::part;
-using duties::parts_of;
-using duties::reading;
 
 constexpr double kFirst = 0.0005;  // s
 constexpr std::size_t kMostTenants = 400;
@@ -38,14 +38,14 @@
 
 Counts counts_of(const msgpack::object& o) {
   Counts out;
-  out.served = as<std::uint64_t>(o, 0, 4);
-  out.refused = as<std::uint64_t>(o, 1, 4);
-  out.failed = as<std::uint64_t>(o, 2, 4);
-  const auto times = parts_of(part(o, 3, 4), 2 * kBuckets);
-  if (times.size() % 2 != 0) throw duties::BadBytes("a bucket without its count");
+  out.served = element_as<std::uint64_t>(o, 0, 4);
+  out.refused = element_as<std::uint64_t>(o, 1, 4);
+  out.failed = element_as<std::uint64_t>(o, 2, 4);
+  const auto times = array_elements(element(o, 3, 4), 2 * kBuckets);
+  if (times.size() % 2 != 0) throw duties::DecodeError("a bucket without its count");
   for (std::size_t i = 0; i < times.size(); i += 2) {
     const auto at = times[i]->as<std::size_t>();
-    if (at >= kBuckets) throw duties::BadBytes("no such bucket");
+    if (at >= kBuckets) throw duties::DecodeError("no such bucket");
     out.times[at] = times[i + 1]->as<std::uint64_t>();
   }
   return out;
@@ -121,7 +121,7 @@
   return {buffer.data(), buffer.size()};
 }
 
-Counts decode_counts(std::string_view bytes) { return reading(bytes, counts_of); }
+Counts decode_counts(std::string_view bytes) { return decode_msgpack(bytes, counts_of); }
 
 std::string encode(const std::map<Key, Counts>& counts) {
   msgpack::sbuffer buffer;
@@ -138,11 +138,12 @@
 }
 
 std::map<Key, Counts> decode(std::string_view bytes) {
-  return reading(bytes, [](const msgpack::object& o) {
+  return decode_msgpack(bytes, [](const msgpack::object& o) {
     std::map<Key, Counts> out;
-    for (const msgpack::object* x : parts_of(o, kMostKeys)) {
-      Key key{as<int>(*x, 0, 4), duties::text_of(part(*x, 1, 4), 256), duties::text_of(part(*x, 2, 4), 256)};
-      out[std::move(key)] += counts_of(part(*x, 3, 4));
+    for (const msgpack::object* x : array_elements(o, kMostKeys)) {
+      Key key{element_as<int>(*x, 0, 4), duties::string_value(element(*x, 1, 4), 256),
+              duties::string_value(element(*x, 2, 4), 256)};
+      out[std::move(key)] += counts_of(element(*x, 3, 4));
     }
     return out;
   });
--- a/tests/duties/cluster.h
+++ b/tests/duties/cluster.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "duties/client.h"
-#include "duties/fence.h"
+#include "duties/fencing_checker.h"
 #include "duties/voter.h"
 #include "duties/wire.h"
 #include "emulator/simulation.h"
@@ -21,16 +21,16 @@
 class MemoryStore final : public Store {
  public:
   explicit MemoryStore(std::uint64_t id) : id_(id) {}
-  Stored load() override {
+  StoredState load() override {
     may_fail();
-    Stored out;
+    StoredState out;
     out.id = id_;
-    out.starts = ++starts_;
-    out.run = id_ * 1000 + starts_ * 7 + salt;
+    out.start_count = ++starts_;
+    out.start_id = id_ * 1000 + starts_ * 7 + salt;
     out.term = term_;
     out.vote = vote_;
     out.snapshot = snapshot_;
-    out.first = first_;
+    out.first_index = first_;
     out.entries = entries_;
     return out;
   }
@@ -52,7 +52,7 @@
     may_fail();
     entries_.resize(from < first_ ? 0 : std::min<std::size_t>(entries_.size(), from - first_));
   }
-  void put(const StoredSnapshot& s, std::uint64_t trailing) override {
+  void put_snapshot(const StoredSnapshot& s, std::uint64_t trailing) override {
     may_fail();
     snapshot_ = s;
     if (trailing == 0) {
@@ -64,8 +64,8 @@
       first_ += drop;
     }
   }
-  std::optional<StoredSnapshot> snapshot() override { return snapshot_; }
-  bool met(std::uint64_t voter, std::uint64_t starts, std::uint64_t run) override {
+  std::optional<StoredSnapshot> load_snapshot() override { return snapshot_; }
+  bool record_peer_start(std::uint64_t voter, std::uint64_t starts, std::uint64_t run) override {
     auto& [s, r] = met_[voter];
     if (s == starts) return r == run;
     if (s > starts) return false;
@@ -122,15 +122,15 @@
       VoterSettings v;
       v.self = {"v" + std::to_string(i), life + 1, "", ""};
       if (!c.s.shipped) {
-        v.agreement.election_ms = 300;
-        v.agreement.heartbeat_ms = 50;
-        v.keeper.take_patience = 0.5;
-        v.keeper.propose_patience = 1;
+        v.raft.election_timeout_ms = 300;
+        v.raft.heartbeat_interval_ms = 50;
+        v.lease_manager.first_renewal_timeout = 0.5;
+        v.lease_manager.propose_timeout = 1;
       }
-      v.agreement.snapshot_after = c.s.snapshot_after;
-      v.agreement.snapshot_keeps = c.s.snapshot_keeps;
-      v.agreement.seed = i * 7919 + life + c.seed;
-      v.keeper.drift = c.s.drift;
+      v.raft.snapshot_threshold = c.s.snapshot_after;
+      v.raft.snapshot_trailing = c.s.snapshot_keeps;
+      v.raft.seed = i * 7919 + life + c.seed;
+      v.lease_manager.drift = c.s.drift;
       try {
         voter = std::make_unique<Voter>(v, *c.stores[i], local(x));
       } catch (const std::exception&) {
@@ -144,12 +144,12 @@
     void message(emulator::Context& x, emulator::ActorId from, const std::string& bytes) override {
       if (!voter) return;
       const auto [hello, frame] = parted(bytes);
-      if (hello.voter != 0) {
-        if (!voter->meets(local(x), hello, out)) return;
+      if (hello.voter_id != 0) {
+        if (!voter->on_voter_hello(local(x), hello, out)) return;
         if (c.listen && frame.kind == Frame::Kind::kRaft) c.listen(frame.bytes);
-        voter->from_voter(local(x), hello.voter, hello.who.name, frame, out);
+        voter->on_voter_frame(local(x), hello.voter_id, hello.sender.name, frame, out);
       } else {
-        voter->from_client(local(x), from + 1, frame, out);
+        voter->on_client_frame(local(x), from + 1, frame, out);
       }
       done(x);
     }
@@ -164,8 +164,8 @@
     }
     void done(emulator::Context& x) {
       if (voter) {
-        for (Voter::Out& o : out) {
-          const Frame hello = voter->hello(std::string(kNonce, 'n'));
+        for (Voter::Outgoing& o : out) {
+          const Frame hello = voter->hello(std::string(kNonceBytes, 'n'));
           if (o.to_voter) {
             x.send(static_cast<emulator::ActorId>(std::stoul(voter_name(o.name).substr(1))),
                    joined(hello, o.frame));
@@ -184,7 +184,7 @@
     const std::size_t i;
     const std::uint64_t life;
     std::unique_ptr<Voter> voter;
-    Voter::Outs out;
+    Voter::OutgoingFrames out;
     double armed_for = -1;
     std::uint64_t timers = 0;
   };
@@ -193,12 +193,12 @@
     NodeActor(Cluster& c, std::size_t i, std::uint64_t life) : c(c), i(i), life(life), client(settings()) {}
     ClientSettings settings() const {
       ClientSettings out;
-      out.holding.self = {"n" + std::to_string(i), life + 1, i % 2 == 0 ? "a" : "b", ""};
-      out.holding.drift = c.s.drift;
+      out.lease_holder.self = {"n" + std::to_string(i), life + 1, i % 2 == 0 ? "a" : "b", ""};
+      out.lease_holder.drift = c.s.drift;
       if (!c.s.shipped) {
-        out.holding.answer_patience = 0.2;
-        out.holding.ask_period = 0.5;
-        out.way.patience = 0.5;
+        out.lease_holder.reply_timeout = 0.2;
+        out.lease_holder.request_interval = 0.5;
+        out.voter_selector.reply_timeout = 0.5;
       }
       for (std::size_t v = 0; v < c.s.voters; ++v) out.voters.push_back("v" + std::to_string(v));
       out.seed = i + life * 31 + c.seed;
@@ -206,13 +206,13 @@
     }
     double local(double now) const { return 50 + now * (i % 2 == 0 ? 1 - c.s.drift : 1 + c.s.drift); }
     void start(emulator::Context& x) override {
-      client.came_up(local(x.now()), out);
-      for (const Duty& d : c.s.duties) client.want(local(x.now()), d, out);
+      client.on_connected(local(x.now()), out);
+      for (const Duty& d : c.s.duties) client.acquire(local(x.now()), d, out);
       done(x);
     }
     void message(emulator::Context& x, emulator::ActorId from, const std::string& bytes) override {
-      if (from != client.way().target()) return;  // of a connection that is closed
-      client.frame(local(x.now()), parted(bytes).second, out);
+      if (from != client.voter_selector().target()) return;  // of a connection that is closed
+      client.on_frame(local(x.now()), parted(bytes).second, out);
       done(x);
     }
     void timer(emulator::Context& x, std::uint64_t token) override {
@@ -227,7 +227,7 @@
       if (effect.second == 0 && x.now() >= next_effect) {
         for (std::size_t n = 0; n < c.s.duties.size(); ++n) {
           const Duty& d = c.s.duties[(n + static_cast<std::size_t>(x.now() * 10)) % c.s.duties.size()];
-          const auto held = client.holds(local(x.now()), d.name);
+          const auto held = client.held_token(local(x.now()), d.name);
           if (!held) continue;
           effect = {d.name, *held};
           next_effect = x.now() + c.s.effect_every;
@@ -241,17 +241,17 @@
       if (out.reconnect) {
         // A connection that is refused or comes up at once: the way there takes what it takes.
         Client::Actions again;
-        client.came_up(local(x.now()), again);
+        client.on_connected(local(x.now()), again);
         std::swap(out.frames, again.frames);
         out.changes.insert(out.changes.end(), again.changes.begin(), again.changes.end());
       }
       Frame hello;
       hello.kind = Frame::Kind::kHello;
-      hello.nonce = std::string(kNonce, 'n');
-      hello.who = {"n" + std::to_string(i), life + 1, "", ""};
+      hello.nonce = std::string(kNonceBytes, 'n');
+      hello.sender = {"n" + std::to_string(i), life + 1, "", ""};
       for (const Frame& f : out.frames)
-        x.send(static_cast<emulator::ActorId>(client.way().target()), joined(hello, f));
-      for (const Holding::Change& change : out.changes) c.changed(x.now(), i, life, change);
+        x.send(static_cast<emulator::ActorId>(client.voter_selector().target()), joined(hello, f));
+      for (const LeaseHolder::Change& change : out.changes) c.changed(x.now(), i, life, change);
       out = {};
       if (armed_for > x.now()) return;
       armed_for = x.now() + 0.02;
@@ -281,7 +281,7 @@
         return std::make_unique<NodeActor>(*this, n, life);
       });
     }
-    Agreement::found(*stores[0], "v0");
+    RaftReplica::bootstrap(*stores[0], "v0");
   }
   // All started, all voters added. False where that took over 20 s.
   bool start() {
@@ -292,22 +292,22 @@
         run(0.1);
         VoterActor* lead = leader();
         if (lead == nullptr) continue;
-        const auto voters = lead->voter->agreement().voters();
-        in = std::any_of(voters.begin(), voters.end(), [&](const VoterId& x) {
+        const auto voters = lead->voter->raft().voters();
+        in = std::any_of(voters.begin(), voters.end(), [&](const VoterInfo& x) {
           return x.name == "v" + std::to_string(v) && x.role == VoterRole::kVoter;
         });
         if (in || tries % 20 != 0) continue;
         // A hello of the new one, as if it had connected, and an operator's word.
-        Voter::Outs outs;
+        Voter::OutgoingFrames outs;
         VoterActor* fresh = voter(v);
         const double at = 100 + sim.now();
-        lead->voter->meets(at, fresh->voter->hello(std::string(kNonce, 'n')), outs);
+        lead->voter->on_voter_hello(at, fresh->voter->hello(std::string(kNonceBytes, 'n')), outs);
         Frame f;
         f.kind = Frame::Kind::kRequests;
         f.requests.emplace_back();
         f.requests[0].kind = Request::Kind::kAddVoter;
-        f.requests[0].to = "v" + std::to_string(v);
-        lead->voter->from_client(at, 4000, f, outs);
+        f.requests[0].target = "v" + std::to_string(v);
+        lead->voter->on_client_frame(at, 4000, f, outs);
       }
       if (!in) return false;
     }
@@ -328,7 +328,7 @@
   }
   VoterActor* leader() {
     for (std::size_t i = 0; i < s.voters; ++i) {
-      if (VoterActor* v = voter(i); v != nullptr && v->voter && v->voter->agreement().leads()) return v;
+      if (VoterActor* v = voter(i); v != nullptr && v->voter && v->voter->raft().is_leader()) return v;
     }
     return nullptr;
   }
@@ -336,7 +336,7 @@
     for (std::size_t i = 0; i < s.nodes; ++i) {
       NodeActor* n = node(i);
       if (n != nullptr && !sim.paused(static_cast<emulator::ActorId>(s.voters + i)) &&
-          n->client.holds(n->local(sim.now()), duty))
+          n->client.held_token(n->local(sim.now()), duty))
         return i;
     }
     return std::nullopt;
@@ -351,12 +351,12 @@
       int holders = 0;
       for (std::size_t i = 0; i < s.nodes; ++i) {
         NodeActor* n = node(i);
-        if (n != nullptr && n->client.holds(n->local(sim.now()), d.name)) ++holders;
+        if (n != nullptr && n->client.held_token(n->local(sim.now()), d.name)) ++holders;
       }
       if (holders > 1 && broken.empty()) broken = d.name + " is held by two at " + std::to_string(sim.now());
     }
   }
-  void changed(double at, std::size_t node, std::uint64_t life, const Holding::Change& change) {
+  void changed(double at, std::size_t node, std::uint64_t life, const LeaseHolder::Change& change) {
     if (!change.gained) return;
     ++gained;
     const auto [it, fresh] = owners.try_emplace(change.token, std::pair(node, life));
@@ -379,7 +379,7 @@
   const std::uint64_t seed;
   emulator::Simulation sim;
   std::vector<std::unique_ptr<MemoryStore>> stores;
-  Fence fence;
+  FencingChecker fence;
   std::map<std::string, Token> last_effect;
   std::map<Token, std::pair<std::size_t, std::uint64_t>> owners;
   std::size_t effects = 0, turned_away = 0, gained = 0;
--- a/tests/duties/cluster_test.cpp
+++ b/tests/duties/cluster_test.cpp
@@ -81,7 +81,7 @@
   c.sim.resume(actor);
   ASSERT_TRUE(until(
       c, [&] { return c.turned_away > 0; }, 2));
-  EXPECT_FALSE(c.node(before)->client.holds(c.node(before)->local(c.sim.now()), "d0"));
+  EXPECT_FALSE(c.node(before)->client.held_token(c.node(before)->local(c.sim.now()), "d0"));
   EXPECT_EQ(c.broken, "");
 }
 
@@ -119,7 +119,7 @@
   ASSERT_TRUE(until(
       c, [&] { return c.all_held(); }, 5));
   const std::size_t lead = c.leader()->i, alone = (lead + 1) % 5;
-  const std::uint64_t term = c.leader()->voter->agreement().term();
+  const std::uint64_t term = c.leader()->voter->raft().term();
   standins::WayFaults cut;
   cut.cut = true;
   for (ActorId i = 0; i < c.sim.size(); ++i) {
@@ -131,7 +131,7 @@
   c.run(2);
   ASSERT_NE(c.leader(), nullptr);
   EXPECT_EQ(c.leader()->i, lead);
-  EXPECT_EQ(c.leader()->voter->agreement().term(), term);
+  EXPECT_EQ(c.leader()->voter->raft().term(), term);
   EXPECT_EQ(c.broken, "");
 }
 
@@ -188,7 +188,7 @@
   *c.stores[victim] = saved;
   c.stores[victim]->salt = 99;
   restart();
-  EXPECT_TRUE(c.leader()->voter->keeper().leads());
+  EXPECT_TRUE(c.leader()->voter->lease_manager().is_leader());
   // The other two go on without it; with one of them gone it may not make up a majority.
   const std::size_t lead = c.leader()->i;
   c.sim.kill(static_cast<ActorId>(3 - lead - victim));
@@ -206,10 +206,10 @@
   c.sim.kill(static_cast<ActorId>(late));
   // Each kill is a change of hands or two; renewals are barriers in the log.
   c.run(20);
-  ASSERT_GT(c.leader()->voter->agreement().counters().snapshots, 0U);
+  ASSERT_GT(c.leader()->voter->raft().counters().snapshots, 0U);
   c.sim.start(static_cast<ActorId>(late));
   ASSERT_TRUE(until(
-      c, [&] { return c.voter(late)->voter->agreement().table().last_token() > 0; }, 5));
+      c, [&] { return c.voter(late)->voter->raft().table().last_token() > 0; }, 5));
   EXPECT_EQ(c.broken, "");
 }
 
@@ -226,15 +226,15 @@
   c.stores[lost] = std::make_unique<MemoryStore>(5000);
   c.sim.start(static_cast<ActorId>(lost));
   const auto order = [&](Request::Kind kind) {
-    Voter::Outs outs;
+    Voter::OutgoingFrames outs;
     Frame f;
     f.kind = Frame::Kind::kRequests;
     f.requests.emplace_back();
     f.requests[0].kind = kind;
-    f.requests[0].to = "v" + std::to_string(lost);
+    f.requests[0].target = "v" + std::to_string(lost);
     const double at = 100 + c.sim.now();
-    c.leader()->voter->meets(at, c.voter(lost)->voter->hello(std::string(kNonce, 'n')), outs);
-    c.leader()->voter->from_client(at, 4000, f, outs);
+    c.leader()->voter->on_voter_hello(at, c.voter(lost)->voter->hello(std::string(kNonceBytes, 'n')), outs);
+    c.leader()->voter->on_client_frame(at, 4000, f, outs);
     return outs;
   };
   const auto refused = order(Request::Kind::kAddVoter);
@@ -247,9 +247,9 @@
       c,
       [&] {
         const auto voters =
-            c.leader() == nullptr ? std::vector<VoterId>() : c.leader()->voter->agreement().voters();
+            c.leader() == nullptr ? std::vector<VoterInfo>() : c.leader()->voter->raft().voters();
         return std::any_of(voters.begin(), voters.end(),
-                           [](const VoterId& v) { return v.id == 5000 && v.role == VoterRole::kVoter; });
+                           [](const VoterInfo& v) { return v.id == 5000 && v.role == VoterRole::kVoter; });
       },
       10));
   EXPECT_TRUE(c.all_held());
@@ -258,8 +258,8 @@
 
 TEST(DutiesCluster, PassedToANamedNodeAndKeptApart) {
   ClusterSettings s = usual(3, 4, 2);
-  s.duties[1].apart = {"d0"};
-  s.duties[0].never = {"n3"};
+  s.duties[1].anti_affinity = {"d0"};
+  s.duties[0].excluded_nodes = {"n3"};
   Cluster c(s, 11);
   ASSERT_TRUE(c.start());
   ASSERT_TRUE(until(
@@ -270,11 +270,11 @@
   Client::Actions out;
   std::string error = "none came";
   Request pass;
-  pass.kind = Request::Kind::kPass;
+  pass.kind = Request::Kind::kTransfer;
   pass.duty = "d0";
-  pass.to = "n" + std::to_string(to);
+  pass.target = "n" + std::to_string(to);
   Cluster::NodeActor* teller = c.node(3);
-  teller->client.ask(
+  teller->client.send_operator_request(
       teller->local(c.sim.now()), pass, [&](const std::vector<Reply>&, const std::string& e) { error = e; },
       teller->out);
   ASSERT_TRUE(until(
--- a/tests/duties/gateway_test.cpp
+++ b/tests/duties/gateway_test.cpp
@@ -22,12 +22,12 @@
   OneVoter() {
     duties::VoterOptions o;
     o.voter.self = {"v0", 1, "", ""};
-    o.voter.agreement.election_ms = 200;
-    o.voter.agreement.heartbeat_ms = 40;
+    o.voter.raft.election_timeout_ms = 200;
+    o.voter.raft.heartbeat_interval_ms = 40;
     o.listen = {boost::asio::ip::make_address("127.0.0.1"), 0};
-    o.open = [] {
+    o.open_store = [] {
       auto store = std::make_unique<duties::testing::MemoryStore>(1000);
-      duties::Agreement::found(*store, "v0");
+      duties::RaftReplica::bootstrap(*store, "v0");
       return store;
     };
     service.emplace(io, o, [](const LogEvent&) {});
--- a/tests/duties/model.h
+++ b/tests/duties/model.h
@@ -8,9 +8,9 @@
 #include <string>
 #include <vector>
 
-#include "duties/fence.h"
-#include "duties/holding.h"
-#include "duties/keeper.h"
+#include "duties/fencing_checker.h"
+#include "duties/lease_holder.h"
+#include "duties/lease_manager.h"
 
 namespace nettlestand::duties::testing {
 
@@ -48,13 +48,13 @@
     for (int n = 0; n < s_.nodes; ++n) nodes_.push_back(node(n, 1));
     catch_up(0);
     catch_up(1);
-    Keeper::Actions out;
-    voters_[0].keeper.lead(local(voters_[0]), out);
+    LeaseManager::Actions out;
+    voters_[0].keeper.become_leader(local(voters_[0]), out);
     did(0, out);
     for (int n = 0; n < s_.nodes; ++n) {
-      Holding::Actions wants;
+      LeaseHolder::Actions wants;
       for (const std::string& duty : s_.duties)
-        nodes_[static_cast<std::size_t>(n)].holding.want(local(n), duty, wants);
+        nodes_[static_cast<std::size_t>(n)].holding.acquire(local(n), duty, wants);
       said(n, wants);
     }
   }
@@ -64,7 +64,7 @@
     t_ = other.t_;
     log_ = other.log_;
     voters_ = other.voters_;
-    for (Voter& v : voters_) v.keeper.watch(v.table);
+    for (Voter& v : voters_) v.keeper.use_table(v.table);
     nodes_ = other.nodes_;
     messages_ = other.messages_;
     leader_ = other.leader_;
@@ -109,7 +109,7 @@
     return std::nullopt;
   }
   std::size_t effects() const { return effects_.size(); }
-  const Table& table() const { return voters_[static_cast<std::size_t>(leader_)].table; }
+  const LeaseTable& table() const { return voters_[static_cast<std::size_t>(leader_)].table; }
 
   // Two worlds that say the same go on alike.
   std::string key() const {
@@ -139,38 +139,38 @@
   };
   struct Voter {
     Voter(const ModelSettings& s, double rate) : keeper(table, settings(s)), rate(rate) {
-      keeper.watch(table);
+      keeper.use_table(table);
     }
     Voter(const Voter& o)
         : table(o.table), keeper(o.keeper), pending(o.pending), applied(o.applied), rate(o.rate) {
-      keeper.watch(table);
+      keeper.use_table(table);
     }
     Voter& operator=(const Voter& o) {
       table = o.table;
       keeper = o.keeper;
-      keeper.watch(table);
+      keeper.use_table(table);
       pending = o.pending;
       applied = o.applied;
       rate = o.rate;
       return *this;
     }
-    static KeeperSettings settings(const ModelSettings& s) {
-      KeeperSettings out;
+    static LeaseManagerSettings settings(const ModelSettings& s) {
+      LeaseManagerSettings out;
       out.drift = s.drift;
-      out.ask_memory = 10;
-      out.prefer_wait = 0;
-      out.take_patience = 0.5;
+      out.request_ttl = 10;
+      out.preferred_delay = 0;
+      out.first_renewal_timeout = 0.5;
       return out;
     }
-    Table table;
-    Keeper keeper;
+    LeaseTable table;
+    LeaseManager keeper;
     std::vector<Item> pending;
     std::size_t applied = 0;
     double rate = 1;
   };
   struct NodeState {
-    explicit NodeState(HoldingSettings s) : holding(std::move(s)) {}
-    Holding holding;
+    explicit NodeState(LeaseHolderSettings s) : holding(std::move(s)) {}
+    LeaseHolder holding;
     bool running = true;
     std::uint64_t life = 1;
     double rate = 1, offset = 0;
@@ -205,11 +205,11 @@
   };
 
   NodeState node(int n, std::uint64_t life) const {
-    HoldingSettings h;
+    LeaseHolderSettings h;
     h.self = {"n" + std::to_string(n), life, "", ""};
     h.drift = s_.faults.no_drift ? 0 : s_.drift;
-    h.ask_period = 0.5;
-    h.answer_patience = 0.4;
+    h.request_interval = 0.5;
+    h.reply_timeout = 0.4;
     NodeState out(h);
     out.life = life;
     out.rate = n % 2 == 0 ? 1 - s_.drift : 1 + s_.drift;
@@ -221,41 +221,41 @@
     return 10 + t_ * node.rate + node.offset;
   }
   bool believes(int n, const std::string& duty) const {
-    return nodes_[static_cast<std::size_t>(n)].holding.holds(local(n), duty).has_value();
+    return nodes_[static_cast<std::size_t>(n)].holding.held_token(local(n), duty).has_value();
   }
 
   void catch_up(std::size_t v) {
     Voter& voter = voters_[v];
     for (; voter.applied < log_.size(); ++voter.applied) {
       const Command& c = log_[voter.applied];
-      const Applied result = voter.table.apply(c);
-      Keeper::Actions out;
-      voter.keeper.applied(local(voter), c, result, out);
+      const CommandResult result = voter.table.apply(c);
+      LeaseManager::Actions out;
+      voter.keeper.on_applied(local(voter), c, result, out);
       did(v, out);
     }
   }
-  void did(std::size_t v, Keeper::Actions& out) {
-    for (Command& c : out.propose) voters_[v].pending.push_back({std::move(c), 0});
+  void did(std::size_t v, LeaseManager::Actions& out) {
+    for (Command& c : out.proposals) voters_[v].pending.push_back({std::move(c), 0});
     for (const std::uint64_t b : out.barriers) {
       if (s_.faults.no_barrier) {
-        Keeper::Actions more;
-        voters_[v].keeper.barrier_done(local(voters_[v]), b, more);
+        LeaseManager::Actions more;
+        voters_[v].keeper.on_barrier_done(local(voters_[v]), b, more);
         did(v, more);
       } else {
         voters_[v].pending.push_back({{}, b});
       }
     }
-    for (Keeper::Answer& a : out.answers) {
+    for (LeaseManager::ClientReply& a : out.replies) {
       const int n = static_cast<int>(a.to) - 1;
       // Answers that change nothing would only fill the network.
       if (n < 0 || a.reply.kind == Reply::Kind::kWaiting || a.reply.kind == Reply::Kind::kNotLeader) continue;
       post({n, nodes_[static_cast<std::size_t>(n)].life, std::nullopt, a.reply, false});
     }
   }
-  void said(int n, Holding::Actions& out) {
+  void said(int n, LeaseHolder::Actions& out) {
     for (Request& r : out.requests)
       post({n, nodes_[static_cast<std::size_t>(n)].life, std::move(r), std::nullopt, false});
-    for (const Holding::Change& c : out.changes) {
+    for (const LeaseHolder::Change& c : out.changes) {
       if (!c.gained) continue;
       const auto [it, fresh] =
           owners_.try_emplace(c.token, std::pair(n, nodes_[static_cast<std::size_t>(n)].life));
@@ -281,7 +281,7 @@
       const Message& one = messages_[m];
       if (one.request) {
         for (int v = 0; v < 2; ++v) {
-          if (voters_[static_cast<std::size_t>(v)].keeper.leads()) out.push_back({K::kDeliver, i, v});
+          if (voters_[static_cast<std::size_t>(v)].keeper.is_leader()) out.push_back({K::kDeliver, i, v});
         }
       } else if (nodes_[static_cast<std::size_t>(one.node)].running) {
         out.push_back({K::kDeliver, i, 0});
@@ -290,7 +290,7 @@
       out.push_back({K::kDrop, i, 0});
     }
     if (!voters_[static_cast<std::size_t>(leader_)].pending.empty()) out.push_back({K::kCommit, 0, 0});
-    if (!voters_[static_cast<std::size_t>(1 - leader_)].keeper.leads()) {
+    if (!voters_[static_cast<std::size_t>(1 - leader_)].keeper.is_leader()) {
       out.push_back({K::kElect, 0, 0});
       if (!voters_[static_cast<std::size_t>(leader_)].pending.empty())
         out.push_back({K::kElectKeeping, 0, 0});
@@ -384,13 +384,13 @@
         }
         if (m.request) {
           const auto v = static_cast<std::size_t>(s.b);
-          Keeper::Actions out;
-          voters_[v].keeper.request(local(voters_[v]), static_cast<Keeper::Client>(m.node) + 1, *m.request,
-                                    out);
+          LeaseManager::Actions out;
+          voters_[v].keeper.on_request(local(voters_[v]), static_cast<LeaseManager::ClientId>(m.node) + 1,
+                                       *m.request, out);
           did(v, out);
         } else if (m.life == nodes_[static_cast<std::size_t>(m.node)].life) {
-          Holding::Actions out;
-          nodes_[static_cast<std::size_t>(m.node)].holding.reply(local(m.node), *m.reply, out);
+          LeaseHolder::Actions out;
+          nodes_[static_cast<std::size_t>(m.node)].holding.on_reply(local(m.node), *m.reply, out);
           said(m.node, out);
         }
         break;
@@ -403,8 +403,8 @@
         const Item item = voters_[v].pending.front();
         voters_[v].pending.erase(voters_[v].pending.begin());
         if (item.barrier != 0) {
-          Keeper::Actions out;
-          voters_[v].keeper.barrier_done(local(voters_[v]), item.barrier, out);
+          LeaseManager::Actions out;
+          voters_[v].keeper.on_barrier_done(local(voters_[v]), item.barrier, out);
           did(v, out);
         } else {
           log_.push_back(item.command);
@@ -425,15 +425,15 @@
         const auto v = static_cast<std::size_t>(leader_);
         voters_[v].pending.clear();
         catch_up(v);
-        Keeper::Actions out;
-        voters_[v].keeper.lead(local(voters_[v]) - (s_.faults.hasty_leader ? 100 : 0), out);
+        LeaseManager::Actions out;
+        voters_[v].keeper.become_leader(local(voters_[v]) - (s_.faults.hasty_leader ? 100 : 0), out);
         did(v, out);
         break;
       }
       case Step::Kind::kDepose: {
         const auto v = static_cast<std::size_t>(1 - leader_);
-        Keeper::Actions out;
-        voters_[v].keeper.follow(out);
+        LeaseManager::Actions out;
+        voters_[v].keeper.become_follower(out);
         voters_[v].pending.clear();
         did(v, out);
         catch_up(v);
@@ -451,14 +451,14 @@
         const double offset = nodes_[a].offset;
         nodes_[a] = node(s.a, life);
         nodes_[a].offset = offset;
-        Holding::Actions out;
-        for (const std::string& duty : s_.duties) nodes_[a].holding.want(local(s.a), duty, out);
+        LeaseHolder::Actions out;
+        for (const std::string& duty : s_.duties) nodes_[a].holding.acquire(local(s.a), duty, out);
         said(s.a, out);
         break;
       }
       case Step::Kind::kCheck: {
         const std::string& duty = s_.duties[static_cast<std::size_t>(s.b)];
-        nodes_[a].effect = {duty, *nodes_[a].holding.holds(local(s.a), duty)};
+        nodes_[a].effect = {duty, *nodes_[a].holding.held_token(local(s.a), duty)};
         break;
       }
       case Step::Kind::kLand: {
@@ -477,12 +477,12 @@
         t_ += s_.time_step;
         for (int n = 0; n < s_.nodes; ++n) {
           if (!nodes_[static_cast<std::size_t>(n)].running) continue;
-          Holding::Actions out;
+          LeaseHolder::Actions out;
           nodes_[static_cast<std::size_t>(n)].holding.tick(local(n), out);
           said(n, out);
         }
         for (std::size_t v = 0; v < 2; ++v) {
-          Keeper::Actions out;
+          LeaseManager::Actions out;
           voters_[v].keeper.tick(local(voters_[v]), out);
           did(v, out);
         }
@@ -497,16 +497,16 @@
         }
         log_ = defined;
         for (Voter& v : voters_) {
-          Keeper::Actions out;
-          v.keeper.follow(out);
-          v.table = Table();
+          LeaseManager::Actions out;
+          v.keeper.become_follower(out);
+          v.table = LeaseTable();
           v.applied = 0;
           v.pending.clear();
         }
         catch_up(static_cast<std::size_t>(leader_));
         Voter& v = voters_[static_cast<std::size_t>(leader_)];
-        Keeper::Actions out;
-        v.keeper.lead(local(v), out);
+        LeaseManager::Actions out;
+        v.keeper.become_leader(local(v), out);
         did(static_cast<std::size_t>(leader_), out);
         break;
       }
@@ -515,7 +515,7 @@
 
   void check() {
     if (!broken_.empty()) return;
-    const Table& agreed = voters_[static_cast<std::size_t>(leader_)].table;
+    const LeaseTable& agreed = voters_[static_cast<std::size_t>(leader_)].table;
     for (const std::string& duty : s_.duties) {
       std::optional<int> first;
       for (int n = 0; n < s_.nodes; ++n) {
@@ -526,7 +526,7 @@
         }
         first = n;
         const Lease* lease = agreed.find(duty);
-        const auto token = nodes_[static_cast<std::size_t>(n)].holding.holds(local(n), duty);
+        const auto token = nodes_[static_cast<std::size_t>(n)].holding.held_token(local(n), duty);
         if (!s_.faults.lost_table && (lease == nullptr || !lease->holder || lease->token != *token)) {
           broken_ = "n" + std::to_string(n) + " holds " + duty + " by token " + std::to_string(*token) +
                     ", which the voters have taken from it";
@@ -540,7 +540,7 @@
     std::string out;
     for (const auto& [name, lease] : table().leases()) {
       out += "T" + name + std::to_string(lease.token) +
-             (lease.holder ? lease.holder->name + std::to_string(lease.holder->life) : "-");
+             (lease.holder ? lease.holder->name + std::to_string(lease.holder->generation) : "-");
     }
     return out + std::to_string(table().last_token());
   }
@@ -552,7 +552,7 @@
   std::vector<NodeState> nodes_;
   std::vector<Message> messages_;
   int leader_ = 0;  // who can commit
-  Fence fence_;
+  FencingChecker fence_;
   std::map<std::string, Token> last_effect_;
   std::vector<Token> effects_;
   std::map<Token, std::pair<int, std::uint64_t>> owners_;
--- a/tests/duties/parts_test.cpp
+++ b/tests/duties/parts_test.cpp
@@ -11,8 +11,8 @@
 #include <random>
 
 #include "cluster.h"
-#include "duties/place.h"
 #include "duties/sqlite.h"
+#include "duties/sqlite_fencing_checker.h"
 #include "report/book.h"
 
 namespace nettlestand::duties::testing {
@@ -37,8 +37,8 @@
   Frame f;
   f.kind = Frame::Kind::kHello;
   f.cluster = "c";
-  f.who = {name, 7, "a", "west"};
-  f.nonce = std::string(kNonce, name[0]);
+  f.sender = {name, 7, "a", "west"};
+  f.nonce = std::string(kNonceBytes, name[0]);
   return f;
 }
 Frame some_requests() {
@@ -55,42 +55,43 @@
 }
 struct Pair {
   explicit Pair(Keys a_keys = {}, Keys b_keys = {})
-      : a(a_keys, std::string(kNonce, 'a'), kMostFrame), b(b_keys, std::string(kNonce, 'b'), kMostFrame) {
-    b.put(a.seal(hello_of("a")));
-    a.put(b.seal(hello_of("b")));
+      : a(a_keys, std::string(kNonceBytes, 'a'), kMaxFrameBytes),
+        b(b_keys, std::string(kNonceBytes, 'b'), kMaxFrameBytes) {
+    b.append_received(a.seal(hello_of("a")));
+    a.append_received(b.seal(hello_of("b")));
   }
   Channel a, b;
 };
 
 TEST(DutiesWire, CarriesAllThatFramesSay) {
   Pair p;
-  EXPECT_EQ(p.b.next()->who.zone, "a");
-  ASSERT_TRUE(p.a.next());
+  EXPECT_EQ(p.b.next_frame()->sender.zone, "a");
+  ASSERT_TRUE(p.a.next_frame());
   const std::string bytes = p.a.seal(some_requests());
-  for (const char c : bytes) p.b.put({&c, 1});
-  const auto f = p.b.next();
+  for (const char c : bytes) p.b.append_received({&c, 1});
+  const auto f = p.b.next_frame();
   ASSERT_TRUE(f && f->requests.size() == 2);
   EXPECT_EQ(f->requests[0].settings, some_requests().requests[0].settings);
   EXPECT_EQ(f->requests[1].token, 99U);
-  EXPECT_FALSE(p.b.next());
+  EXPECT_FALSE(p.b.next_frame());
 }
 
 TEST(DutiesWire, WhatIsChangedDoubledLeftOutOrOfAnotherConnectionIsNotTaken) {
   const auto refused = [](Pair& p, const std::string& bytes) {
-    p.b.put(bytes);
-    EXPECT_THROW(p.b.next(), BadBytes);
+    p.b.append_received(bytes);
+    EXPECT_THROW(p.b.next_frame(), DecodeError);
   };
   const auto met = [](Pair& p) {
-    p.a.next();
-    p.b.next();
+    p.a.next_frame();
+    p.b.next_frame();
   };
   std::string recorded;
   {
     Pair p;
     met(p);
     recorded = p.a.seal(some_requests());
-    p.b.put(recorded);
-    EXPECT_TRUE(p.b.next());
+    p.b.append_received(recorded);
+    EXPECT_TRUE(p.b.next_frame());
     refused(p, recorded);  // doubled
   }
   for (std::size_t i = 4; i < recorded.size(); i += 7) {
@@ -108,11 +109,11 @@
   }
   {  // of another connection: the nonce is another
     Pair p;
-    Channel b({}, std::string(kNonce, 'z'), kMostFrame);
-    b.put(p.a.seal(hello_of("a")));
-    ASSERT_TRUE(b.next());
-    b.put(recorded);
-    EXPECT_THROW(b.next(), BadBytes);
+    Channel b({}, std::string(kNonceBytes, 'z'), kMaxFrameBytes);
+    b.append_received(p.a.seal(hello_of("a")));
+    ASSERT_TRUE(b.next_frame());
+    b.append_received(recorded);
+    EXPECT_THROW(b.next_frame(), DecodeError);
   }
 }
 
@@ -121,8 +122,8 @@
   const auto good = [](Keys a, Keys b) {
     Pair p(a, b);
     try {
-      return p.b.next().has_value();
-    } catch (const BadBytes&) {
+      return p.b.next_frame().has_value();
+    } catch (const DecodeError&) {
       return false;
     }
   };
@@ -130,7 +131,7 @@
   EXPECT_TRUE(good({{one}}, {{two, one}}));
   EXPECT_FALSE(good({{one}}, {{two}}));
   EXPECT_FALSE(good({}, {{one}}));
-  EXPECT_THROW(Channel({{"short"}}, std::string(kNonce, 'n'), 100), std::runtime_error);
+  EXPECT_THROW(Channel({{"short"}}, std::string(kNonceBytes, 'n'), 100), std::runtime_error);
 }
 
 TEST(DutiesWire, BytesThatAreNoneEndTheConnectionAndNothingElse) {
@@ -143,118 +144,118 @@
     if (random() % 4 == 0) bytes.resize(random() % bytes.size());
     try {
       decode_frame(bytes);
-    } catch (const BadBytes&) {
+    } catch (const DecodeError&) {
     }
   }
   Pair p;
-  p.b.put(std::string(2000, '\x7f'));
-  EXPECT_THROW(p.b.next() && p.b.next(), BadBytes);
+  p.b.append_received(std::string(2000, '\x7f'));
+  EXPECT_THROW(p.b.next_frame() && p.b.next_frame(), DecodeError);
 }
 
 // ------------------------------------------------------------ the way
 
 TEST(DutiesWay, GoesRoundTheVotersAndToTheLeaderAndBack) {
-  WaySettings s;
-  Way w(3, 1, s);
+  VoterSelectorSettings s;
+  VoterSelector w(3, 1, s);
   EXPECT_EQ(w.target(), 1U);
-  w.failed(0);
+  w.on_failed(0);
   EXPECT_EQ(w.target(), 2U);
-  w.came_up(0.1);
-  EXPECT_FALSE(w.hint(0.1, 2));
-  EXPECT_FALSE(w.hint(0.1, 7));
-  EXPECT_FALSE(w.hint(0.1, 1)) << "it has just failed";
-  ASSERT_TRUE(w.hint(0.2, 0));
+  w.on_connected(0.1);
+  EXPECT_FALSE(w.on_leader_hint(0.1, 2));
+  EXPECT_FALSE(w.on_leader_hint(0.1, 7));
+  EXPECT_FALSE(w.on_leader_hint(0.1, 1)) << "it has just failed";
+  ASSERT_TRUE(w.on_leader_hint(0.2, 0));
   EXPECT_EQ(w.target(), 0U);
-  EXPECT_TRUE(w.on_hint());
-  w.hint_failed(0.3);
+  EXPECT_TRUE(w.following_hint());
+  w.on_hint_failed(0.3);
   EXPECT_EQ(w.target(), 2U) << "who said so still hands on";
-  w.came_up(0.4);
-  w.asked(0.5);
-  EXPECT_FALSE(w.silent(1.4));
-  EXPECT_TRUE(w.silent(1.5));
-  w.heard(1.5);
-  EXPECT_FALSE(w.silent(1.6));
-  EXPECT_TRUE(w.wants_ping(1.5 + s.idle));
-  EXPECT_FALSE(w.leaderless(4));
-  w.led();
-  EXPECT_FALSE(w.leaderless(5.5));
-  EXPECT_TRUE(w.leaderless(6.6));
+  w.on_connected(0.4);
+  w.on_request_sent(0.5);
+  EXPECT_FALSE(w.timed_out(1.4));
+  EXPECT_TRUE(w.timed_out(1.5));
+  w.on_frame_received(1.5);
+  EXPECT_FALSE(w.timed_out(1.6));
+  EXPECT_TRUE(w.wants_ping(1.5 + s.ping_after_idle));
+  EXPECT_FALSE(w.on_leaderless(4));
+  w.on_leader_known();
+  EXPECT_FALSE(w.on_leaderless(5.5));
+  EXPECT_TRUE(w.on_leaderless(6.6));
   EXPECT_EQ(w.target(), 0U);
 }
 
 TEST(DutiesWay, PausesGrowByRoundsToABound) {
-  WaySettings s;
-  Way w(2, 0, s);
+  VoterSelectorSettings s;
+  VoterSelector w(2, 0, s);
   double at = 0, longest = 0;
   for (int i = 0; i < 40; ++i) {
-    w.failed(at);
-    longest = w.try_at() - at;
-    at = w.try_at();
+    w.on_failed(at);
+    longest = w.next_attempt_at() - at;
+    at = w.next_attempt_at();
   }
-  EXPECT_EQ(longest, s.longest_pause);
+  EXPECT_EQ(longest, s.max_backoff);
 }
 
 // ------------------------------------------------------------ what takes time to stop
 
 TEST(DutiesHolding, WhatStopsSlowlyIsGivenBackOnceItHasStopped) {
-  HoldingSettings s;
+  LeaseHolderSettings s;
   s.self = {"n", 1, "", ""};
-  Holding h(s);
-  Holding::Actions out;
-  h.want(0, "d", out, true);
+  LeaseHolder h(s);
+  LeaseHolder::Actions out;
+  h.acquire(0, "d", out, true);
   Reply yours;
-  yours.kind = Reply::Kind::kYours;
+  yours.kind = Reply::Kind::kGranted;
   yours.duty = "d";
   yours.token = 5;
   out = {};
-  h.reply(0, yours, out);
+  h.on_reply(0, yours, out);
   Reply renewed = yours;
   renewed.kind = Reply::Kind::kRenewed;
-  renewed.length = 2;
+  renewed.lease_seconds = 2;
   renewed.seq = out.requests.at(0).seq;
-  h.reply(0.1, renewed, out);
-  ASSERT_EQ(h.holds(1, "d"), 5U);
+  h.on_reply(0.1, renewed, out);
+  ASSERT_EQ(h.held_token(1, "d"), 5U);
   Reply over = yours;
   over.kind = Reply::Kind::kHandOver;
   out = {};
-  h.reply(1, over, out);
-  EXPECT_FALSE(h.holds(1, "d")) << "no effect begins any more";
+  h.on_reply(1, over, out);
+  EXPECT_FALSE(h.held_token(1, "d")) << "no effect begins any more";
   ASSERT_EQ(out.changes.size(), 1U);
   EXPECT_TRUE(out.requests.empty()) << "and it is not given back yet";
-  EXPECT_NEAR(h.until("d"), 2 * (1 - s.drift), 1e-9);
+  EXPECT_NEAR(h.held_until("d"), 2 * (1 - s.drift), 1e-9);
   h.tick(1.5, out);
-  h.leader_changed(1.5, out);
+  h.on_leader_changed(1.5, out);
   EXPECT_TRUE(out.requests.empty());
-  h.stopped(1.6, "d", out);
+  h.confirm_stopped(1.6, "d", out);
   ASSERT_EQ(out.requests.size(), 1U);
-  EXPECT_EQ(out.requests[0].kind, Request::Kind::kGiveBack);
+  EXPECT_EQ(out.requests[0].kind, Request::Kind::kRelease);
 }
 
 TEST(DutiesHolding, AfterALapseItIsHeldAgainByANewTokenAlone) {
-  HoldingSettings s;
+  LeaseHolderSettings s;
   s.self = {"n", 1, "", ""};
-  Holding h(s);
-  Holding::Actions out;
-  h.want(0, "d", out);
+  LeaseHolder h(s);
+  LeaseHolder::Actions out;
+  h.acquire(0, "d", out);
   Reply r;
-  r.kind = Reply::Kind::kYours;
+  r.kind = Reply::Kind::kGranted;
   r.duty = "d";
   r.token = 5;
   out = {};
-  h.reply(0, r, out);
+  h.on_reply(0, r, out);
   r.kind = Reply::Kind::kRenewed;
-  r.length = 1;
+  r.lease_seconds = 1;
   r.seq = out.requests.at(0).seq;
-  h.reply(0.1, r, out);
+  h.on_reply(0.1, r, out);
   out = {};
   h.tick(1.1, out);
   ASSERT_EQ(out.changes.size(), 1U);
-  EXPECT_EQ(out.changes[0].why, Holding::Lost::kLapsed);
+  EXPECT_EQ(out.changes[0].loss_reason, LeaseHolder::LossReason::kExpired);
   ASSERT_FALSE(out.requests.empty());
-  EXPECT_EQ(out.requests[0].kind, Request::Kind::kGiveBack);
+  EXPECT_EQ(out.requests[0].kind, Request::Kind::kRelease);
   // A confirmation of an old renewal that comes now changes nothing.
-  h.reply(1.2, r, out);
-  EXPECT_FALSE(h.holds(1.2, "d"));
+  h.on_reply(1.2, r, out);
+  EXPECT_FALSE(h.held_token(1.2, "d"));
 }
 
 // ------------------------------------------------------------ a voter's file
@@ -332,9 +333,9 @@
 };
 
 // What a store holds, as text.
-std::string held(const Stored& s) {
+std::string held(const StoredState& s) {
   std::string out =
-      "t" + std::to_string(s.term) + "v" + std::to_string(s.vote) + "f" + std::to_string(s.first);
+      "t" + std::to_string(s.term) + "v" + std::to_string(s.vote) + "f" + std::to_string(s.first_index);
   for (const StoredEntry& e : s.entries) out += "|" + std::to_string(e.term) + e.data;
   if (s.snapshot) out += "S" + std::to_string(s.snapshot->index) + s.snapshot->data;
   return out;
@@ -356,7 +357,7 @@
       --last;
       return;
     default:
-      s.put({last, 1, {{5, "v0", 1}}, 1, "table" + std::to_string(i)}, 2);
+      s.put_snapshot({last, 1, {{5, "v0", 1}}, 1, "table" + std::to_string(i)}, 2);
       return;
   }
 }
@@ -367,7 +368,7 @@
   for (int fail = 0; fail < 400; ++fail) {
     Folder folder;
     files.fail_in = -1;
-    SqliteStore::make(folder.path);
+    SqliteStore::create(folder.path);
     std::string before, after;
     bool failed = false;
     {
@@ -406,7 +407,7 @@
   std::mt19937_64 random(11);
   for (int run = 0; run < 40; ++run) {
     Folder folder;
-    SqliteStore::make(folder.path);
+    SqliteStore::create(folder.path);
     int ends[2];
     ASSERT_EQ(pipe(ends), 0);
     const pid_t child = fork();
@@ -443,8 +444,8 @@
 TEST(DutiesStore, IsOneProcesssAndOneIdentitys) {
   Folder folder;
   EXPECT_THROW(SqliteStore{folder.path}, StoreError);
-  const std::uint64_t id = SqliteStore::make(folder.path);
-  EXPECT_THROW(SqliteStore::make(folder.path), StoreError);
+  const std::uint64_t id = SqliteStore::create(folder.path);
+  EXPECT_THROW(SqliteStore::create(folder.path), StoreError);
   SqliteStore store(folder.path);
   EXPECT_EQ(store.load().id, id);
   try {
@@ -452,13 +453,13 @@
     other.load();
     FAIL() << "two have it";
   } catch (const StoreError& error) {
-    EXPECT_EQ(error.kind, StoreError::Kind::kTaken);
+    EXPECT_EQ(error.kind, StoreError::Kind::kLocked);
   }
-  EXPECT_TRUE(store.met(9, 3, 100));
-  EXPECT_TRUE(store.met(9, 3, 100));
-  EXPECT_FALSE(store.met(9, 3, 101)) << "another one that calls itself the same";
-  EXPECT_FALSE(store.met(9, 2, 90)) << "a state of former days";
-  EXPECT_TRUE(store.met(9, 4, 110));
+  EXPECT_TRUE(store.record_peer_start(9, 3, 100));
+  EXPECT_TRUE(store.record_peer_start(9, 3, 100));
+  EXPECT_FALSE(store.record_peer_start(9, 3, 101)) << "another one that calls itself the same";
+  EXPECT_FALSE(store.record_peer_start(9, 2, 90)) << "a state of former days";
+  EXPECT_TRUE(store.record_peer_start(9, 4, 110));
 }
 
 // ------------------------------------------------------------ messages that no voter sends
@@ -489,10 +490,9 @@
       Frame f;
       f.kind = Frame::Kind::kRaft;
       f.bytes = bytes;
-      Voter::Outs outs;
-      const std::uint64_t id =
-          from < 3 && c.voter(from)->voter ? c.voter(from)->voter->agreement().id() : 4242;
-      v->voter->from_voter(100 + c.sim.now(), id, "v" + std::to_string(from % 3), f, outs);
+      Voter::OutgoingFrames outs;
+      const std::uint64_t id = from < 3 && c.voter(from)->voter ? c.voter(from)->voter->raft().id() : 4242;
+      v->voter->on_voter_frame(100 + c.sim.now(), id, "v" + std::to_string(from % 3), f, outs);
       if (i % 300 == 0) c.run(0.1);
     }
     // Whatever they have made of it, they go on, and duties are held by one at most.
@@ -518,8 +518,8 @@
   c.run(50);
   c.listen = {};
   ASSERT_TRUE(c.all_held());
-  const std::uint64_t term = c.leader()->voter->agreement().term();
-  const Token token = c.leader()->voter->agreement().table().last_token();
+  const std::uint64_t term = c.leader()->voter->raft().term();
+  const Token token = c.leader()->voter->raft().table().last_token();
   for (int twice = 0; twice < 2; ++twice) {
     for (const std::string& bytes : seen) {
       for (std::size_t to = 0; to < 3; ++to) {
@@ -528,9 +528,9 @@
           Frame f;
           f.kind = Frame::Kind::kRaft;
           f.bytes = bytes;
-          Voter::Outs outs;
-          c.voter(to)->voter->from_voter(100 + c.sim.now(), c.voter(from)->voter->agreement().id(),
-                                         "v" + std::to_string(from), f, outs);
+          Voter::OutgoingFrames outs;
+          c.voter(to)->voter->on_voter_frame(100 + c.sim.now(), c.voter(from)->voter->raft().id(),
+                                             "v" + std::to_string(from), f, outs);
         }
       }
     }
@@ -540,8 +540,8 @@
   EXPECT_EQ(c.broken, "");
   EXPECT_TRUE(c.all_held());
   ASSERT_NE(c.leader(), nullptr);
-  EXPECT_GE(c.leader()->voter->agreement().term(), term);
-  EXPECT_GE(c.leader()->voter->agreement().table().last_token(), token);
+  EXPECT_GE(c.leader()->voter->raft().term(), term);
+  EXPECT_GE(c.leader()->voter->raft().table().last_token(), token);
 }
 
 // ------------------------------------------------------------ the report's book
--- a/tests/duties/probe.cpp
+++ b/tests/duties/probe.cpp
@@ -12,7 +12,7 @@
 #include <string>
 #include <thread>
 
-#include "duties/place.h"
+#include "duties/sqlite_fencing_checker.h"
 
 int main(int argc, char** argv) {
   using namespace nettlestand::duties;
@@ -33,7 +33,7 @@
         "CREATE TABLE IF NOT EXISTS effect(n INTEGER PRIMARY KEY, duty TEXT, token INTEGER, pid INTEGER, at "
         "REAL)");
     sql.run("CREATE TABLE IF NOT EXISTS away(n INTEGER PRIMARY KEY, duty TEXT, token INTEGER, at REAL)");
-    Place place(sql);
+    SqliteFencingChecker place(sql);
     for (;;) {
       if (step == "slow") std::this_thread::sleep_for(every / 2);
       bool landed = false;
--- a/tests/duties/processes_test.cpp
+++ b/tests/duties/processes_test.cpp
@@ -225,7 +225,7 @@
   r.w->start_node(lost);
   r.w->node(lost).await_ready();  // it serves, and does not vote
   UNTIL(r.w->node(lost).log().find("voter_off") != std::string::npos);
-  duties::SqliteStore::make(r.w->state(lost).path());
+  duties::SqliteStore::create(r.w->state(lost).path());
   UNTIL(r.w->node(lost).log().find("voter_started") != std::string::npos);
   const std::string refused = control(*r.w, asked, "duties voters add " + n(lost));
   EXPECT_NE(refused.find("another identity"), std::string::npos) << refused;
@@ -341,13 +341,13 @@
   duties::Frame hello;
   hello.kind = duties::Frame::Kind::kHello;
   hello.cluster = "another";
-  hello.nonce = std::string(duties::kNonce, 'x');
-  hello.who = {"stranger", 1, "", ""};
-  hello.voter = 77;
+  hello.nonce = std::string(duties::kNonceBytes, 'x');
+  hello.sender = {"stranger", 1, "", ""};
+  hello.voter_id = 77;
   for (int i = 0; i < 60; ++i) {
     Fd fd = connect_to(Address{to, r.w->voter_port()});
     ASSERT_TRUE(fd);
-    duties::Channel channel({}, std::string(duties::kNonce, 'x'), 1 << 20);
+    duties::Channel channel({}, std::string(duties::kNonceBytes, 'x'), 1 << 20);
     std::string bytes = channel.seal(hello);
     if (i % 3 == 1) bytes = std::string(1 + random() % 300, static_cast<char>(random()));
     if (i % 3 == 2) bytes[random() % bytes.size()] ^= 1;
--- a/tests/duties/world.h
+++ b/tests/duties/world.h
@@ -10,8 +10,8 @@
 #include <vector>
 
 #include "daemon/control.h"
-#include "duties/agreement.h"
-#include "duties/place.h"
+#include "duties/raft_replica.h"
+#include "duties/sqlite_fencing_checker.h"
 #include "duties/store.h"
 #include "json/read.h"
 #include "report/book.h"
@@ -60,10 +60,10 @@
     }
     settings.duties += more;
     settings.before_voting = [](std::size_t i, const std::string& folder) {
-      duties::SqliteStore::make(folder);
+      duties::SqliteStore::create(folder);
       if (i != 0) return;
       duties::SqliteStore store(folder);
-      duties::Agreement::found(store, "n0");
+      duties::RaftReplica::bootstrap(store, "n0");
     };
   }
 };
@@ -125,7 +125,8 @@
   try {
     duties::Sqlite::Statement all(sql, away ? "SELECT duty, token, 0, at FROM away ORDER BY n"
                                             : "SELECT duty, token, pid, at FROM effect ORDER BY n");
-    while (all.row()) out.push_back({all.bytes(0), all.number(1), all.number(2), all.real(3)});
+    while (all.step())
+      out.push_back({all.column_bytes(0), all.column_uint64(1), all.column_uint64(2), all.column_double(3)});
   } catch (const duties::StoreError&) {  // not made yet
   }
   return out;
