--- a/core/engine.h
+++ b/core/engine.h
@@ -34,7 +34,7 @@
   };
   Kind kind = Kind::kFailed;
   double retry_after = 0;  // s, of a refusal; 0: no advice
-  std::unique_ptr<Cargo> cargo;
+  std::unique_ptr<Payload> payload;
 };
 
 // Who is owed an answer: a front's side of one request. The core holds it until it has answered.
@@ -52,18 +52,18 @@
 
 // A caller's request, read and found to be sound.
 struct Call {
-  quinceusher::Request facts;  // id and time_left are the engine's to fill in
-  std::shared_ptr<const Cargo> cargo;
-  std::string client_id;  // what the client calls it
-  double came_at = 0;     // on the steady clock
-  double timeout = 0;     // s, from when the client sent it
+  quinceusher::Request request;  // id and time_left are the engine's to fill in
+  std::shared_ptr<const Payload> payload;
+  std::string client_id;   // what the client calls it
+  double received_at = 0;  // on the steady clock
+  double timeout = 0;      // s, from when the client sent it
 };
 
 struct EngineOptions {
   quinceusher::Settings settings;
   std::uint64_t seed = 0;
-  std::size_t most_servers = 8192;  // that may be listed, ready or leaving
-  std::optional<ServerList> known;  // the servers as last known
+  std::size_t max_servers = 8192;                // that may be listed, ready or leaving
+  std::optional<ServerList> last_known_servers;  // the servers as last known
   // Told of each final answer, before its caller is: who asked what, and how it ended. Must not throw.
   std::function<void(const Call&, Reply::Kind)> answered;
 };
@@ -82,51 +82,52 @@
   std::uint64_t submit(Call call, std::shared_ptr<Caller> caller);
 
   // Whether a request with this client's id is open, or has attempts out.
-  bool knows(std::string_view client_id) const { return client_ids_.contains(client_id); }
+  bool has_request(std::string_view client_id) const { return client_ids_.contains(client_id); }
 
   // The client has gone away: nothing more is owed.
-  void gone(std::uint64_t request);
+  void on_client_gone(std::uint64_t request);
 
   // Answers everything that is open, as for a deadline that has come.
   void expire_all();
   // The end: answers everything that is open as shut down, and handles nothing more.
-  void shut();
+  void shut_down();
 
   // For what a front itself has to turn away, unsent.
   Reply refusal() const;
 
   // Throws std::length_error, and changes nothing, for a list that would make the servers too many.
-  void list_came(const ServerList& list);
-  void watch_failed();
+  void on_server_list(const ServerList& list);
+  void on_watch_failed();
   // Other copies than the settings say: how many, and which of them this is.
-  void copies_changed(int index, int count, double sharers);
+  void on_balancers_changed(int index, int count, double sharers);
 
   // Whether requests can be served: there is a server to send to, and discovery has been heard or asked.
   bool ready() const { return asked_ && servers_known_; }
-  std::size_t open() const { return open_; }  // requests that have no answer yet
+  std::size_t open() const { return open_count_; }  // requests that have no answer yet
 
  private:
-  struct Try {
+  struct AttemptRecord {
     double sent_at = 0;
     bool open = true, may_have_run = true;
   };
-  struct Live {
-    Live(boost::asio::io_context& io, Call&& taken, std::shared_ptr<Caller>&& from)
+  struct OpenRequest {
+    OpenRequest(boost::asio::io_context& io, Call&& taken, std::shared_ptr<Caller>&& from)
         : call(std::move(taken)), caller(std::move(from)), deadline(io) {}
     Call call;
     std::shared_ptr<Caller> caller;  // none once the request has its final answer
     boost::asio::steady_timer deadline;
-    std::vector<Try> tries;
+    std::vector<AttemptRecord> attempts;
   };
-  using LiveMap = std::unordered_map<std::uint64_t, Live>;
+  using OpenRequestMap = std::unordered_map<std::uint64_t, OpenRequest>;
 
-  void ended(const AttemptId& attempt, quinceusher::Outcome outcome, std::unique_ptr<Cargo> answer) override;
+  void ended(const AttemptId& attempt, quinceusher::Outcome outcome,
+             std::unique_ptr<Payload> answer) override;
   void arriving(const AttemptId& attempt, const Progress& progress) override;
 
-  void take(const ServerList& list);
-  void count(const ServerList& list);
+  void apply_list(const ServerList& list);
+  void check_server_limit(const ServerList& list);
   void post(quinceusher::Event event);
-  void drain();
+  void handle_events();
   void run(const quinceusher::Send& action);
   void run(const quinceusher::Refuse& action);
   void run(const quinceusher::Fail& action);
@@ -135,11 +136,11 @@
   void run(const quinceusher::SetTimer& action);
   void run(const quinceusher::WatchMembers& action);
   void run(const quinceusher::LogLine& action);
-  Live* find(std::uint64_t request);
+  OpenRequest* find(std::uint64_t request);
   void expire(std::uint64_t request, Reply::Kind kind);
-  std::shared_ptr<Caller> release(Live& live);
+  std::shared_ptr<Caller> take_caller(OpenRequest& entry);
   void answer(std::uint64_t request, Reply&& reply);
-  void withdraw(std::uint64_t request);
+  void withdraw_attempts(std::uint64_t request);
   void forget_if_done(std::uint64_t request);
 
   boost::asio::io_context& io_;
@@ -148,15 +149,15 @@
   Transport& transport_;
   const Log log_;
   const std::function<void()> watch_;
-  LiveMap live_;
+  OpenRequestMap open_requests_;
   std::unordered_set<std::string_view> client_ids_;  // of all that is in live_, and views into it
   std::unordered_set<std::string> listed_;           // the names of all servers, ready or leaving
   std::deque<quinceusher::Event> events_;
   std::uint64_t last_timer_ = 0;
   std::unordered_map<std::uint64_t, boost::asio::steady_timer> timers_;
-  bool running_ = false, shut_ = false;
+  bool running_ = false, shut_down_ = false;
   std::uint64_t last_id_ = 0;
-  std::size_t open_ = 0;
+  std::size_t open_count_ = 0;
   std::atomic<bool> asked_ = false, servers_known_ = false;
 };
 
--- a/core/members.h
+++ b/core/server_list.h
@@ -10,13 +10,13 @@
 namespace nettlestand {
 
 struct ListedServer {
-  quinceusher::Server facts;  // its address is the name that is the same at every node
-  boost::asio::ip::tcp::endpoint dial;
+  quinceusher::Server info;  // its address is the name that is the same at every node
+  boost::asio::ip::tcp::endpoint endpoint;
 };
 
 struct ServerList {
   std::uint64_t seq = 0;
-  bool whole = false;
+  bool is_full = false;
   std::vector<ListedServer> servers;
 };
 
--- a/core/transport.h
+++ b/core/transport.h
@@ -8,18 +8,18 @@
 #include <string>
 #include <vector>
 
-#include "core/members.h"
+#include "core/server_list.h"
 #include "quinceusher/balancer.h"
 
 namespace nettlestand {
 
 // A request on its way to a server, or an answer on its way to a caller. Today both are whole. An answer in
 // pieces is a Cargo that its front pulls from.
-struct Cargo {
-  Cargo() = default;
-  Cargo(const Cargo&) = delete;
-  Cargo& operator=(const Cargo&) = delete;
-  virtual ~Cargo() = default;
+struct Payload {
+  Payload() = default;
+  Payload(const Payload&) = delete;
+  Payload& operator=(const Payload&) = delete;
+  virtual ~Payload() = default;
 };
 
 // An attempt is named by its request's number and its place among that request's attempts, from 0. It need
@@ -44,7 +44,7 @@
    public:
     // The one outcome of an attempt, never told inside start(). `answer` is there where it was delivered.
     virtual void ended(const AttemptId& attempt, quinceusher::Outcome outcome,
-                       std::unique_ptr<Cargo> answer) = 0;
+                       std::unique_ptr<Payload> answer) = 0;
     // An answer's head has come without all of its body, or the time of an attempt that is written is up. May
     // call extend(); where it doesn't, a time-out that led to it stands.
     virtual void arriving(const AttemptId& attempt, const Progress& progress) = 0;
@@ -62,7 +62,7 @@
   // as not sent. Where its last byte is not written within `within` s it never is, and it ends as not
   // sent. Exactly one outcome follows.
   virtual void start(const AttemptId& attempt, const std::string& server,
-                     std::shared_ptr<const Cargo> request, double timeout, double within) = 0;
+                     std::shared_ptr<const Payload> request, double timeout, double within) = 0;
   // Gives an attempt so many seconds from now on.
   virtual void extend(const AttemptId& attempt, double timeout) = 0;
   // Stops waiting for an attempt. It ends so, perhaps before this returns, unless it has ended.
@@ -77,7 +77,7 @@
   virtual std::size_t servers() const = 0;  // that may be sent to
 
   // Ends every connection, and tells nobody. The sink is not called from here on.
-  virtual void shut() = 0;
+  virtual void shut_down() = 0;
 };
 
 }  // namespace nettlestand
--- a/daemon/config.cpp
+++ b/daemon/config.cpp
@@ -142,7 +142,7 @@
   out.peers = read_peers(in, bounds, out.settings.copy_index);
   identify(out);
   if (const Json* known = json::find(in, "known")) out.known = list_of(*known, out.zones);
-  if (out.known && out.known->servers.size() > out.most_servers()) {
+  if (out.known && out.known->servers.size() > out.max_servers()) {
     json::wrong("known", "a list of at most 128 servers for each MB of memory");
   }
   return out;
--- a/daemon/config.h
+++ b/daemon/config.h
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-#include "core/members.h"
+#include "core/server_list.h"
 #include "daemon/log.h"
 #include "duties/client_service.h"
 #include "duties/voter_service.h"
@@ -56,7 +56,7 @@
   std::string control;                         // path of the control socket, or empty
 
   // So many servers may be listed, ready or leaving: each takes 1.4 KB, or twice that with a long name.
-  std::size_t most_servers() const { return memory_mb * 128; }
+  std::size_t max_servers() const { return memory_mb * 128; }
 };
 
 // Throws std::exception with a plain text on what can't be used.
--- a/daemon/duties.cpp
+++ b/daemon/duties.cpp
@@ -85,11 +85,11 @@
 
 void NodeDuties::answered(const Call& call, Reply::Kind kind) {
   if (!reporter_) return;
-  tally_.add(call.facts.tenant,
+  tally_.add(call.request.tenant,
              kind == Reply::Kind::kServed    ? report::Ending::kServed
              : kind == Reply::Kind::kRefused ? report::Ending::kRefused
                                              : report::Ending::kFailed,
-             now() - call.came_at);
+             now() - call.received_at);
 }
 
 Control::Later NodeDuties::commands() {
--- a/daemon/node.cpp
+++ b/daemon/node.cpp
@@ -46,7 +46,7 @@
       budget_(config.memory_mb * 1024 * 1024 / kBodyPart),
       poller_(io_),
       upstream_(io_, poller_, {config.connect_timeout, config.idle_close, sockets_ * 9 / 20}, budget_, log_),
-      engine_(io_, {config.settings, config.seed, config.most_servers(), config.known, counted(config)},
+      engine_(io_, {config.settings, config.seed, config.max_servers(), config.known, counted(config)},
               upstream_, log_,
               [this] {
                 if (discovery_) discovery_->watch();
@@ -60,8 +60,9 @@
   if (config.peers) {
     peers_.emplace(io_, *config.peers,
                    peers::Service::Listeners{[this](const peers::BalancerAssignment& assignment) {
-                                               engine_.copies_changed(assignment.index, assignment.count,
-                                                                      assignment.rate_limit_divisor);
+                                               engine_.on_balancers_changed(assignment.index,
+                                                                            assignment.count,
+                                                                            assignment.rate_limit_divisor);
                                              },
                                              {}},
                    log_);
@@ -83,9 +84,9 @@
   discovery_.emplace(io_,
                      DiscoveryOptions{*config.discovery, config.zones, config.seed,
                                       config.known ? std::optional(config.known->seq) : std::nullopt,
-                                      !config.settings.must_watch, config.most_servers()},
-                     Discovery::Listeners{[this](const ServerList& list) { engine_.list_came(list); },
-                                          [this] { engine_.watch_failed(); }},
+                                      !config.settings.must_watch, config.max_servers()},
+                     Discovery::Listeners{[this](const ServerList& list) { engine_.on_server_list(list); },
+                                          [this] { engine_.on_watch_failed(); }},
                      log_);
 }
 
@@ -118,7 +119,7 @@
 #ifdef NETTLESTAND_WITH_DUTIES
   if (duties_) duties_->start();
 #endif
-  if (!discovery_ && config_.servers) engine_.list_came(*config_.servers);
+  if (!discovery_ && config_.servers) engine_.on_server_list(*config_.servers);
   signals_.async_wait([this](const boost::system::error_code& error, int) {
     if (!error) drain();
   });
@@ -159,7 +160,7 @@
   if (discovery_) {
     discovery_->move(*next.discovery);
   } else {
-    engine_.list_came(*next.servers);
+    engine_.on_server_list(*next.servers);
   }
 }
 
--- a/daemon/operator_file.cpp
+++ b/daemon/operator_file.cpp
@@ -630,31 +630,31 @@
     if (!all.empty() && discovered) {
       root_.wrong("server", "stands beside [discovery], which would replace it");
     }
-    if (all.size() > out_.most_servers()) {
+    if (all.size() > out_.max_servers()) {
       root_.wrong("server",
-                  "more than limits.memory_mb allows, which is " + std::to_string(out_.most_servers()));
+                  "more than limits.memory_mb allows, which is " + std::to_string(out_.max_servers()));
     }
     ServerList list;
-    list.whole = true;
+    list.is_full = true;
     for (const toml::table* table : all) {
       Section s(problems_, table, "server");
       ListedServer server;
       const auto name = s.text("name", kLongestServer);
       named(s, seen, name);
-      server.facts.address = name.value_or("");
+      server.info.address = name.value_or("");
       if (const auto dial = s.address("address")) {
-        server.dial = *dial;
+        server.endpoint = *dial;
         const auto [it, fresh] = dials.emplace(*dial, s.where("address").begin.line);
         if (!fresh) s.wrong("address", "is that of the server in line " + std::to_string(it->second));
         if (*dial == out_.listen) s.wrong("address", "is node.listen: the node would send to itself");
       } else if (!s.has("address")) {
         s.missing("address");
       }
-      if (const auto zone = s.text("zone", kLongestName)) server.facts.zone = zone_of(s, *zone);
-      server.facts.cell = static_cast<int>(s.whole("cell", 0, 0, 1e6));
-      server.facts.weight = s.number("weight", 1, 0, 1e6);
-      server.facts.state = s.word("state", {"ready", "draining"}, 0) == 0 ? qu::ServerState::kReady
-                                                                          : qu::ServerState::kDraining;
+      if (const auto zone = s.text("zone", kLongestName)) server.info.zone = zone_of(s, *zone);
+      server.info.cell = static_cast<int>(s.whole("cell", 0, 0, 1e6));
+      server.info.weight = s.number("weight", 1, 0, 1e6);
+      server.info.state = s.word("state", {"ready", "draining"}, 0) == 0 ? qu::ServerState::kReady
+                                                                         : qu::ServerState::kDraining;
       s.finish();
       list.servers.push_back(std::move(server));
     }
--- a/discovery/discovery.cpp
+++ b/discovery/discovery.cpp
@@ -99,7 +99,7 @@
       }
     }
     if (closed_) return;
-    if (lists_.held() > owner_.options_.most_servers * kLineOfServer) return fail("watch: a list too long");
+    if (lists_.held() > owner_.options_.max_servers * kLineOfServer) return fail("watch: a list too long");
     if (parser_.is_done()) return fail("watch: ended");
     read();
   }
--- a/discovery/discovery.h
+++ b/discovery/discovery.h
@@ -13,7 +13,7 @@
 #include <string>
 #include <vector>
 
-#include "core/members.h"
+#include "core/server_list.h"
 #include "util/log.h"
 
 namespace nettlestand {
@@ -24,7 +24,7 @@
   std::uint64_t seed = 0;            // for the jitter of what is asked again
   std::optional<std::uint64_t> seq;  // of the list that is known already
   bool ask_again = true;             // after a failure, by itself; else whoever watches asks
-  std::size_t most_servers = 8192;   // bounds what it holds of a line
+  std::size_t max_servers = 8192;    // bounds what it holds of a line
 };
 
 // Everything on the thread of the one event loop.
--- a/discovery/lists.cpp
+++ b/discovery/lists.cpp
@@ -24,28 +24,28 @@
 
 ListedServer read_server(const Json& in, const std::vector<std::string>& zones) {
   ListedServer out;
-  out.facts.address = json::text(in, "host");
-  if (out.facts.address.empty() || out.facts.address.size() > kLongestHost) {
+  out.info.address = json::text(in, "host");
+  if (out.info.address.empty() || out.info.address.size() > kLongestHost) {
     json::wrong("host", "a name of 1 to 255 bytes");
   }
   const std::string_view health = json::text(in, "health");
   if (health == "active") {
-    out.facts.state = quinceusher::ServerState::kReady;
+    out.info.state = quinceusher::ServerState::kReady;
   } else if (health == "leaving") {
-    out.facts.state = quinceusher::ServerState::kDraining;
+    out.info.state = quinceusher::ServerState::kDraining;
   } else if (health == "left") {
-    out.facts.state = quinceusher::ServerState::kGone;
+    out.info.state = quinceusher::ServerState::kGone;
   } else {
     json::wrong("health", "active, leaving or left");
   }
-  if (out.facts.state != quinceusher::ServerState::kGone) out.dial = read_endpoint(json::text(in, "dial"));
-  if (json::find(in, "site") != nullptr) out.facts.zone = zone_of(json::text(in, "site"), zones);
-  out.facts.cell = json::whole_or(in, "block", 0);
-  out.facts.weight = json::number_or(in, "share", 1);
-  json::check(out.facts.weight, "share", 0, 1e6);
+  if (out.info.state != quinceusher::ServerState::kGone) out.endpoint = read_endpoint(json::text(in, "dial"));
+  if (json::find(in, "site") != nullptr) out.info.zone = zone_of(json::text(in, "site"), zones);
+  out.info.cell = json::whole_or(in, "block", 0);
+  out.info.weight = json::number_or(in, "share", 1);
+  json::check(out.info.weight, "share", 0, 1e6);
   const double born_ms = json::number_or(in, "born_ms", 0);
   json::check(born_ms, "born_ms", 0, 1e15);
-  out.facts.started = steady_of_unix_ms(born_ms);
+  out.info.started = steady_of_unix_ms(born_ms);
   return out;
 }
 
@@ -54,7 +54,7 @@
 ServerList list_of(const Json& in, const std::vector<std::string>& zones) {
   ServerList out;
   out.seq = json::token(in, "seq");
-  out.whole = json::flag(in, "whole");
+  out.is_full = json::flag(in, "whole");
   for (const Json& item : json::array(in, "hosts").GetArray())
     out.servers.push_back(read_server(item, zones));
   return out;
--- a/discovery/lists.h
+++ b/discovery/lists.h
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <vector>
 
-#include "core/members.h"
+#include "core/server_list.h"
 #include "json/read.h"
 
 namespace nettlestand {
--- a/emulator/fleet.cpp
+++ b/emulator/fleet.cpp
@@ -456,7 +456,7 @@
     for (std::size_t i = 0; i < states_.size(); ++i) {
       if (states_[i].dead) continue;
       const double sharers = std::max<double>(count, static_cast<double>(states_.size()) / 2);
-      tell(i, qu::CopiesChanged{index++, count, sharers});
+      tell(i, qu::BalancersChanged{index++, count, sharers});
     }
   }
 
--- a/gateway/convert.cpp
+++ b/gateway/convert.cpp
@@ -180,13 +180,13 @@
     }
     if (checker.error) return checker.error;
     ListedServer listed;
-    listed.facts.address = server.name;
-    listed.facts.zone = server.zone.empty() ? 0 : zone_of(server.zone, zones);
-    listed.facts.cell = server.cell;
-    listed.facts.weight = server.weight;
-    listed.facts.state =
+    listed.info.address = server.name;
+    listed.info.zone = server.zone.empty() ? 0 : zone_of(server.zone, zones);
+    listed.info.cell = server.cell;
+    listed.info.weight = server.weight;
+    listed.info.state =
         server.state == ServerState::kReady ? qu::ServerState::kReady : qu::ServerState::kDraining;
-    listed.dial = *dial;
+    listed.endpoint = *dial;
     out.servers.push_back(std::move(listed));
   }
   return checker.error;
@@ -265,7 +265,7 @@
   s.start_capacity = options.start_capacity;
   s.ramp_time = seconds(options.ramp_time);
   out.engine.seed = options.seed;
-  out.engine.most_servers = options.memory / (1024 * 1024) * kServersInMegabyte;
+  out.engine.max_servers = options.memory / (1024 * 1024) * kServersInMegabyte;
   if (!options.discovery.empty()) {
     out.discovery = endpoint_of(options.discovery);
     if (!out.discovery)
@@ -278,15 +278,15 @@
   if (checker.error) return checker.error;
   if (options.servers.empty() && out.discovery) return {};
   ServerList list;
-  Error error = servers_of(options.servers, options.zones, out.engine.most_servers,
+  Error error = servers_of(options.servers, options.zones, out.engine.max_servers,
                            options.servers_version.value_or(0), list);
   // Servers beside a discovery are what was known of it: it may speak at once.
-  (out.discovery ? out.engine.known : out.servers) = std::move(list);
+  (out.discovery ? out.engine.last_known_servers : out.servers) = std::move(list);
   return error;
 }
 
 Call call_of(Request&& request, const Intake& intake, const std::vector<std::string>& classes,
-             const qu::Settings& settings, ByteBudget& budget, double came_at, std::uint64_t token) {
+             const qu::Settings& settings, ByteBudget& budget, double received_at, std::uint64_t token) {
   // Guards against lines that an application's client wrote into a value.
   for (const std::string* text : {&request.id, &request.idempotency_key, &request.target, &request.host,
                                   &request.cookie, &request.content_type, &request.tenant}) {
@@ -330,8 +330,8 @@
     throw BadRequest{503, "no memory to spare"};
   if (!safe) forward->head += "Content-Length: " + std::to_string(request.body.size()) + "\r\n";
   forward->body = std::move(request.body);
-  out.cargo = std::move(forward);
-  out.came_at = came_at;
+  out.payload = std::move(forward);
+  out.received_at = received_at;
   return out;
 }
 
@@ -350,7 +350,7 @@
   Response out;
   switch (reply.kind) {
     case Reply::Kind::kServed: {
-      auto& whole = static_cast<WholeAnswer&>(*reply.cargo);
+      auto& whole = static_cast<WholeAnswer&>(*reply.payload);
       out.outcome = Outcome::kServed;
       out.body = std::move(whole.body);
       out.content_type = std::move(whole.content_type);
--- a/gateway/convert.h
+++ b/gateway/convert.h
@@ -6,8 +6,8 @@
 
 #include "core/engine.h"
 #include "duties/client_service.h"
-#include "http/cargo.h"
 #include "http/intake.h"
+#include "http/payload.h"
 #include "nettlestand/gateway.h"
 #include "nettlestand/options.h"
 #include "peers/service.h"
@@ -32,7 +32,7 @@
 // A request as it came at `came_at`, with its id filled in, and the token of its duty, where it has one.
 // Throws BadRequest.
 Call call_of(Request&& request, const Intake& intake, const std::vector<std::string>& classes,
-             const quinceusher::Settings& settings, ByteBudget& budget, double came_at,
+             const quinceusher::Settings& settings, ByteBudget& budget, double received_at,
              std::uint64_t token = 0);
 
 Error error_of(const BadRequest& bad);
--- a/gateway/http.cpp
+++ b/gateway/http.cpp
@@ -58,7 +58,7 @@
   RequestReader reader;
   BadRequest bad{400, nullptr};
   bool begun = false;
-  double came_at = 0;
+  double received_at = 0;
 };
 
 HttpReader::HttpReader(Gateway& gateway, std::size_t other_body_limit)
@@ -66,7 +66,7 @@
 HttpReader::~HttpReader() = default;
 
 HttpReader::Step HttpReader::read(std::string& in) {
-  if (!std::exchange(impl_->begun, true)) impl_->came_at = now();
+  if (!std::exchange(impl_->begun, true)) impl_->received_at = now();
   switch (impl_->reader.read(in)) {
     case RequestReader::Step::kMore:
       return Step::kMore;
@@ -100,7 +100,7 @@
 bool HttpReader::call(HttpCall& out) {
   try {
     out.impl = std::make_unique<HttpCall::Impl>();
-    out.impl->call = impl_->reader.take_call(impl_->came_at);
+    out.impl->call = impl_->reader.take_call(impl_->received_at);
     return true;
   } catch (const BadRequest& bad) {
     impl_->bad = bad;
--- a/gateway/impl.cpp
+++ b/gateway/impl.cpp
@@ -72,16 +72,17 @@
   if (checked_.discovery) {
     discovery_.emplace(loop_,
                        DiscoveryOptions{*checked_.discovery, options_.zones, options_.seed,
-                                        options_.servers_version, false, checked_.engine.most_servers},
-                       Discovery::Listeners{[this](const ServerList& list) { engine_.list_came(list); },
-                                            [this] { engine_.watch_failed(); }},
+                                        options_.servers_version, false, checked_.engine.max_servers},
+                       Discovery::Listeners{[this](const ServerList& list) { engine_.on_server_list(list); },
+                                            [this] { engine_.on_watch_failed(); }},
                        [this](const LogEvent& event) { log(event); });
   }
   if (checked_.peers) {
     peers_.emplace(loop_, *checked_.peers,
                    peers::Service::Listeners{[this](const peers::BalancerAssignment& assignment) {
-                                               engine_.copies_changed(assignment.index, assignment.count,
-                                                                      assignment.rate_limit_divisor);
+                                               engine_.on_balancers_changed(assignment.index,
+                                                                            assignment.count,
+                                                                            assignment.rate_limit_divisor);
                                              },
                                              {}},
                    [this](const LogEvent& event) { log(event); });
@@ -137,7 +138,7 @@
         });
       }
     }
-    if (checked_.servers) engine_.list_came(*checked_.servers);  // else discovery's, known or to come
+    if (checked_.servers) engine_.on_server_list(*checked_.servers);  // else discovery's, known or to come
   });
   if (!own_) return;
   thread_ = std::thread([self = shared_from_this()] {
@@ -183,7 +184,7 @@
   if (discovery_) discovery_->shut();
   if (peers_) peers_->leave();
   if (duties_) duties_->close();
-  engine_.shut();
+  engine_.shut_down();
   poller_.shut();
   if (stopped_) post_task(std::exchange(stopped_, nullptr));
 }
@@ -216,7 +217,7 @@
 Ticket Gateway::Impl::take_up(const std::shared_ptr<Pending>& pending) {
   on_loop([this, pending] {
     if (!owes(pending->ticket)) return;  // cancelled, or shut down, before it came here
-    if (engine_.knows(pending->call.client_id)) {
+    if (engine_.has_request(pending->call.client_id)) {
       Response response;
       response.outcome = Outcome::kInvalid;
       response.error = {Errc::kIdIsOpen, "this Request-Id is open"};
@@ -229,7 +230,7 @@
 }
 
 Ticket Gateway::Impl::submit(Request&& request, Completion&& done) {
-  const double came_at = now();
+  const double received_at = now();
   Ticket ticket = 0;
   const std::shared_ptr<Pending> pending = enter(done, ticket);
   if (!pending) return ticket;
@@ -241,7 +242,7 @@
   }
   try {
     pending->call = call_of(std::move(request), intake_, checked_.classes, checked_.engine.settings, budget_,
-                            came_at, token);
+                            received_at, token);
   } catch (const BadRequest& bad) {
     Response response;
     if (bad.status == 503) response = response_of(engine_.refusal());
@@ -257,7 +258,7 @@
   Ticket ticket = 0;
   const std::shared_ptr<Pending> pending = enter(done, ticket);
   if (!pending) return ticket;
-  if (!call.impl || !call.impl->call.cargo) {
+  if (!call.impl || !call.impl->call.payload) {
     Response response;
     response.outcome = Outcome::kInvalid;
     response.error = {Errc::kBadRequest, "an empty HttpCall"};
@@ -301,7 +302,7 @@
   response.outcome = Outcome::kCancelled;
   complete(std::move(pending->done), std::move(response));
   on_loop([this, pending] {
-    if (pending->number != 0 && !shut_) engine_.gone(pending->number);
+    if (pending->number != 0 && !shut_) engine_.on_client_gone(pending->number);
     if (draining_) end_if_drained();
   });
   return true;
@@ -375,11 +376,11 @@
 
 Error Gateway::Impl::set_servers(const std::vector<ServerOptions>& servers) {
   ServerList list;
-  if (Error error = servers_of(servers, options_.zones, checked_.engine.most_servers, ++list_seq_, list)) {
+  if (Error error = servers_of(servers, options_.zones, checked_.engine.max_servers, ++list_seq_, list)) {
     return error;
   }
   on_loop([this, list = std::move(list)] {
-    if (!shut_) engine_.list_came(list);
+    if (!shut_) engine_.on_server_list(list);
   });
   return {};
 }
--- a/http/answers.cpp
+++ b/http/answers.cpp
@@ -10,7 +10,7 @@
 Answer answer_to(Reply&& reply) {
   switch (reply.kind) {
     case Reply::Kind::kServed: {
-      auto& whole = static_cast<WholeAnswer&>(*reply.cargo);
+      auto& whole = static_cast<WholeAnswer&>(*reply.payload);
       return {200, 0, std::move(whole.body), std::move(whole.content_type), std::move(whole.claim)};
     }
     case Reply::Kind::kRefused:
--- a/http/answers.h
+++ b/http/answers.h
@@ -4,8 +4,8 @@
 #include <string>
 
 #include "core/engine.h"
-#include "http/cargo.h"
 #include "http/intake.h"
+#include "http/payload.h"
 
 namespace nettlestand {
 
--- a/http/intake.cpp
+++ b/http/intake.cpp
@@ -195,11 +195,11 @@
   if (out.client_id.empty()) throw BadRequest{400, "no Request-Id"};
   const auto request_class = named(kRequestClass, classes_);
   if (!request_class) throw BadRequest{400, "unknown Request-Class"};
-  out.facts.request_class = *request_class;
+  out.request.request_class = *request_class;
   if (!tenants_.empty()) {
     const auto tenant = named(kTenant, tenants_);
     if (!tenant) throw BadRequest{400, "unknown Tenant"};
-    out.facts.tenant = *tenant;
+    out.request.tenant = *tenant;
   }
   // Guards the classes that are not safe: what servers take for safe, or can't tell from a repeat, runs
   // twice.
@@ -222,9 +222,9 @@
     out.timeout = std::min(static_cast<double>(*ms) / 1000, kLongestTimeout);
   }
   if (lines.count[kWorkHint] > 0) {
-    if (const auto us = whole(lines.value[kWorkHint])) out.facts.work = static_cast<double>(*us) / 1e6;
+    if (const auto us = whole(lines.value[kWorkHint])) out.request.work = static_cast<double>(*us) / 1e6;
   }
-  out.facts.is_repeat = lines.value[kClientRetry] == "1";
+  out.request.is_repeat = lines.value[kClientRetry] == "1";
   forward(head, lines, fencing_, onward);
   onward.repeatable = facts.effect != quinceusher::Effect::kUnsafe;
   return out;
--- a/http/intake.h
+++ b/http/intake.h
@@ -12,7 +12,7 @@
 
 #include "core/engine.h"
 #include "http/arena.h"
-#include "http/cargo.h"
+#include "http/payload.h"
 
 namespace nettlestand {
 
--- a/http/listener.cpp
+++ b/http/listener.cpp
@@ -118,7 +118,7 @@
     listener_.poller_.remove(watched_, socket_.descriptor());
     socket_.close();
     reader_.forget();
-    if (waiting) listener_.engine_.gone(request_);
+    if (waiting) listener_.engine_.on_client_gone(request_);
     listener_.closed();
   }
 
@@ -201,7 +201,7 @@
         continue;
       }
       // A request's time counts from its last byte; of what is kept for later, from the first.
-      if (!busy(state_) || in_.empty()) came_at_ = now();
+      if (!busy(state_) || in_.empty()) received_at_ = now();
       in_.append(listener_.scratch_.data(), size);
       if (!busy(state_)) {  // else the next request's bytes are kept
         if (state_ != State::kReading) enter(State::kReading);
@@ -229,7 +229,8 @@
         return turn_away(reader_.verdict());
       case RequestReader::Step::kHead:
         // Guards against a request that runs twice, or an answer that goes to the wrong client.
-        if (reader_.is_call() && listener_.engine_.knows(reader_.client_id())) return turn_away(kOpenId);
+        if (reader_.is_call() && listener_.engine_.has_request(reader_.client_id()))
+          return turn_away(kOpenId);
         if (reader_.expects_continue()) {
           static constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
           socket_.write(kContinue, {});
@@ -254,12 +255,12 @@
     if (!reader_.is_call()) return answer({404, 0, {}, {}, {}}, false);
     Call call;
     try {
-      call = reader_.take_call(came_at_);
+      call = reader_.take_call(received_at_);
     } catch (const BadRequest& bad) {
       return turn_away(bad);
     }
     reader_.forget();
-    if (listener_.engine_.knows(call.client_id)) return turn_away(kOpenId);
+    if (listener_.engine_.has_request(call.client_id)) return turn_away(kOpenId);
     if (listener_.crowded() || listener_.finished_) return turn_away({503, nullptr});
     enter(State::kWaiting);
     request_ = 0;
@@ -324,7 +325,7 @@
   bool paused_ = false, going_on_ = false, more_ = false;
   bool used_ = false;  // has had an answer
   Order::iterator place_;
-  double since_ = 0, came_at_ = 0;
+  double since_ = 0, received_at_ = 0;
   const double connected_at_ = now();
   std::uint64_t request_ = 0;
   std::size_t written_ = 0, thrown_away_ = 0;
--- a/http/cargo.h
+++ b/http/payload.h
@@ -9,7 +9,7 @@
 namespace nettlestand {
 
 // A request as it goes on to a server.
-struct Forward final : Cargo {
+struct Forward final : Payload {
   std::string head;  // request line and headers, but for Request-Timeout-Ms and the empty line
   std::string body;
   Claim claim;  // on the bytes of the body
@@ -17,7 +17,7 @@
 };
 
 // A server's 200, as it goes on to a caller.
-struct WholeAnswer final : Cargo {
+struct WholeAnswer final : Payload {
   std::string body, content_type;
   Claim claim;  // on the bytes of the body
 };
--- a/http/reader.cpp
+++ b/http/reader.cpp
@@ -95,7 +95,7 @@
   return Step::kHead;
 }
 
-Call RequestReader::take_call(double came_at) {
+Call RequestReader::take_call(double received_at) {
   auto& request = parser_->get();
   if (request.method() == http::verb::post) {
     forward_->head += "Content-Length: " + std::to_string(request.body().size()) + "\r\n";
@@ -105,8 +105,8 @@
   forward_->body = std::move(request.body());
   forward_->claim = std::exchange(claim_, {});
   Call out = std::move(*call_);
-  out.came_at = came_at;
-  out.cargo = std::move(forward_);
+  out.received_at = received_at;
+  out.payload = std::move(forward_);
   return out;
 }
 
--- a/http/reader.h
+++ b/http/reader.h
@@ -8,8 +8,8 @@
 
 #include "core/engine.h"
 #include "http/arena.h"
-#include "http/cargo.h"
 #include "http/intake.h"
+#include "http/payload.h"
 #include "util/budget.h"
 
 namespace nettlestand {
@@ -43,7 +43,7 @@
   }
   std::string_view path() const { return Intake::path_of(parser_->get()); }
   // The request for /api, with its body; only once, and only where is_call(). Throws BadRequest.
-  Call take_call(double came_at);
+  Call take_call(double received_at);
 
   // Lets go of all that is held of a request; the next one may be read.
   void forget();
--- a/http/upstream.cpp
+++ b/http/upstream.cpp
@@ -395,10 +395,10 @@
   close_old();
 }
 
-Upstream::~Upstream() { shut(); }
+Upstream::~Upstream() { shut_down(); }
 
 // What is out on connections ends with them: their handlers find them closed and look at nothing else.
-void Upstream::shut() {
+void Upstream::shut_down() {
   *alive_ = false;
   sweep_.cancel();
   for (const auto& [attempt, connection] : std::exchange(attempts_, {})) connection->close();
@@ -416,7 +416,7 @@
   return it == attempts_.end() ? nullptr : it->second.get();
 }
 
-void Upstream::ended(const AttemptId& attempt, Outcome outcome, std::unique_ptr<Cargo> answer) {
+void Upstream::ended(const AttemptId& attempt, Outcome outcome, std::unique_ptr<Payload> answer) {
   attempts_.erase(attempt);
   if (!starting_) return sink_->ended(attempt, outcome, std::move(answer));
   asio::post(io_, [this, alive = alive_, attempt, outcome] {  // nothing is delivered inside start()
@@ -425,7 +425,7 @@
 }
 
 void Upstream::start(const AttemptId& attempt, const std::string& server,
-                     std::shared_ptr<const Cargo> request, double timeout, double within) {
+                     std::shared_ptr<const Payload> request, double timeout, double within) {
   struct Starting {
     explicit Starting(bool& flag) : flag(flag) { flag = true; }
     ~Starting() { flag = false; }
@@ -544,27 +544,27 @@
 std::vector<AttemptId> Upstream::apply(const ServerList& list) {
   std::vector<std::string> gone;
   std::vector<AttemptId> stopped;
-  if (list.whole) {
+  if (list.is_full) {
     std::unordered_set<std::string> named;
-    for (const ListedServer& told : list.servers) named.insert(told.facts.address);
+    for (const ListedServer& told : list.servers) named.insert(told.info.address);
     for (const auto& [name, server] : servers_) {
       if (!named.contains(name)) gone.push_back(name);
     }
   }
   for (const ListedServer& told : list.servers) {
-    if (told.facts.state != quinceusher::ServerState::kReady) {
-      gone.push_back(told.facts.address);
+    if (told.info.state != quinceusher::ServerState::kReady) {
+      gone.push_back(told.info.address);
       continue;
     }
-    Server& server = servers_[told.facts.address];
+    Server& server = servers_[told.info.address];
     // Another process, or the same at another address: what is parked or on its way leads nowhere.
-    if (server.dial != told.dial || server.started != told.facts.started) {
+    if (server.dial != told.endpoint || server.started != told.info.started) {
       close_parked(server);
       stop_connecting(server, stopped);
       server.generation = ++generation_;
     }
-    server.dial = told.dial;
-    server.started = told.facts.started;
+    server.dial = told.endpoint;
+    server.started = told.info.started;
   }
   // Guards the drains: a send that still waits for its connection must not be written later.
   for (const std::string& name : gone) {
--- a/http/upstream.h
+++ b/http/upstream.h
@@ -15,7 +15,7 @@
 #include <vector>
 
 #include "core/transport.h"
-#include "http/cargo.h"
+#include "http/payload.h"
 #include "quinceusher/balancer.h"
 #include "util/budget.h"
 #include "util/log.h"
@@ -40,14 +40,14 @@
   ~Upstream() override;
 
   void attach(Sink& sink) override { sink_ = &sink; }
-  void start(const AttemptId& attempt, const std::string& server, std::shared_ptr<const Cargo> request,
+  void start(const AttemptId& attempt, const std::string& server, std::shared_ptr<const Payload> request,
              double timeout, double within) override;
   void extend(const AttemptId& attempt, double timeout) override;
   void stop(const AttemptId& attempt, quinceusher::Outcome outcome) override;
   void withdraw(const AttemptId& attempt) override;
   std::vector<AttemptId> apply(const ServerList& list) override;
   std::size_t servers() const override { return servers_.size(); }
-  void shut() override;
+  void shut_down() override;
 
  private:
   struct Server {
@@ -63,7 +63,7 @@
   std::deque<std::shared_ptr<Connection>>::iterator rested(Server& server);
   void surplus_came();
   Connection* on(const AttemptId& attempt) const;
-  void ended(const AttemptId& attempt, quinceusher::Outcome outcome, std::unique_ptr<Cargo> answer);
+  void ended(const AttemptId& attempt, quinceusher::Outcome outcome, std::unique_ptr<Payload> answer);
   bool make_room();
   void park(const std::shared_ptr<Connection>& connection);
   void unpark(const std::shared_ptr<Connection>& connection);
--- a/include/quinceusher/balancer.h
+++ b/include/quinceusher/balancer.h
@@ -108,7 +108,7 @@
 // also where nothing has come. Where nothing answers it with an Extend, the host ends the attempt as timed
 // out. Unlike AnswerStarted this binds nobody: the client has got nothing of it, and the attempt may still be
 // given up. A host that does not tell of it has its attempts judged by their time-outs alone.
-struct AnswerArriving {
+struct AnswerProgress {
   std::string id;
   int attempt = 0;
   double arriving = 0;  // s since its head was there; below 0: it is not
@@ -158,7 +158,7 @@
 
 // There are other copies than the settings say. Told where somebody knows who lives; nothing else depends on
 // it. A count that can't be is ignored.
-struct CopiesChanged {
+struct BalancersChanged {
   int index = 0, count = 1;  // this copy's place among them, and how many they are
   double sharers = 1;        // among so many allowances are split: `count`, or more where some may yet live
 };
@@ -166,8 +166,8 @@
 // The copy starts: the first event, so that it can ask for what it needs.
 struct Started {};
 
-using Event = std::variant<Started, Request, AnswerStarted, AnswerArriving, AttemptResult, RequestGone,
-                           MembershipUpdate, CopiesChanged, TimerFired>;
+using Event = std::variant<Started, Request, AnswerStarted, AnswerProgress, AttemptResult, RequestGone,
+                           MembershipUpdate, BalancersChanged, TimerFired>;
 
 // ---------------------------------------------------------------- actions
 
@@ -221,6 +221,10 @@
 
 // ---------------------------------------------------------------- the balancer
 
+// Former names of events.
+using CopiesChanged [[deprecated("use BalancersChanged")]] = BalancersChanged;
+using AnswerArriving [[deprecated("use AnswerProgress")]] = AnswerProgress;
+
 // What can be observed of one tenant's admission.
 struct TenantView {
   double rate_limit = 0;          // learned limit, calls per second
--- a/src/admission/sliding_window.h
+++ b/src/admission/sliding_window.h
@@ -20,7 +20,7 @@
 
   void add(double now, bool denied) {
     advance(slot_of(now));
-    Bucket& bucket = at(slot_);
+    Bucket& bucket = at(newest_slot_);
     bucket.total += 1;
     sums_.total += 1;
     sums_.last_second += 1;
@@ -32,7 +32,8 @@
   Sums sums(double now) const {
     SlidingWindow::Sums out = sums_;
     const std::int64_t count = std::ssize(buckets_), slot = slot_of(now);
-    for (std::int64_t s = slot_ + 1; s <= std::min(slot, slot_ + count); ++s) leave(s, out);
+    for (std::int64_t s = newest_slot_ + 1; s <= std::min(slot, newest_slot_ + count); ++s)
+      subtract_expired(s, out);
     return out;
   }
 
@@ -48,28 +49,28 @@
   const Bucket& at(std::int64_t slot) const { return const_cast<SlidingWindow*>(this)->at(slot); }
 
   // Takes from the sums what has no place in them any more once `slot` is the latest.
-  void leave(std::int64_t slot, Sums& sums) const {
+  void subtract_expired(std::int64_t slot, Sums& sums) const {
     const Bucket& old = at(slot);  // the one that stood there a window ago
     sums.total -= old.total;
     sums.declined -= old.declined;
-    if (slot - short_buckets_ <= slot_) sums.last_second -= at(slot - short_buckets_).total;
+    if (slot - short_buckets_ <= newest_slot_) sums.last_second -= at(slot - short_buckets_).total;
   }
   void advance(std::int64_t slot) {
-    if (slot <= slot_) return;
-    if (slot - slot_ >= std::ssize(buckets_)) {
+    if (slot <= newest_slot_) return;
+    if (slot - newest_slot_ >= std::ssize(buckets_)) {
       std::fill(buckets_.begin(), buckets_.end(), Bucket());
       sums_ = Sums();
-      slot_ = slot;
+      newest_slot_ = slot;
       return;
     }
-    while (slot_ < slot) {
-      const std::int64_t next = slot_ + 1;
+    while (newest_slot_ < slot) {
+      const std::int64_t next = newest_slot_ + 1;
       const double short_leaves = at(next - short_buckets_).total;
       sums_.total -= at(next).total;
       sums_.declined -= at(next).declined;
       sums_.last_second -= short_leaves;
       at(next) = Bucket();
-      slot_ = next;
+      newest_slot_ = next;
     }
   }
 
@@ -77,7 +78,8 @@
   int short_buckets_;
   std::vector<Bucket> buckets_;
   Sums sums_;
-  std::int64_t slot_ = std::numeric_limits<std::int64_t>::min() / 2;  // the latest that anything was added to
+  std::int64_t newest_slot_ =
+      std::numeric_limits<std::int64_t>::min() / 2;  // the latest that anything was added to
 };
 
 }  // namespace quinceusher
--- a/src/forwarding/server_pool.cpp
+++ b/src/forwarding/server_pool.cpp
@@ -38,8 +38,8 @@
 constexpr double kFloorLimit = 20;
 // Denied calls count too: with a lower factor a client that keeps asking would be denied whole for ever.
 constexpr double kHardLimitFactor = 20;
-constexpr quinceusher::Regimes kRegimes{kBuckets * kBucketSeconds, kLastSecondBuckets* kBucketSeconds, 10,
-                                        kHardLimitFactor, 0.1};
+constexpr quinceusher::SuppressionParameters kSuppression{
+    kBuckets * kBucketSeconds, kLastSecondBuckets* kBucketSeconds, 10, kHardLimitFactor, 0.1};
 
 }  // namespace
 
@@ -307,9 +307,9 @@
 
 ClientAdmission::Decision ClientAdmission::admit(Millis now, quinceusher::Random& random) {
   const double seconds = static_cast<double>(now) / 1000;
-  if (window_.admit(seconds, kRegimes, limit_.limit, random)) return Decision::kSend;
+  if (window_.admit(seconds, kSuppression, limit_.limit, random)) return Decision::kSend;
   const auto sums = window_.sums(seconds);
-  const bool denied = quinceusher::ClientWindow::factor(kRegimes, limit_.limit, sums) >= 1;
+  const bool denied = quinceusher::TenantWindow::suppression(kSuppression, limit_.limit, sums) >= 1;
   return denied ? Decision::kDeny : Decision::kSuppress;
 }
 
@@ -317,9 +317,9 @@
   if (end == CallEnd::kAbandoned || end == CallEnd::kGone) return;
   const double seconds = static_cast<double>(now) / 1000;
   const bool bad = end != CallEnd::kAnswered && end != CallEnd::kFailed;
-  if (!limit_.count(seconds, bad, false)) return;
+  if (!limit_.count_ended(seconds, bad, false)) return;
   const auto sums = window_.sums(seconds);
-  limit_.review(seconds, (sums.total - sums.declined) / kRegimes.window_s, limit_.floor, 1);
+  limit_.review(seconds, (sums.total - sums.declined) / kSuppression.window_s, limit_.floor, 1);
 }
 
 }  // namespace nettlestand::tier
--- a/src/forwarding/server_pool.h
+++ b/src/forwarding/server_pool.h
@@ -10,8 +10,8 @@
 #include <unordered_map>
 #include <vector>
 
-#include "admission/client.h"
 #include "admission/random.h"
+#include "admission/tenant_limit.h"
 #include "base/time.h"
 #include "messaging/messages.h"
 
@@ -144,7 +144,7 @@
   double limit() const { return limit_.limit; }
 
  private:
-  quinceusher::ClientWindow window_;
+  quinceusher::TenantWindow window_;
   quinceusher::LearnedLimit limit_;
 };
 
--- a/src/node/live_front.cpp
+++ b/src/node/live_front.cpp
@@ -162,7 +162,7 @@
   const Millis until = steady_now() + kQuotaWaitMs;
   for (;;) {
     const Millis now = steady_now();
-    switch (control_client_.quota().take(now, tenant)) {
+    switch (control_client_.quota().acquire(now, tenant)) {
       case QuotaLease::Result::kTaken:
         co_return true;
       case QuotaLease::Result::kDenied:
--- a/src/ring.h
+++ b/src/ring.h
@@ -13,45 +13,45 @@
 // effect together: a few by moving what stands behind them, many by one merge.
 class Ring {
  public:
-  std::size_t size() const { return members_.size(); }
-  std::size_t at(std::size_t position) const { return members_[position].second; }
-  std::uint64_t order_at(std::size_t position) const { return members_[position].first; }
-  void insert(std::uint64_t order, std::size_t slot) { added_.push_back({order, slot}); }
-  void erase(std::uint64_t order, std::size_t slot) { dropped_.push_back({order, slot}); }
-  void settle() {
-    std::sort(dropped_.begin(), dropped_.end());
-    if (dropped_.size() > kFew) {
-      std::erase_if(members_, [this](const Member& m) {
-        return std::binary_search(dropped_.begin(), dropped_.end(), m);
+  std::size_t size() const { return entries_.size(); }
+  std::size_t at(std::size_t position) const { return entries_[position].second; }
+  std::uint64_t key_at(std::size_t position) const { return entries_[position].first; }
+  void insert(std::uint64_t key, std::size_t slot) { added_.push_back({key, slot}); }
+  void erase(std::uint64_t key, std::size_t slot) { removed_.push_back({key, slot}); }
+  void commit() {
+    std::sort(removed_.begin(), removed_.end());
+    if (removed_.size() > kMaxSingleChanges) {
+      std::erase_if(entries_, [this](const Entry& m) {
+        return std::binary_search(removed_.begin(), removed_.end(), m);
       });
     } else {
-      for (const Member& m : dropped_) {
-        const auto it = std::lower_bound(members_.begin(), members_.end(), m);
-        if (it != members_.end() && *it == m) members_.erase(it);
+      for (const Entry& m : removed_) {
+        const auto it = std::lower_bound(entries_.begin(), entries_.end(), m);
+        if (it != entries_.end() && *it == m) entries_.erase(it);
       }
     }
     std::sort(added_.begin(), added_.end());
-    if (added_.size() > kFew) {
-      const auto middle = static_cast<std::ptrdiff_t>(members_.size());
-      members_.insert(members_.end(), added_.begin(), added_.end());
-      std::inplace_merge(members_.begin(), members_.begin() + middle, members_.end());
+    if (added_.size() > kMaxSingleChanges) {
+      const auto middle = static_cast<std::ptrdiff_t>(entries_.size());
+      entries_.insert(entries_.end(), added_.begin(), added_.end());
+      std::inplace_merge(entries_.begin(), entries_.begin() + middle, entries_.end());
     } else {
-      for (const Member& m : added_) {
-        members_.insert(std::lower_bound(members_.begin(), members_.end(), m), m);
+      for (const Entry& m : added_) {
+        entries_.insert(std::lower_bound(entries_.begin(), entries_.end(), m), m);
       }
     }
-    dropped_.clear();
+    removed_.clear();
     added_.clear();
   }
 
  private:
-  using Member = std::pair<std::uint64_t, std::size_t>;
-  static constexpr std::size_t kFew = 8;
-  std::vector<Member> members_, added_, dropped_;
+  using Entry = std::pair<std::uint64_t, std::size_t>;
+  static constexpr std::size_t kMaxSingleChanges = 8;
+  std::vector<Entry> entries_, added_, removed_;
 };
 
 // A part of a ring, from a start on and round its end.
-struct RingPart {
+struct RingRange {
   const Ring* ring = nullptr;
   std::size_t start = 0, size = 0;
 
@@ -60,11 +60,11 @@
     return at < ring->size() ? at : at - ring->size();
   }
   std::size_t at(std::size_t i) const { return ring->at(position(i)); }
-  bool holds(std::uint64_t order) const {
+  bool contains(std::uint64_t key) const {
     if (ring == nullptr || size == 0) return false;
     if (size == ring->size()) return true;
-    const std::uint64_t first = ring->order_at(position(0)), last = ring->order_at(position(size - 1));
-    return order - first <= last - first;  // orders wrap as the ring does
+    const std::uint64_t first = ring->key_at(position(0)), last = ring->key_at(position(size - 1));
+    return key - first <= last - first;  // orders wrap as the ring does
   }
 };
 
--- a/src/routing/quota.cpp
+++ b/src/routing/quota.cpp
@@ -6,54 +6,54 @@
 namespace nettlestand::tier {
 namespace {
 
-constexpr double kHorizonSeconds = 0.4;   // a node holds tokens for so long at its present rate
-constexpr double kLeastHeld = 2;          // and so many at least
-constexpr double kMostHeldSeconds = 0.1;  // of the tenant's whole rate: what a node holds, others may need
-constexpr double kHeldShare = 0.6;        // of what is spare in a window: nodes hold no more together,
-constexpr double kMostHeldShare = 0.9;    // or this much, where it is one token each
-constexpr std::size_t kMostWaiting = 4;
-constexpr double kMeasureSeconds = 0.2;  // least span for a rate: polls of need come closer together
-constexpr double kRateSmoothing = 0.5;   // weight of the newest measure
-constexpr Millis kExhaustedMs = 120;     // a tenant at its limit is denied at once for so long
-constexpr double kDepthShare = 0.75;     // of what the bounds leave for a bucket's depth
+constexpr double kHoldSeconds = 0.4;     // a node holds tokens for so long at its present rate
+constexpr double kMinHeldTokens = 2;     // and so many at least
+constexpr double kMaxHeldSeconds = 0.1;  // of the tenant's whole rate: what a node holds, others may need
+constexpr double kHeldShare = 0.6;       // of what is spare in a window: nodes hold no more together,
+constexpr double kMaxHeldShare = 0.9;    // or this much, where it is one token each
+constexpr std::size_t kMaxWaiting = 4;
+constexpr double kMinMeasureSeconds = 0.2;  // least span for a rate: polls of need come closer together
+constexpr double kRateSmoothing = 0.5;      // weight of the newest measure
+constexpr Millis kExhaustedMs = 120;        // a tenant at its limit is denied at once for so long
+constexpr double kDepthShare = 0.75;        // of what the bounds leave for a bucket's depth
 constexpr double kSuccessorShare =
-    0.1;                              // of the depth that a succeeding owner starts with: two fit in a window
-constexpr double kRefill = 1.04;      // x the rate: what is owed to a tenant is never short of rounding
-constexpr double kHeldSeconds = 0.3;  // of the rate that nodes hold together at most times
+    0.1;  // of the depth that a succeeding owner starts with: two fit in a window
+constexpr double kRefillFactor = 1.04;  // x the rate: what is owed to a tenant is never short of rounding
+constexpr double kTypicalHeldSeconds = 0.3;  // of the rate that nodes hold together at most times
 constexpr double kFallbackDepthSeconds = 0.5;
 
-constexpr Millis kPollMs = 250;
+constexpr Millis kMinPollMs = 250;
 constexpr Millis kPollMsPerEdge = 10;
-constexpr Millis kMostPollMs = 900;   // several polls have to fit into a node's lease
+constexpr Millis kMaxPollMs = 900;    // several polls have to fit into a node's lease
 constexpr Millis kFallbackPolls = 3;  // so many without an answer
 constexpr Millis kMissingMarginMs = 150;
 
 }  // namespace
 
 Millis edge_poll_ms(std::size_t edges) {
-  return std::clamp(static_cast<Millis>(edges) * kPollMsPerEdge, kPollMs, kMostPollMs);
+  return std::clamp(static_cast<Millis>(edges) * kPollMsPerEdge, kMinPollMs, kMaxPollMs);
 }
 Millis quota_fallback_ms(std::size_t edges) { return kFallbackPolls * edge_poll_ms(edges); }
 Millis quota_missing_ms(std::size_t edges) { return quota_fallback_ms(edges) - kMissingMarginMs; }
 
-double QuotaBounds::spare(const Tenant& tenant) const {
+double QuotaBounds::spare_tokens(const Tenant& tenant) const {
   const double allowed = (tenant.rate_per_s * window_s + tenant.burst) * (1 + overage) + slack;
-  return allowed - kRefill * tenant.rate_per_s * window_s;
+  return allowed - kRefillFactor * tenant.rate_per_s * window_s;
 }
 
-double QuotaBounds::most_held(const Tenant& tenant, std::size_t nodes) const {
+double QuotaBounds::max_held(const Tenant& tenant, std::size_t nodes) const {
   const auto count = static_cast<double>(std::max<std::size_t>(nodes, 1));
-  const double wanted = std::ceil(std::max(kLeastHeld, tenant.rate_per_s * kMostHeldSeconds));
-  const double share = std::floor(kHeldShare * spare(tenant) / count);
-  const double least = count <= kMostHeldShare * spare(tenant) ? 1 : 0;
-  return std::clamp(share, least, std::max(wanted, least));
+  const double wanted = std::ceil(std::max(kMinHeldTokens, tenant.rate_per_s * kMaxHeldSeconds));
+  const double share = std::floor(kHeldShare * spare_tokens(tenant) / count);
+  const double minimum = count <= kMaxHeldShare * spare_tokens(tenant) ? 1 : 0;
+  return std::clamp(share, minimum, std::max(wanted, minimum));
 }
 
-double QuotaOwner::depth(const Tenant& tenant, std::size_t nodes) const {
+double QuotaOwner::bucket_depth(const Tenant& tenant, std::size_t nodes) const {
   const auto count = static_cast<double>(nodes);
-  const double expected = tenant.rate_per_s * kHeldSeconds + kLeastHeld * count;
-  const double held_by_nodes = std::min(expected, bounds_.most_held(tenant, nodes) * count);
-  return std::max(1.0, (bounds_.spare(tenant) - held_by_nodes) * kDepthShare);
+  const double expected = tenant.rate_per_s * kTypicalHeldSeconds + kMinHeldTokens * count;
+  const double held_by_nodes = std::min(expected, bounds_.max_held(tenant, nodes) * count);
+  return std::max(1.0, (bounds_.spare_tokens(tenant) - held_by_nodes) * kDepthShare);
 }
 
 std::vector<TokenGrant> QuotaOwner::grant(Millis now, const Configuration& configuration, double reachable,
@@ -63,15 +63,15 @@
     const Tenant* tenant = configuration.tenant_named(request.tenant);
     if (tenant == nullptr || tenant->rate_per_s <= 0) continue;
     Bucket& bucket = buckets_[request.tenant];
-    const double most = depth(*tenant, nodes);
-    if (bucket.refilled == 0) {
-      bucket.refilled = now;
-      bucket.tokens = succeeds_ ? kSuccessorShare * most : most;
+    const double depth = bucket_depth(*tenant, nodes);
+    if (bucket.refilled_at == 0) {
+      bucket.refilled_at = now;
+      bucket.tokens = is_successor_ ? kSuccessorShare * depth : depth;
     }
-    const double elapsed = static_cast<double>(now - bucket.refilled) / 1000;
-    bucket.refilled = now;
-    bucket.tokens =
-        std::min(most, bucket.tokens + elapsed * kRefill * tenant->rate_per_s * reachable + request.returned);
+    const double elapsed = static_cast<double>(now - bucket.refilled_at) / 1000;
+    bucket.refilled_at = now;
+    bucket.tokens = std::min(
+        depth, bucket.tokens + elapsed * kRefillFactor * tenant->rate_per_s * reachable + request.returned);
     TokenGrant grant{};
     grant.tenant = request.tenant;
     grant.granted = static_cast<std::uint32_t>(std::min<double>(request.wanted, std::floor(bucket.tokens)));
@@ -82,18 +82,18 @@
   return out;
 }
 
-QuotaLease::Result QuotaLease::take(Millis now, const Tenant& tenant) {
+QuotaLease::Result QuotaLease::acquire(Millis now, const Tenant& tenant) {
   if (tenant.rate_per_s <= 0) return Result::kTaken;
-  Held& held = held_[tenant.name];
-  ++held.seen;
-  held.most = bounds_.most_held(tenant, edges_);
-  const Millis fallback_from = heard_ + quota_fallback_ms(edges_);
+  HeldTokens& held = held_[tenant.name];
+  ++held.requests_seen;
+  held.max_unused = bounds_.max_held(tenant, edges_);
+  const Millis fallback_from = last_grant_at_ + quota_fallback_ms(edges_);
   if (fallback_from < now) {
     const double rate = tenant.rate_per_s / static_cast<double>(std::max<std::size_t>(edges_, 1));
     const Millis since = std::max(held.fallback_at, fallback_from);
-    const double most = std::max(1.0, rate * kFallbackDepthSeconds);
-    held.tokens =
-        std::min(std::max(most, held.tokens), held.tokens + rate * static_cast<double>(now - since) / 1000);
+    const double max_tokens = std::max(1.0, rate * kFallbackDepthSeconds);
+    held.tokens = std::min(std::max(max_tokens, held.tokens),
+                           held.tokens + rate * static_cast<double>(now - since) / 1000);
     held.fallback_at = now;
   }
   if (held.tokens >= 1) {
@@ -110,16 +110,16 @@
   std::vector<TokenRequest> out;
   urgent_ = false;
   for (auto& [tenant, held] : held_) {
-    const double elapsed = static_cast<double>(now - held.measured) / 1000;
-    if (elapsed >= kMeasureSeconds) {
-      const double measured = static_cast<double>(held.seen) / std::min(elapsed, 5.0);
+    const double elapsed = static_cast<double>(now - held.measured_at) / 1000;
+    if (elapsed >= kMinMeasureSeconds) {
+      const double measured = static_cast<double>(held.requests_seen) / std::min(elapsed, 5.0);
       held.rate += kRateSmoothing * (measured - held.rate);
-      held.measured = now;
-      held.seen = 0;
+      held.measured_at = now;
+      held.requests_seen = 0;
     }
     // Requests that wait take theirs at once, and so hold nothing.
-    const double unused = std::min(std::ceil(held.rate * kHorizonSeconds + kLeastHeld), held.most);
-    const double target = unused + static_cast<double>(std::min(held.waiting, kMostWaiting));
+    const double unused = std::min(std::ceil(held.rate * kHoldSeconds + kMinHeldTokens), held.max_unused);
+    const double target = unused + static_cast<double>(std::min(held.waiting, kMaxWaiting));
     held.waiting = 0;
     TokenRequest request{};
     request.tenant = tenant;
@@ -138,9 +138,9 @@
                            std::size_t edges) {
   edges_ = edges;
   if (asked_at + quota_missing_ms(edges) < now) return;
-  heard_ = now;
+  last_grant_at_ = now;
   for (const TokenGrant& grant : grants) {
-    Held& held = held_[grant.tenant];
+    HeldTokens& held = held_[grant.tenant];
     held.tokens += grant.granted;
     if (grant.exhausted && grant.granted == 0) held.exhausted_until = now + kExhaustedMs;
   }
--- a/src/routing/quota.h
+++ b/src/routing/quota.h
@@ -28,16 +28,16 @@
   double slack = 20;
 
   // What a window allows beyond the steady rate, as tokens are refilled.
-  double spare(const Tenant& tenant) const;
+  double spare_tokens(const Tenant& tenant) const;
   // How many of a tenant's tokens one of so many nodes may hold unused: a sudden flood uses all of them at
   // once, so together they have to fit into what is spare. 0: a node asks for each request.
-  double most_held(const Tenant& tenant, std::size_t nodes) const;
+  double max_held(const Tenant& tenant, std::size_t nodes) const;
 };
 
 class QuotaOwner {
  public:
   // `succeeds`: another owner may have granted tokens just before, so that the buckets start nearly empty.
-  QuotaOwner(QuotaBounds bounds, bool succeeds) : bounds_(bounds), succeeds_(succeeds) {}
+  QuotaOwner(QuotaBounds bounds, bool is_successor) : bounds_(bounds), is_successor_(is_successor) {}
   // `reachable`: the part of the nodes, 0 to 1, that the owner hears.
   std::vector<TokenGrant> grant(Millis now, const Configuration& configuration, double reachable,
                                 std::size_t nodes, const std::vector<TokenRequest>& requests);
@@ -45,11 +45,11 @@
  private:
   struct Bucket {
     double tokens = 0;
-    Millis refilled = 0;
+    Millis refilled_at = 0;
   };
-  double depth(const Tenant& tenant, std::size_t nodes) const;
+  double bucket_depth(const Tenant& tenant, std::size_t nodes) const;
   QuotaBounds bounds_;
-  bool succeeds_;
+  bool is_successor_;
   std::map<std::string, Bucket> buckets_;
 };
 
@@ -58,7 +58,7 @@
   enum class Result { kTaken, kWait, kDenied };
   explicit QuotaLease(QuotaBounds bounds = {}) : bounds_(bounds) {}
   // kWait: a grant may come within moments.
-  Result take(Millis now, const Tenant& tenant);
+  Result acquire(Millis now, const Tenant& tenant);
   // What to ask for, and to give back, with the next poll.
   std::vector<TokenRequest> requests(Millis now);
   // `asked_at`: when the poll was sent that is answered. A grant that comes so late that this node has fallen
@@ -68,20 +68,20 @@
   bool is_urgent() const { return urgent_; }
 
  private:
-  struct Held {
+  struct HeldTokens {
     double tokens = 0;
-    double rate = 0;       // requests per second, smoothed
-    double most = 0;       // that this node may hold unused
-    std::size_t seen = 0;  // since the last request for tokens
+    double rate = 0;                // requests per second, smoothed
+    double max_unused = 0;          // that this node may hold unused
+    std::size_t requests_seen = 0;  // since the last request for tokens
     std::size_t waiting = 0;
-    Millis measured = 0;
+    Millis measured_at = 0;
     Millis exhausted_until = 0;
     Millis fallback_at = 0;
   };
   QuotaBounds bounds_;
-  std::map<std::string, Held> held_;
+  std::map<std::string, HeldTokens> held_;
   std::size_t edges_ = 1;
-  Millis heard_ = 0;
+  Millis last_grant_at_ = 0;
   bool urgent_ = false;
 };
 
--- a/tests/adapter_test.cpp
+++ b/tests/adapter_test.cpp
@@ -11,31 +11,31 @@
 
 namespace {
 
-struct Ran {
+struct ProgramResult {
   std::vector<std::string> lines;
   std::string errors;
   int code = 0;
 };
 
-std::string slurp(const std::string& path) {
+std::string read_file(const std::string& path) {
   std::ifstream in(path);
   std::stringstream out;
   out << in.rdbuf();
   return out.str();
 }
 
-Ran run(const std::vector<std::string>& lines) {
+ProgramResult run(const std::vector<std::string>& lines) {
   const std::string base = testing::TempDir() + "/drill_" + std::to_string(getpid());
   {
     std::ofstream in(base + ".in");
     for (const std::string& line : lines) in << line << '\n';
   }
   const std::string command = std::string(DRILL) + " <" + base + ".in >" + base + ".out 2>" + base + ".err";
-  Ran out;
+  ProgramResult out;
   out.code = WEXITSTATUS(std::system(command.c_str()));
-  std::istringstream answers(slurp(base + ".out"));
+  std::istringstream answers(read_file(base + ".out"));
   for (std::string line; std::getline(answers, line);) out.lines.push_back(line);
-  out.errors = slurp(base + ".err");
+  out.errors = read_file(base + ".err");
   for (const char* end : {".in", ".out", ".err"}) std::remove((base + end).c_str());
   return out;
 }
@@ -65,7 +65,7 @@
 bool has(const std::string& line, const std::string& part) { return line.find(part) != std::string::npos; }
 
 TEST(Adapter, HoldsAConversation) {
-  const Ran r = run({
+  const ProgramResult r = run({
       batch(1, 1, ""),
       batch(2, 1.5, open_node(4)),
       batch(3, 2, R"({"who":4,"news":[{"kind":"QUERY","txn":"a","profile":0,"timeLeft":2,"later":[1]}]})"),
@@ -89,7 +89,7 @@
   std::string node = open_node(1, query);
   node.insert(node.find("{\"kind\":\"OPEN"),
               R"({"kind":"QUERY","txn":"old","timeLeft":2},{"kind":"POWER_OFF"},)");
-  const Ran r = run({batch(1, 1, open_node(1)), batch(2, 2, node)});
+  const ProgramResult r = run({batch(1, 1, open_node(1)), batch(2, 2, node)});
   EXPECT_EQ(r.code, 0) << r.errors;
   ASSERT_EQ(r.lines.size(), 2U);
   EXPECT_FALSE(has(r.lines[1], "\"old\"")) << "what the stopped instance held is void";
@@ -97,7 +97,7 @@
 }
 
 TEST(Adapter, ListNumbersAreReusedWithinABatch) {
-  const Ran r = run(
+  const ProgramResult r = run(
       {batch(1, 1, open_node(1)),
        batch(
            2, 2,
@@ -111,7 +111,7 @@
 
 TEST(Adapter, SaysWhatIsWrongWithALine) {
   const auto fails = [](const std::string& line, const std::string& turn, const std::string& part) {
-    const Ran r = run({line});
+    const ProgramResult r = run({line});
     EXPECT_NE(r.code, 0);
     EXPECT_TRUE(r.lines.empty());
     EXPECT_TRUE(has(r.errors, "turn " + turn)) << r.errors;
@@ -137,7 +137,7 @@
   const auto panics = [](const std::string& from, const std::string& to, const std::string& part) {
     std::string config = config_text();
     config.replace(config.find(from), from.size(), to);
-    const Ran r = run({batch(1, 1, open_node(2, "", config))});
+    const ProgramResult r = run({batch(1, 1, open_node(2, "", config))});
     EXPECT_EQ(r.code, 0);
     ASSERT_EQ(r.lines.size(), 1U);
     EXPECT_TRUE(has(r.lines[0], R"("kind":"PANIC")")) << r.lines[0];
@@ -155,7 +155,7 @@
   const std::string restart = open_node(4).substr(open_node(4).find("{\"kind\":\"OPEN"));
   std::string restarts;
   for (int i = 0; i < 20; ++i) restarts += restart.substr(0, restart.size() - 2) + ",";
-  const Ran r = run({
+  const ProgramResult r = run({
       batch(1, 1, R"({"who":4,"news":[)" + restarts + R"({"kind":"POWER_OFF"}]})"),
       batch(2, 2, open_node(4)),
       batch(3, 3,
@@ -201,13 +201,13 @@
     }
     return lines;
   };
-  const Ran together = run(lines_for({0, 1, 2}));
+  const ProgramResult together = run(lines_for({0, 1, 2}));
   ASSERT_EQ(together.code, 0) << together.errors;
-  std::vector<Ran> apart;
+  std::vector<ProgramResult> apart;
   for (const int who : {0, 1, 2}) apart.push_back(run(lines_for({who})));
   for (std::size_t i = 0; i < together.lines.size(); ++i) {
     std::string joined;
-    for (const Ran& one : apart) {
+    for (const ProgramResult& one : apart) {
       const std::string& line = one.lines.at(i);
       const std::size_t start = line.find('[') + 1;
       const std::string inner = line.substr(start, line.rfind(']') - start);
--- a/tests/harness.h
+++ b/tests/balancer_harness.h
@@ -43,13 +43,13 @@
   return m;
 }
 
-struct Copy {
-  explicit Copy(const Settings& settings, std::uint64_t seed = 1) : balancer(settings, seed) {}
+struct TestBalancer {
+  explicit TestBalancer(const Settings& settings, std::uint64_t seed = 1) : subject(settings, seed) {}
 
   std::vector<Action> at(double time, const Event& event) {
     now = time;
     std::vector<Action> out;
-    balancer.handle(now, event, out);
+    subject.handle(now, event, out);
     return out;
   }
   std::vector<Action> request(const std::string& id, std::size_t tenant = 0, std::size_t request_class = 0) {
@@ -64,7 +64,7 @@
     return at(now, AttemptResult{id, attempt, outcome, elapsed, outcome == Outcome::kDelivered});
   }
 
-  Balancer balancer;
+  Balancer subject;
   double now = 0;
 };
 
--- a/tests/copies_test.cpp
+++ b/tests/copies_test.cpp
@@ -4,7 +4,7 @@
 
 #include <set>
 
-#include "harness.h"
+#include "balancer_harness.h"
 
 namespace quinceusher {
 namespace {
@@ -64,7 +64,7 @@
   born.handle(other, list_of(80), ignored);
   const auto before = reached(told, now, 400, "a");
   EXPECT_EQ(before.size(), 16U);  // 80 servers by 10 copies, each used by two
-  told.handle(now, CopiesChanged{1, 4, 4}, ignored);
+  told.handle(now, BalancersChanged{1, 4, 4}, ignored);
   const auto after = reached(told, now, 800, "b");
   EXPECT_EQ(after, reached(born, other, 800, "b")) << "as if it had started so";
   EXPECT_EQ(after.size(), 40U);
@@ -78,7 +78,7 @@
       std::vector<Action> ignored;
       double now = 1;
       b.handle(now, list_of(30), ignored);
-      b.handle(now, CopiesChanged{i, count, static_cast<double>(count)}, ignored);
+      b.handle(now, BalancersChanged{i, count, static_cast<double>(count)}, ignored);
       const auto some = reached(b, now, 600, "c");
       all.insert(some.begin(), some.end());
     }
@@ -91,9 +91,9 @@
   std::vector<Action> ignored;
   b.handle(1, list_of(10), ignored);
   const double before = b.tenant(1, 0).rate_limit;
-  b.handle(1, CopiesChanged{0, 3, 5}, ignored);
+  b.handle(1, BalancersChanged{0, 3, 5}, ignored);
   EXPECT_NEAR(b.tenant(1, 0).rate_limit, before * 2, 1e-9) << "by the sharers, not by the count";
-  b.handle(1, CopiesChanged{0, 10, 10}, ignored);
+  b.handle(1, BalancersChanged{0, 10, 10}, ignored);
   EXPECT_NEAR(b.tenant(1, 0).rate_limit, before, 1e-9) << "and back";
 }
 
@@ -103,9 +103,9 @@
   double now = 1;
   b.handle(now, list_of(80), ignored);
   const double limit = b.tenant(1, 0).rate_limit;
-  for (const CopiesChanged& c :
-       {CopiesChanged{-1, 3, 3}, CopiesChanged{3, 3, 3}, CopiesChanged{0, 0, 1}, CopiesChanged{0, 3, 0},
-        CopiesChanged{0, 3, std::numeric_limits<double>::quiet_NaN()}}) {
+  for (const BalancersChanged& c :
+       {BalancersChanged{-1, 3, 3}, BalancersChanged{3, 3, 3}, BalancersChanged{0, 0, 1},
+        BalancersChanged{0, 3, 0}, BalancersChanged{0, 3, std::numeric_limits<double>::quiet_NaN()}}) {
     b.handle(now, c, ignored);
   }
   EXPECT_EQ(b.tenant(1, 0).rate_limit, limit);
@@ -122,7 +122,7 @@
   actions.clear();
   b.handle(1.1, r, actions);
   ASSERT_EQ(actions.size(), 1U);
-  b.handle(1.2, CopiesChanged{0, 1, 1}, actions);
+  b.handle(1.2, BalancersChanged{0, 1, 1}, actions);
   actions.clear();
   b.handle(1.3, AttemptResult{"one", 0, Outcome::kDelivered, 0.2, true}, actions);
   EXPECT_TRUE(actions.empty());
--- a/tests/defects_test.cpp
+++ b/tests/defects_test.cpp
@@ -6,24 +6,24 @@
 #include <queue>
 #include <set>
 
-#include "harness.h"
+#include "balancer_harness.h"
 
 namespace quinceusher {
 namespace {
 
 // Poisson calls to servers that answer any number in the same time; counts by second what is sent.
-struct Day {
-  explicit Day(const Settings& settings) : copy(settings) {}
+struct Simulation {
+  explicit Simulation(const Settings& settings) : balancer(settings) {}
 
   // `time_of` tells how long a server takes, or ends an attempt otherwise by a negative outcome.
   template <class End>
   void play(double from, double until, double rate, End&& end_of) {
     for (double now = from; (now += -std::log(1 - draw()) / rate) < until;) {
       finish(now);
-      copy.now = now;
+      balancer.now = now;
       const std::string id = std::to_string(++last);
-      ++asked[static_cast<int>(now - began)];
-      take(id, 0, copy.request(id), end_of);
+      ++asked[static_cast<int>(now - started_at)];
+      take(id, 0, balancer.request(id), end_of);
     }
   }
 
@@ -33,10 +33,10 @@
       ++sent[send.server];
       const auto [outcome, took] = end_of(send.server);
       if (took > 0) {
-        due.push({copy.now + took, id, attempt, outcome, took});
+        due.push({balancer.now + took, id, attempt, outcome, took});
       } else {
-        if (outcome == Outcome::kDelivered) ++served[static_cast<int>(copy.now - began)];
-        take(id, attempt + 1, copy.end(id, outcome, attempt, 0.0001), end_of);
+        if (outcome == Outcome::kDelivered) ++served[static_cast<int>(balancer.now - started_at)];
+        take(id, attempt + 1, balancer.end(id, outcome, attempt, 0.0001), end_of);
       }
     }
   }
@@ -45,9 +45,9 @@
     while (!due.empty() && due.top().at <= now) {
       const Due next = due.top();
       due.pop();
-      copy.now = next.at;
-      if (next.outcome == Outcome::kDelivered) ++served[static_cast<int>(next.at - next.took - began)];
-      copy.end(next.id, next.outcome, next.attempt, next.took);
+      balancer.now = next.at;
+      if (next.outcome == Outcome::kDelivered) ++served[static_cast<int>(next.at - next.took - started_at)];
+      balancer.end(next.id, next.outcome, next.attempt, next.took);
     }
   }
 
@@ -73,26 +73,26 @@
     double took;
     bool operator<(const Due& other) const { return at > other.at; }
   };
-  Copy copy;
+  TestBalancer balancer;
   std::priority_queue<Due> due;
   std::map<int, int> asked, served;
   std::map<std::string, int> sent;
   int last = 0;
-  double began = 0;
+  double started_at = 0;
   std::uint64_t state = 7;
 };
 
-using End = std::pair<Outcome, double>;
-End answer_in(double seconds) { return {Outcome::kDelivered, seconds}; }
+using AttemptEnd = std::pair<Outcome, double>;
+AttemptEnd answer_in(double seconds) { return {Outcome::kDelivered, seconds}; }
 
 // Danger: without tenants the limit dropped by refusals that were the copy's own, to 2 calls a second.
 TEST(Defects, WithoutTenantsTheStartDoesNotDestroyTheLimit) {
   for (const auto& [servers, rate] : std::vector<std::pair<int, double>>{{1, 200}, {2, 200}, {2, 1000}}) {
-    Day day(basic_settings());
-    day.copy.at(0, members(servers));
-    day.play(0, 20, rate, [](const std::string&) { return answer_in(0.1); });
-    day.finish(30);
-    EXPECT_GE(day.part(3, 20), 0.99) << servers << " servers, " << rate << "/s";
+    Simulation simulation(basic_settings());
+    simulation.balancer.at(0, members(servers));
+    simulation.play(0, 20, rate, [](const std::string&) { return answer_in(0.1); });
+    simulation.finish(30);
+    EXPECT_GE(simulation.part(3, 20), 0.99) << servers << " servers, " << rate << "/s";
   }
 }
 
@@ -106,14 +106,14 @@
       Settings settings = basic_settings(class_of(Effect::kUnsafe));
       settings.tier = tier;
       settings.tenants.resize(tenants);
-      Day day(settings);
-      day.copy.at(0, members(8));
+      Simulation simulation(settings);
+      simulation.balancer.at(0, members(8));
       int calls = 0;
-      day.play(0, 60, 20, [&calls](const std::string&) {
-        return ++calls % 7 == 0 ? End{Outcome::kError, 0.1} : answer_in(0.1);
+      simulation.play(0, 60, 20, [&calls](const std::string&) {
+        return ++calls % 7 == 0 ? AttemptEnd{Outcome::kError, 0.1} : answer_in(0.1);
       });
-      day.finish(70);
-      EXPECT_GE(calls, day.last * 0.99) << "tier " << tier << ", " << tenants << " tenants";
+      simulation.finish(70);
+      EXPECT_GE(calls, simulation.last * 0.99) << "tier " << tier << ", " << tenants << " tenants";
     }
   }
 }
@@ -125,51 +125,51 @@
   settings.must_watch = true;
   for (const double ask_within : {0.0, 0.4, 10.0, 600.0}) {
     settings.ask_within = ask_within;
-    Copy copy(settings);
+    TestBalancer balancer(settings);
     MembershipUpdate failed;
     failed.form = MembershipUpdate::Form::kFailed;
     for (int i = 0; i < 100; ++i) {
-      const auto timers = all<SetTimer>(copy.at(copy.now, failed));
+      const auto timers = all<SetTimer>(balancer.at(balancer.now, failed));
       ASSERT_EQ(timers.size(), 1U);
-      EXPECT_LE(timers[0].at, copy.now + 4);
-      EXPECT_EQ(all<WatchMembers>(copy.at(timers[0].at, TimerFired{timers[0].token})).size(), 1U);
+      EXPECT_LE(timers[0].at, balancer.now + 4);
+      EXPECT_EQ(all<WatchMembers>(balancer.at(timers[0].at, TimerFired{timers[0].token})).size(), 1U);
     }
   }
 }
 
 TEST(Defects, RequestsThatComeWithoutTimeDoNotCountAgainstTheOthers) {
-  Day day(basic_settings());
-  day.copy.at(0, members(10));
+  Simulation simulation(basic_settings());
+  simulation.balancer.at(0, members(10));
   for (int i = 0; i < 600; ++i) {
-    day.play(i * 0.02, i * 0.02 + 0.02, 100, [](const std::string&) { return answer_in(0.02); });
+    simulation.play(i * 0.02, i * 0.02 + 0.02, 100, [](const std::string&) { return answer_in(0.02); });
     Request late;
     late.id = "late" + std::to_string(i);
     late.time_left = -1;
-    day.copy.at(i * 0.02 + 0.02, late);
+    simulation.balancer.at(i * 0.02 + 0.02, late);
   }
-  EXPECT_GE(day.part(1, 11), 0.99);
+  EXPECT_GE(simulation.part(1, 11), 0.99);
 }
 
 // Danger: where servers are many, one of the group that drops repeats is hardly met by chance.
 TEST(Defects, AKeyedRequestIsSentAgainWithinItsCellAtAnySize) {
   for (const int servers : {8, 33, 100, 1000}) {
-    Copy copy(basic_settings(class_of(Effect::kKeyed, DedupScope::kCell)));
+    TestBalancer balancer(basic_settings(class_of(Effect::kKeyed, DedupScope::kCell)));
     MembershipUpdate list;
     for (int i = 0; i < servers; ++i) list.servers.push_back(server(i, 0, i / 4));
-    copy.at(0, list);
+    balancer.at(0, list);
     for (int i = 0; i < 50; ++i) {
-      copy.now = i * 2;
+      balancer.now = i * 2;
       const std::string id = std::to_string(i);
-      const auto first = all<Send>(copy.request(id));
+      const auto first = all<Send>(balancer.request(id));
       ASSERT_EQ(first.size(), 1U);
-      const auto again = all<Send>(copy.end(id, Outcome::kReset));
+      const auto again = all<Send>(balancer.end(id, Outcome::kReset));
       ASSERT_EQ(again.size(), 1U) << servers << " servers, request " << i;
       EXPECT_EQ(std::stoi(again[0].server.substr(1)) / 4, std::stoi(first[0].server.substr(1)) / 4);
-      copy.end(id, Outcome::kDelivered, 1);
+      balancer.end(id, Outcome::kDelivered, 1);
       for (int k = 0; k < 6; ++k) {  // first attempts earn what further ones cost
         const std::string other = id + "-" + std::to_string(k);
-        copy.request(other);
-        copy.end(other, Outcome::kDelivered);
+        balancer.request(other);
+        balancer.end(other, Outcome::kDelivered);
       }
     }
   }
@@ -180,13 +180,14 @@
   for (const double took : {0.001, 0.02, 0.2}) {
     Settings settings = basic_settings();
     settings.cross_zone_price = 0.05;
-    Day day(settings);
+    Simulation simulation(settings);
     MembershipUpdate list;
     for (int i = 0; i < 10; ++i) list.servers.push_back(server(i, i % 2));
-    day.copy.at(0, list);
-    day.play(0, 60, 100, [&](const std::string&) { return answer_in(took); });
+    simulation.balancer.at(0, list);
+    simulation.play(0, 60, 100, [&](const std::string&) { return answer_in(took); });
     int far = 0, near = 0;
-    for (const auto& [name, calls] : day.sent) (std::stoi(name.substr(1)) % 2 == 0 ? near : far) += calls;
+    for (const auto& [name, calls] : simulation.sent)
+      (std::stoi(name.substr(1)) % 2 == 0 ? near : far) += calls;
     EXPECT_GT(near, 3 * far) << took;
   }
 }
@@ -194,48 +195,48 @@
 // Danger: one time-out counted as two hundred usual answers, and its server was shunned for half a minute.
 TEST(Defects, OneLateEndShunsAQuickServerForSecondsOnly) {
   Settings settings = basic_settings(class_of(Effect::kUnsafe));
-  Day day(settings);
-  day.copy.at(0, members(4));
+  Simulation simulation(settings);
+  simulation.balancer.at(0, members(4));
   const auto quick = [](const std::string&) { return answer_in(0.005); };
-  day.play(0, 10, 50, quick);
-  day.finish(10);
-  day.copy.now = 10;
-  const auto sends = all<Send>(day.copy.request("late"));
+  simulation.play(0, 10, 50, quick);
+  simulation.finish(10);
+  simulation.balancer.now = 10;
+  const auto sends = all<Send>(simulation.balancer.request("late"));
   ASSERT_EQ(sends.size(), 1U);
-  day.play(10, 14, 50, quick);
-  day.finish(14);
-  day.copy.now = 14;
-  day.copy.end("late", Outcome::kTimedOut, 0, 4);
-  day.sent.clear();
-  day.play(14, 20, 50, quick);
-  EXPECT_GT(day.sent[sends[0].server], 10);
+  simulation.play(10, 14, 50, quick);
+  simulation.finish(14);
+  simulation.balancer.now = 14;
+  simulation.balancer.end("late", Outcome::kTimedOut, 0, 4);
+  simulation.sent.clear();
+  simulation.play(14, 20, 50, quick);
+  EXPECT_GT(simulation.sent[sends[0].server], 10);
 }
 
 // Danger: what the process before has lost was held against the one that took its place.
 TEST(Defects, ANewProcessAnswersForItselfAlone) {
   Settings settings = basic_settings(class_of(Effect::kUnsafe));
-  Day day(settings);
-  day.copy.at(0, members(4));
+  Simulation simulation(settings);
+  simulation.balancer.at(0, members(4));
   const auto quick = [](const std::string&) { return answer_in(0.005); };
-  day.play(0, 5, 50, quick);
-  day.finish(5);
+  simulation.play(0, 5, 50, quick);
+  simulation.finish(5);
   std::set<std::string> hung;
   for (int i = 0; hung.count("s0") == 0; ++i) {
-    day.copy.now = 5;
+    simulation.balancer.now = 5;
     const std::string id = "hung" + std::to_string(i);
-    const auto sends = all<Send>(day.copy.request(id));
+    const auto sends = all<Send>(simulation.balancer.request(id));
     ASSERT_EQ(sends.size(), 1U);
     hung.insert(sends[0].server);
-    if (sends[0].server != "s0") day.copy.end(id, Outcome::kDelivered, 0, 0.005);
+    if (sends[0].server != "s0") simulation.balancer.end(id, Outcome::kDelivered, 0, 0.005);
   }
   MembershipUpdate restart;
   restart.form = MembershipUpdate::Form::kChanges;
   restart.servers = {server(0)};
   restart.servers[0].started = 0.5;
-  day.copy.at(5, restart);
-  day.sent.clear();
-  day.play(5, 8, 50, quick);
-  EXPECT_GT(day.sent["s0"], 10);
+  simulation.balancer.at(5, restart);
+  simulation.sent.clear();
+  simulation.play(5, 8, 50, quick);
+  EXPECT_GT(simulation.sent["s0"], 10);
 }
 
 // Danger: a server that drains turns all away at once, has nothing in flight, and is the least busy of all.
@@ -243,49 +244,49 @@
   for (const int servers : {2, 4, 10}) {
     Settings settings = basic_settings(class_of(Effect::kUnsafe));
     settings.tenants = {{1000.0}};
-    Day day(settings);
-    day.copy.at(0, members(servers));
-    day.play(0, 12, 200, [](const std::string& name) {
-      return name == "s0" ? End{Outcome::kRejected, 0} : answer_in(0.02);
+    Simulation simulation(settings);
+    simulation.balancer.at(0, members(servers));
+    simulation.play(0, 12, 200, [](const std::string& name) {
+      return name == "s0" ? AttemptEnd{Outcome::kRejected, 0} : answer_in(0.02);
     });
-    day.finish(20);
-    EXPECT_GE(day.part(1, 12), 0.99) << servers;
+    simulation.finish(20);
+    EXPECT_GE(simulation.part(1, 12), 0.99) << servers;
   }
 }
 
 // The clock may start anywhere.
 TEST(Defects, AClockFarBelowZeroSpreadsCallsLikeAnyOther) {
-  Day day(basic_settings());
-  day.began = -1e5;
-  day.copy.now = -1e5;
-  day.copy.at(-1e5, members(4));
-  day.play(-1e5, -1e5 + 10, 100, [](const std::string&) { return answer_in(0.02); });
-  for (const char* name : {"s0", "s1", "s2", "s3"}) EXPECT_GT(day.sent[name], 150) << name;
+  Simulation simulation(basic_settings());
+  simulation.started_at = -1e5;
+  simulation.balancer.now = -1e5;
+  simulation.balancer.at(-1e5, members(4));
+  simulation.play(-1e5, -1e5 + 10, 100, [](const std::string&) { return answer_in(0.02); });
+  for (const char* name : {"s0", "s1", "s2", "s3"}) EXPECT_GT(simulation.sent[name], 150) << name;
 }
 
 // Danger: a weight that is added to a huge one and left alone is lost, and a cold server's part is all.
 TEST(Defects, AServerOfHugeWeightLeavesTheOthersTheirs) {
-  Copy copy(basic_settings());
+  TestBalancer balancer(basic_settings());
   MembershipUpdate list = members(2);
   list.servers[0].weight = 1e-9;
   list.servers[1].weight = 1e9;
-  copy.at(0, list);
+  balancer.at(0, list);
   MembershipUpdate gone;
   gone.form = MembershipUpdate::Form::kChanges;
   gone.servers = {list.servers[1]};
   gone.servers[0].state = ServerState::kGone;
-  copy.at(1, gone);
-  EXPECT_EQ(all<Send>(copy.request("r")).size(), 1U);
+  balancer.at(1, gone);
+  EXPECT_EQ(all<Send>(balancer.request("r")).size(), 1U);
 }
 
 TEST(Defects, AClassWithoutAnAimIsServed) {
   RequestClass c = class_of(Effect::kSafe);
   c.aim = 0;
-  Day day(basic_settings(c));
-  day.copy.at(0, members(4));
-  day.play(0, 10, 100, [](const std::string&) { return answer_in(0.02); });
-  day.finish(20);
-  EXPECT_GE(day.part(1, 10), 0.99);
+  Simulation simulation(basic_settings(c));
+  simulation.balancer.at(0, members(4));
+  simulation.play(0, 10, 100, [](const std::string&) { return answer_in(0.02); });
+  simulation.finish(20);
+  EXPECT_GE(simulation.part(1, 10), 0.99);
 }
 
 // Danger: by the mean of the aims, calls that must be quick wait in a queue that is made for the others.
@@ -298,18 +299,20 @@
   Settings settings = basic_settings(quick);
   settings.classes.push_back(patient);
   settings.tenants = {{1000.0}};
-  Day day(settings);
-  day.copy.at(0, members(4));
-  day.play(0, 20, 200, [](const std::string&) { return answer_in(0.02); });
-  day.finish(30);
+  Simulation simulation(settings);
+  simulation.balancer.at(0, members(4));
+  simulation.play(0, 20, 200, [](const std::string&) { return answer_in(0.02); });
+  simulation.finish(30);
   // A crowd of calls that may wait, at once; those that may not find no room behind them.
-  day.copy.now = 30;
+  simulation.balancer.now = 30;
   int patient_sent = 0, quick_sent = 0;
   for (int i = 0; i < 200; ++i) {
-    patient_sent += static_cast<int>(all<Send>(day.copy.request("p" + std::to_string(i), 0, 1)).size());
+    patient_sent +=
+        static_cast<int>(all<Send>(simulation.balancer.request("p" + std::to_string(i), 0, 1)).size());
   }
   for (int i = 0; i < 50; ++i) {
-    quick_sent += static_cast<int>(all<Send>(day.copy.request("q" + std::to_string(i), 0, 0)).size());
+    quick_sent +=
+        static_cast<int>(all<Send>(simulation.balancer.request("q" + std::to_string(i), 0, 0)).size());
   }
   EXPECT_GT(patient_sent, 150);
   EXPECT_EQ(quick_sent, 0);
@@ -320,13 +323,13 @@
   Settings settings = basic_settings();
   settings.start_capacity = 0.1;
   settings.ramp_time = 5;
-  Day day(settings);
+  Simulation simulation(settings);
   MembershipUpdate list = members(2);
   for (Server& one : list.servers) one.started = 1000;
-  day.copy.at(0, list);
-  day.play(0, 30, 100, [](const std::string&) { return answer_in(0.02); });
-  day.finish(40);
-  EXPECT_GE(day.part(6, 30), 0.99);
+  simulation.balancer.at(0, list);
+  simulation.play(0, 30, 100, [](const std::string&) { return answer_in(0.02); });
+  simulation.finish(40);
+  EXPECT_GE(simulation.part(6, 30), 0.99);
 }
 
 }  // namespace
--- a/tests/fleet_short.h
+++ b/tests/fleet_minimums.h
@@ -8,11 +8,11 @@
 
 namespace nettlestand::fleet {
 
-struct Floor {
+struct Minimums {
   double served = 0.995, of_capacity = 0.9, tenant = 0.9;
 };
 
-inline std::map<std::string, Floor> short_at_half_load() {
+inline std::map<std::string, Minimums> minimums_at_half_load() {
   return {
       {"work 0.0003s aim x3 servers 1 copies 1 load 0.5", {0.97, 0.47, 0.97}},
       {"work 0.003s aim x3 servers 1 copies 1 load 0.5", {0.97, 0.49, 0.97}},
@@ -26,7 +26,7 @@
   };
 }
 
-inline std::map<std::string, Floor> short_past_capacity() {
+inline std::map<std::string, Minimums> minimums_past_capacity() {
   return {
       {"work 0.0003s aim x3 servers 1 copies 1 load 1.5", {0.56, 0.80, 0.85}},
       {"work 0.0003s aim x3 servers 1 copies 10 load 1.5", {0.57, 0.67, 0.69}},
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "emulator/grid.h"
-#include "fleet_short.h"
+#include "fleet_minimums.h"
 
 namespace nettlestand::fleet {
 namespace {
@@ -37,7 +37,7 @@
 }
 
 // Holds in every run, whatever happens to the fleet.
-Result play_by_the_rules(const Spec& spec) {
+Result play_and_check_rules(const Spec& spec) {
   Result out = play(spec);
   EXPECT_EQ(out.unanswered, 0U);
   EXPECT_EQ(out.answered_twice, 0U);
@@ -59,7 +59,7 @@
 
 // ---------------------------------------------------------------- the grid
 
-std::vector<std::string> below(double load, const std::map<std::string, Floor>& listed) {
+std::vector<std::string> below(double load, const std::map<std::string, Minimums>& listed) {
   const std::vector<Cell> cells = grid(load, 3000, 30);
   std::vector<std::string> wrong(cells.size());
   std::atomic<std::size_t> next{0};
@@ -72,9 +72,10 @@
         const Result result = play(spec);
         const Judgement j = judge(cells[i], result);
         const auto it = listed.find(cells[i].name());
-        const Floor floor = it == listed.end() ? Floor() : it->second;
-        const bool good = load <= 1 ? j.served >= floor.served
-                                    : j.of_capacity >= floor.of_capacity && j.worst_tenant >= floor.tenant;
+        const Minimums minimums = it == listed.end() ? Minimums() : it->second;
+        const bool good = load <= 1
+                              ? j.served >= minimums.served
+                              : j.of_capacity >= minimums.of_capacity && j.worst_tenant >= minimums.tenant;
         const bool rules = result.unanswered + result.answered_twice + result.repeats_run == 0;
         if (good && rules) continue;
         wrong[i] = cells[i].name() + (rules ? "" : ": a rule broken") + ": served " +
@@ -95,12 +96,12 @@
 }
 
 TEST(Grid, AtHalfOfCapacityAllButAFewAreServed) {
-  const auto wrong = below(0.5, short_at_half_load());
+  const auto wrong = below(0.5, minimums_at_half_load());
   EXPECT_TRUE(wrong.empty()) << joined(wrong);
 }
 
 TEST(Grid, PastCapacityTheCapacityIsUsedAndSharesAreKept) {
-  const auto wrong = below(1.5, short_past_capacity());
+  const auto wrong = below(1.5, minimums_past_capacity());
   EXPECT_TRUE(wrong.empty()) << joined(wrong);
 }
 
@@ -112,7 +113,7 @@
   const auto [aim, copies] = GetParam();
   Spec spec = fleet_of(10, 0.01, aim, 0.5, static_cast<std::size_t>(copies));
   spec.steps = {{0, 0.1}, {5, 1}, {10, 0.1}};
-  const Result r = play_by_the_rules(spec);
+  const Result r = play_and_check_rules(spec);
   EXPECT_GE(served(r, 1, 15), 0.995);
   EXPECT_GE(served(r, 5, 6), 0.98) << "the second of the jump itself";
 }
@@ -125,7 +126,7 @@
   for (const double aim : {0.1, 2.0}) {
     Spec spec = fleet_of(100, 0.01, aim, 0.5);
     spec.steps = {{0, 0.0001}, {5, 1}, {10, 0.1}};
-    const Result r = play_by_the_rules(spec);
+    const Result r = play_and_check_rules(spec);
     EXPECT_GE(served(r, 5, 15), 0.995) << aim;
   }
 }
@@ -137,7 +138,7 @@
     Spec spec = fleet_of(10, 0.0003, 2, 0.3, copies);
     spec.seconds = 20;
     spec.faults = {{5, 10, 0, 10, FaultKind::kSlow, 1000}};
-    const Result r = play_by_the_rules(spec);
+    const Result r = play_and_check_rules(spec);
     EXPECT_GE(served(r, 1, 5), 0.995);
     EXPECT_GE(served(r, 11, 20), 0.995) << "a second after the end all is as before";
   }
@@ -146,7 +147,7 @@
 TEST(Load, OneServerTenTimesQuickerThanItsPeers) {
   Spec spec = fleet_of(10, 0.01, 0.2, 0.8);
   spec.speeds = {10};
-  const Result r = play_by_the_rules(spec);
+  const Result r = play_and_check_rules(spec);
   EXPECT_GE(served(r, 1, 15), 0.995);
   const auto others = std::minmax_element(r.done.begin() + 1, r.done.end());
   EXPECT_GT(*others.first * 3, *others.second);
@@ -158,7 +159,7 @@
     Spec spec = fleet_of(10, 0.01, 0.2, load);
     for (std::size_t i = 1; i < 4; ++i) spec.tenants[i].offered = spec.tenants[i].allowance * 0.9;
     spec.tenants[0].offered = spec.tenants[0].allowance * (load * 4 - 2.7);
-    const Result r = play_by_the_rules(spec);
+    const Result r = play_and_check_rules(spec);
     EXPECT_GE(r.all.in_aim, 0.9 * 14 * 2000) << load;
     EXPECT_LE(r.all.failed, r.all.asked / 1000) << "what can't be served is refused, not failed";
     for (std::size_t i = 1; i < 4; ++i) {
@@ -172,7 +173,7 @@
 class Together : public ::testing::TestWithParam<double> {};
 
 TEST_P(Together, AHundredCopiesStartBeforeTenServersThatAreWarm) {
-  const Result r = play_by_the_rules(fleet_of(10, 0.05, 2, GetParam(), 100));
+  const Result r = play_and_check_rules(fleet_of(10, 0.05, 2, GetParam(), 100));
   EXPECT_GE(served(r, 0, 1), 0.9);
   EXPECT_GE(served(r, 1, 15), 0.99);
 }
@@ -181,7 +182,7 @@
 TEST_P(Together, AHundredCopiesStartBeforeTenServersThatAreCold) {
   Spec spec = fleet_of(10, 0.05, 2, GetParam(), 100);
   spec.cold = true;
-  const Result r = play_by_the_rules(spec);
+  const Result r = play_and_check_rules(spec);
   EXPECT_GE(served(r, 0, 9), 0.65);
   EXPECT_GE(served(r, 9, 15), 0.995);
 }
@@ -192,7 +193,7 @@
   for (const double load : {0.5, 1.0, 1.5}) {
     Spec spec = fleet_of(10, 0.01, 2, load, 2);
     spec.cold = true;
-    play_by_the_rules(spec);
+    play_and_check_rules(spec);
   }
 }
 
@@ -201,7 +202,7 @@
     Spec spec = fleet_of(10, 0.01, 2, 0.7, copies);
     spec.seconds = 25;
     spec.changes = {{5, 3, 1, ServerState::kDraining, false}, {7, 3, 1, ServerState::kReady, true}};
-    const Result r = play_by_the_rules(spec);
+    const Result r = play_and_check_rules(spec);
     EXPECT_GE(served(r, 1, 25), 0.995) << copies;
     EXPECT_EQ(r.sent_by_second[3][6], 0U);
     const double usual = static_cast<double>(r.sent_by_second[4][4]);
@@ -225,7 +226,7 @@
   spec.effect = effect;
   spec.seconds = 25;
   spec.faults = {{5, 10, 0, static_cast<std::size_t>(count), kind}};
-  const Result r = play_by_the_rules(spec);
+  const Result r = play_and_check_rules(spec);
   if (count < 4) {
     // Some calls find it out; what may not be repeated is lost with them.
     EXPECT_GE(served(r, 5, 7), 0.8);
@@ -250,14 +251,14 @@
   Spec spec = fleet_of(4, 0.01, 2, 0.3);
   spec.faults = {{5, 10, 0, 4, FaultKind::kRefuse}};
   spec.faults[0].every = 3;
-  EXPECT_GE(served(play_by_the_rules(spec), 1, 15), 0.995);
+  EXPECT_GE(served(play_and_check_rules(spec), 1, 15), 0.995);
 }
 
 TEST(Faults, AServerThatRefusesOneCopyAloneServesTheOthers) {
   Spec spec = fleet_of(4, 0.01, 2, 0.3, 4);
   spec.faults = {{5, 10, 0, 1, FaultKind::kRefuse}};
   spec.faults[0].copy = 0;
-  const Result r = play_by_the_rules(spec);
+  const Result r = play_and_check_rules(spec);
   EXPECT_GE(served(r, 1, 15), 0.995);
   EXPECT_GT(r.sent_by_second[0][8] * 2, r.sent_by_second[1][8]) << "three of four copies still use it";
 }
@@ -266,9 +267,9 @@
   for (const FaultKind kind : {FaultKind::kRefuse, FaultKind::kHangConnect}) {
     Spec spec = fleet_of(1000, 0.01, 2, 0.005);
     spec.faults = {{0, 100, 10, 990, kind}};
-    EXPECT_GE(served(play_by_the_rules(spec), 1, 15), 0.99);
+    EXPECT_GE(served(play_and_check_rules(spec), 1, 15), 0.99);
     spec.faults[0].from = 5;
-    EXPECT_GE(served(play_by_the_rules(spec), 8, 15), 0.99);
+    EXPECT_GE(served(play_and_check_rules(spec), 8, 15), 0.99);
   }
 }
 
@@ -279,7 +280,7 @@
       spec.effect = Effect::kKeyed;
       spec.seconds = 20;
       spec.faults = {{5, 10, 0, 1, kind}};
-      const Result r = play_by_the_rules(spec);
+      const Result r = play_and_check_rules(spec);
       double in_aim = 0;
       for (std::size_t s = 6; s < 10; ++s) in_aim += static_cast<double>(r.seconds[s].in_aim);
       EXPECT_GE(in_aim / 4, 0.8 * 600) << "three servers can do 600 a second";
@@ -292,19 +293,19 @@
 
 // ---------------------------------------------------------------- whatever happens
 
-struct Story {
+struct RandomScenario {
   Spec spec;
-  double calm = 0;  // s; from then on nothing has been wrong for 10 s
+  double recovered_at = 0;  // s; from then on nothing has been wrong for 10 s
 };
 
 // Random fleets with random faults, drains and restarts. `load` is of capacity, bounded by 4,000 calls a
 // second.
-Story random_story(std::uint64_t seed, double load, double cold) {
+RandomScenario random_scenario(std::uint64_t seed, double load, double cold) {
   std::mt19937_64 random(seed);
   const auto unit = [&] { return std::uniform_real_distribution<double>(0, 1)(random); };
   const auto below = [&](std::size_t n) { return static_cast<std::size_t>(unit() * static_cast<double>(n)); };
   const auto spread = [&](double from, double to) { return from * std::pow(to / from, unit()); };
-  Story out;
+  RandomScenario out;
   Spec& s = out.spec;
   s.seed = seed;
   s.servers = 1 + below(60);
@@ -348,12 +349,12 @@
     s.changes.push_back(away);
     s.changes.push_back(back);
   }
-  out.calm = last + 10;
-  s.seconds = out.calm + 5;
+  out.recovered_at = last + 10;
+  s.seconds = out.recovered_at + 5;
   return out;
 }
 
-std::string told(const Spec& s) {
+std::string describe(const Spec& s) {
   std::string out = std::to_string(s.servers) + " servers, " + std::to_string(s.copies) + " copies, work " +
                     std::to_string(s.work) + ", aim " + std::to_string(s.aim) + ", effect " +
                     std::to_string(static_cast<int>(s.effect));
@@ -366,23 +367,25 @@
 
 // Plays stories on all cores; `wrong` says what is wrong with one, or nothing.
 template <class Wrong>
-std::string each_story(std::uint64_t first, std::uint64_t count, double load, double cold, Wrong&& wrong) {
+std::string check_scenarios(std::uint64_t first, std::uint64_t count, double load, double cold,
+                            Wrong&& wrong) {
   std::vector<std::string> out(count);
   std::atomic<std::uint64_t> next{0};
   std::vector<std::thread> workers;
   for (unsigned t = 0; t < std::max(2U, std::thread::hardware_concurrency()); ++t) {
     workers.emplace_back([&] {
       for (std::uint64_t i; (i = next++) < count;) {
-        const Story story = random_story(first + i, load, cold);
-        const Result r = play(story.spec);
-        std::string text = wrong(story, r);
+        const RandomScenario scenario = random_scenario(first + i, load, cold);
+        const Result r = play(scenario.spec);
+        std::string text = wrong(scenario, r);
         if (r.unanswered + r.answered_twice + r.repeats_run + r.sent_after_drain + r.fallen_over > 0) {
           text += " a rule broken: unanswered " + std::to_string(r.unanswered) + " twice " +
                   std::to_string(r.answered_twice) + " run twice " + std::to_string(r.repeats_run) +
                   " after a drain " + std::to_string(r.sent_after_drain) + " pushed over " +
                   std::to_string(r.fallen_over);
         }
-        if (!text.empty()) out[i] = "seed " + std::to_string(first + i) + text + "; " + told(story.spec);
+        if (!text.empty())
+          out[i] = "seed " + std::to_string(first + i) + text + "; " + describe(scenario.spec);
       }
     });
   }
@@ -393,18 +396,20 @@
 
 // Danger: what a copy has learned in an outage holds it back for good, or for much longer than that lasted.
 TEST(Stories, TenSecondsAfterTheLastFaultAlmostAllIsServed) {
-  EXPECT_EQ(each_story(1, 300, 0.3, 0.2,
-                       [](const Story& story, const Result& r) -> std::string {
-                         const double part =
-                             served(r, static_cast<std::size_t>(story.calm), r.seconds.size());
-                         return part < 0.9 ? " served " + std::to_string(part) : "";
-                       }),
+  EXPECT_EQ(check_scenarios(1, 300, 0.3, 0.2,
+                            [](const RandomScenario& scenario, const Result& r) -> std::string {
+                              const double part = served(r, static_cast<std::size_t>(scenario.recovered_at),
+                                                         r.seconds.size());
+                              return part < 0.9 ? " served " + std::to_string(part) : "";
+                            }),
             "");
 }
 
 TEST(Stories, UnderAnyLoadTheRulesAreKept) {
   for (const double load : {0.5, 0.9, 1.2, 1.5}) {
-    EXPECT_EQ(each_story(1000, 100, load, 0.6, [](const Story&, const Result&) { return std::string(); }), "")
+    EXPECT_EQ(check_scenarios(1000, 100, load, 0.6,
+                              [](const RandomScenario&, const Result&) { return std::string(); }),
+              "")
         << load;
   }
 }
--- a/tests/forms/platform_options.h
+++ b/tests/forms/platform_options.h
@@ -46,10 +46,10 @@
   if (config.known) {
     for (const ListedServer& from : config.known->servers) {
       ServerOptions to;
-      to.name = from.facts.address;
-      to.address = text_of(from.dial);
-      to.cell = from.facts.cell;
-      to.weight = from.facts.weight;
+      to.name = from.info.address;
+      to.address = text_of(from.endpoint);
+      to.cell = from.info.cell;
+      to.weight = from.info.weight;
       out.servers.push_back(to);
     }
     out.servers_version = config.known->seq;
--- a/tests/health_test.cpp
+++ b/tests/health_test.cpp
@@ -4,29 +4,29 @@
 #include <cmath>
 #include <map>
 
-#include "harness.h"
+#include "balancer_harness.h"
 
 namespace quinceusher {
 namespace {
 
 // An allowance that no test here reaches: admission stays out of the way.
-Settings roomy_settings() {
+Settings unlimited_settings() {
   Settings s = basic_settings();
   s.tenants = {{1000.0}};
   return s;
 }
 
 // Plays calls of which those to `sick` end with `outcome`; counts the first sends to each server.
-std::map<std::string, int> play(Copy& copy, const std::string& sick, Outcome outcome, double from,
+std::map<std::string, int> play(TestBalancer& balancer, const std::string& sick, Outcome outcome, double from,
                                 double seconds, double rate, const std::string& prefix) {
   std::map<std::string, int> firsts;
   for (int i = 0; i < static_cast<int>(seconds * rate); ++i) {
-    copy.now = from + i / rate;
+    balancer.now = from + i / rate;
     const std::string id = prefix + std::to_string(i);
-    auto sends = all<Send>(copy.request(id));
+    auto sends = all<Send>(balancer.request(id));
     if (!sends.empty()) ++firsts[sends[0].server];
     for (int attempt = 0; !sends.empty(); ++attempt) {
-      sends = all<Send>(copy.end(id, sends[0].server == sick ? outcome : Outcome::kDelivered, attempt));
+      sends = all<Send>(balancer.end(id, sends[0].server == sick ? outcome : Outcome::kDelivered, attempt));
     }
   }
   return firsts;
@@ -34,26 +34,26 @@
 
 // Danger: a server that fails at once has nothing in flight and looks the least busy of all.
 TEST(Health, AFastFailingServerIsShunnedAndComesBack) {
-  Copy copy(roomy_settings());
-  copy.at(0, members(6));
-  const auto ill = play(copy, "s2", Outcome::kError, 0, 10, 50, "a");
+  TestBalancer balancer(unlimited_settings());
+  balancer.at(0, members(6));
+  const auto ill = play(balancer, "s2", Outcome::kError, 0, 10, 50, "a");
   EXPECT_LT(ill.at("s2"), 25);
-  const auto back = play(copy, "", Outcome::kDelivered, 10, 30, 50, "b");
+  const auto back = play(balancer, "", Outcome::kDelivered, 10, 30, 50, "b");
   EXPECT_GT(back.at("s2"), 100);
 }
 
 // Danger: a server that crowding has slowed keeps its share, and stays crowded.
 TEST(Health, ASlowServerGetsFewerCalls) {
-  Copy copy(roomy_settings());
-  copy.at(0, members(4));
+  TestBalancer balancer(unlimited_settings());
+  balancer.at(0, members(4));
   std::map<std::string, int> used;
   for (int i = 0; i < 400; ++i) {
-    copy.now = i * 0.5;
+    balancer.now = i * 0.5;
     const std::string id = std::to_string(i);
-    const auto sends = all<Send>(copy.request(id));
+    const auto sends = all<Send>(balancer.request(id));
     if (sends.empty()) continue;
     ++used[sends[0].server];
-    copy.end(id, Outcome::kDelivered, 0, sends[0].server == "s1" ? 0.4 : 0.1);
+    balancer.end(id, Outcome::kDelivered, 0, sends[0].server == "s1" ? 0.4 : 0.1);
   }
   EXPECT_GT(used["s0"], 80);
   EXPECT_LT(used["s1"], 50);
@@ -62,20 +62,20 @@
 
 // Danger: a silent server was judged only when its calls ended, for unsafe classes at the end of their time.
 TEST(Health, ASilentServerIsSparedBeforeItsCallsEnd) {
-  Copy copy(basic_settings(class_of(Effect::kUnsafe)));
-  copy.at(0, members(4));
+  TestBalancer balancer(basic_settings(class_of(Effect::kUnsafe)));
+  balancer.at(0, members(4));
   int silent = 0;
   for (int i = 0; i < 160; ++i) {
-    copy.now = i * 0.25;
+    balancer.now = i * 0.25;
     const std::string id = std::to_string(i);
-    const auto sends = all<Send>(copy.request(id));
+    const auto sends = all<Send>(balancer.request(id));
     if (sends.empty()) continue;
     if (sends[0].server != "s1") {
-      copy.end(id, Outcome::kDelivered, 0, 0.1);
+      balancer.end(id, Outcome::kDelivered, 0, 0.1);
     } else if (i >= 80) {
       ++silent;
     } else {
-      copy.end(id, Outcome::kDelivered, 0, 0.1);
+      balancer.end(id, Outcome::kDelivered, 0, 0.1);
     }
   }
   EXPECT_LE(silent, 4);
@@ -83,32 +83,32 @@
 
 // Danger: judging each server alone would leave nobody to send to when the cause is shared.
 TEST(Health, WhenAllFailTheFleetIsNotEmptied) {
-  Copy copy(roomy_settings());
-  copy.at(0, members(4));
+  TestBalancer balancer(unlimited_settings());
+  balancer.at(0, members(4));
   int sent = 0;
   for (int i = 0; i < 200; ++i) {
-    copy.now = i * 0.02;
+    balancer.now = i * 0.02;
     const std::string id = std::to_string(i);
-    auto sends = all<Send>(copy.request(id));
+    auto sends = all<Send>(balancer.request(id));
     sent += static_cast<int>(sends.size());
     for (int attempt = 0; !sends.empty(); ++attempt)
-      sends = all<Send>(copy.end(id, Outcome::kError, attempt));
+      sends = all<Send>(balancer.end(id, Outcome::kError, attempt));
   }
   EXPECT_EQ(sent, 200);
 }
 
 TEST(Health, FurtherAttemptsHaveABudget) {
-  Copy copy(basic_settings());
-  copy.at(0, members(4));
+  TestBalancer balancer(basic_settings());
+  balancer.at(0, members(4));
   int firsts = 0;
   int others = 0;
   for (int i = 0; i < 300; ++i) {
-    copy.now = i * 0.02;
+    balancer.now = i * 0.02;
     const std::string id = std::to_string(i);
-    auto sends = all<Send>(copy.request(id));
+    auto sends = all<Send>(balancer.request(id));
     firsts += static_cast<int>(sends.size());
     for (int attempt = 0; !sends.empty(); ++attempt) {
-      sends = all<Send>(copy.end(id, Outcome::kError, attempt));
+      sends = all<Send>(balancer.end(id, Outcome::kError, attempt));
       others += static_cast<int>(sends.size());
     }
   }
@@ -117,23 +117,23 @@
 }
 
 TEST(Health, AFurtherAttemptGoesElsewhere) {
-  Copy copy(basic_settings());
-  copy.at(0, members(3));
-  const auto first = all<Send>(copy.request("r"));
-  const auto second = all<Send>(copy.end("r", Outcome::kReset));
+  TestBalancer balancer(basic_settings());
+  balancer.at(0, members(3));
+  const auto first = all<Send>(balancer.request("r"));
+  const auto second = all<Send>(balancer.end("r", Outcome::kReset));
   ASSERT_EQ(second.size(), 1U);
   EXPECT_NE(first[0].server, second[0].server);
 }
 
 // Danger: calls to a server that has stopped answering wait for nothing, and behind each other.
 TEST(Room, CallsInFlightAreBoundByWhatAServerAnswers) {
-  Copy copy(roomy_settings());
-  copy.at(0, members(3));
+  TestBalancer balancer(unlimited_settings());
+  balancer.at(0, members(3));
   int sent = 0;
   int refused = 0;
   for (int i = 0; i < 300; ++i) {
-    copy.now = i * 0.01;
-    const auto actions = copy.request(std::to_string(i));
+    balancer.now = i * 0.01;
+    const auto actions = balancer.request(std::to_string(i));
     sent += static_cast<int>(all<Send>(actions).size());
     refused += static_cast<int>(all<Refuse>(actions).size());
   }
@@ -146,13 +146,13 @@
 TEST(Room, TheStartIsSharedOutOverTheCopies) {
   std::map<std::string, int> held;
   for (int index = 0; index < 8; ++index) {
-    Settings s = roomy_settings();
+    Settings s = unlimited_settings();
     s.copy_index = index;
     s.copy_count = 8;
-    Copy copy(s, static_cast<std::uint64_t>(index) + 1);
-    copy.at(0, members(10));
+    TestBalancer balancer(s, static_cast<std::uint64_t>(index) + 1);
+    balancer.at(0, members(10));
     for (int i = 0; i < 100; ++i) {
-      for (const Send& send : all<Send>(copy.request(std::to_string(i)))) ++held[send.server];
+      for (const Send& send : all<Send>(balancer.request(std::to_string(i)))) ++held[send.server];
     }
   }
   EXPECT_EQ(held.size(), 10U);
@@ -161,27 +161,27 @@
 
 // Danger: a refusal past the first tier throws away the work that was done above it.
 TEST(Room, PastTheFirstTierNothingIsRefusedForIt) {
-  Settings s = roomy_settings();
+  Settings s = unlimited_settings();
   s.tier = 1;
-  Copy copy(s);
-  copy.at(0, members(3));
-  for (int i = 0; i < 300; ++i) EXPECT_EQ(all<Send>(copy.request(std::to_string(i))).size(), 1U);
+  TestBalancer balancer(s);
+  balancer.at(0, members(3));
+  for (int i = 0; i < 300; ++i) EXPECT_EQ(all<Send>(balancer.request(std::to_string(i))).size(), 1U);
 }
 
 // A copy of many: a few calls a second, out one or two at a time. Calls come at uneven times, answered late
 // or never.
-struct SparseDay {
+struct SparseRun {
   int sent = 0;
   int refused = 0;
 };
 
-SparseDay sparse_day(double answer_time, double seconds) {
+SparseRun run_sparse(double answer_time, double seconds) {
   Settings s = basic_settings();
   s.copy_count = 400;
   s.tenants = {{1000.0}};
-  Copy copy(s);
-  copy.at(0, members(60));
-  SparseDay day;
+  TestBalancer balancer(s);
+  balancer.at(0, members(60));
+  SparseRun run;
   std::multimap<double, std::string> due;
   std::uint64_t draw = 7;
   double now = 0;
@@ -189,45 +189,45 @@
     draw = draw * 6364136223846793005ULL + 1442695040888963407ULL;
     now += -std::log((static_cast<double>(draw >> 11) + 1) * 0x1.0p-53) / 2.5;
     while (!due.empty() && due.begin()->first <= now) {
-      copy.now = due.begin()->first;
-      copy.end(due.begin()->second, Outcome::kDelivered, 0, answer_time);
+      balancer.now = due.begin()->first;
+      balancer.end(due.begin()->second, Outcome::kDelivered, 0, answer_time);
       due.erase(due.begin());
     }
-    copy.now = now;
+    balancer.now = now;
     const std::string id = std::to_string(i);
-    const auto actions = copy.request(id);
-    day.refused += static_cast<int>(all<Refuse>(actions).size());
+    const auto actions = balancer.request(id);
+    run.refused += static_cast<int>(all<Refuse>(actions).size());
     for (const Send& send : all<Send>(actions)) {
-      ++day.sent;
+      ++run.sent;
       if (answer_time < send.timeout) due.emplace(now + answer_time, id);
     }
   }
-  return day;
+  return run;
 }
 
 // Danger: a sparse copy took two calls out at once for a queue and refused a tenth of a calm day.
 TEST(Room, ASparseCopyDoesNotRefuseForChance) {
-  const SparseDay calm = sparse_day(0.3, 60);
+  const SparseRun calm = run_sparse(0.3, 60);
   EXPECT_GT(calm.sent, 120);
   EXPECT_LE(calm.refused, calm.sent / 50);
 }
 
 // Danger: with bounds of a call or so, none of many sparse copies ever holds back and a jam never runs off.
 TEST(Room, ASparseCopyHoldsBackWhenAnswersTakeTooLong) {
-  const SparseDay jammed = sparse_day(5, 60);
+  const SparseRun jammed = run_sparse(5, 60);
   EXPECT_GT(jammed.refused, 2 * jammed.sent);
 }
 
 TEST(Timeouts, FollowTheObservedLatency) {
-  Copy copy(basic_settings());
-  copy.at(0, members(4));
-  const double before = all<Send>(copy.request("first"))[0].timeout;
+  TestBalancer balancer(basic_settings());
+  balancer.at(0, members(4));
+  const double before = all<Send>(balancer.request("first"))[0].timeout;
   for (int i = 0; i < 100; ++i) {
-    copy.now = i * 0.1;
-    copy.request(std::to_string(i));
-    copy.end(std::to_string(i), Outcome::kDelivered, 0, 0.05);
+    balancer.now = i * 0.1;
+    balancer.request(std::to_string(i));
+    balancer.end(std::to_string(i), Outcome::kDelivered, 0, 0.05);
   }
-  const double after = all<Send>(copy.request("last"))[0].timeout;
+  const double after = all<Send>(balancer.request("last"))[0].timeout;
   EXPECT_LT(after, before / 2);
   EXPECT_GT(after, 0.05);
 }
--- a/tests/mechanism_test.cpp
+++ b/tests/mechanism_test.cpp
@@ -8,7 +8,7 @@
 #include <set>
 #include <stdexcept>
 
-#include "harness.h"
+#include "balancer_harness.h"
 
 namespace quinceusher {
 namespace {
@@ -34,36 +34,36 @@
 }
 
 // Calls at a steady rate, each answered at once; returns how many were admitted.
-int offer(Copy& copy, double from, double seconds, double rate, const std::string& prefix,
+int offer(TestBalancer& balancer, double from, double seconds, double rate, const std::string& prefix,
           Outcome outcome = Outcome::kDelivered) {
   int admitted = 0;
   const int calls = static_cast<int>(seconds * rate);
   for (int i = 0; i < calls; ++i) {
-    copy.now = from + i / rate;
+    balancer.now = from + i / rate;
     const std::string id = prefix + std::to_string(i);
-    if (all<Send>(copy.request(id)).empty()) continue;
+    if (all<Send>(balancer.request(id)).empty()) continue;
     ++admitted;
-    const auto after = copy.end(id, outcome);
-    for (const Send& again : all<Send>(after)) copy.end(again.id, Outcome::kDelivered, 1);
+    const auto after = balancer.end(id, outcome);
+    for (const Send& again : all<Send>(after)) balancer.end(again.id, Outcome::kDelivered, 1);
   }
   return admitted;
 }
 
 TEST(Admission, BelowTheLimitEverythingGoes) {
-  Copy copy(one_tenant(100));
-  copy.at(0, members(4));
-  EXPECT_EQ(offer(copy, 0, 10, 50, "a"), 500);
-  EXPECT_DOUBLE_EQ(copy.balancer.tenant(copy.now, 0).suppression_factor, 0);
+  TestBalancer balancer(one_tenant(100));
+  balancer.at(0, members(4));
+  EXPECT_EQ(offer(balancer, 0, 10, 50, "a"), 500);
+  EXPECT_DOUBLE_EQ(balancer.subject.tenant(balancer.now, 0).suppression_factor, 0);
 }
 
 TEST(Admission, AboveTheLimitTheRestIsDeniedSmoothly) {
   Settings s = one_tenant(10);
   s.over_share_worth = 0;  // the limit stays where it starts
-  Copy copy(s);
-  copy.at(0, members(4));
-  const double limit = copy.balancer.tenant(0, 0).rate_limit;
-  const int admitted = offer(copy, 0, 8, 4 * limit, "a");
-  const TenantView view = copy.balancer.tenant(copy.now, 0);
+  TestBalancer balancer(s);
+  balancer.at(0, members(4));
+  const double limit = balancer.subject.tenant(0, 0).rate_limit;
+  const int admitted = offer(balancer, 0, 8, 4 * limit, "a");
+  const TenantView view = balancer.subject.tenant(balancer.now, 0);
   EXPECT_GT(admitted, 0.8 * limit * 8);
   EXPECT_LT(admitted, 1.6 * limit * 8);
   EXPECT_NEAR(view.suppression_factor, 1 - view.rate_limit / (4 * limit), 0.05);
@@ -71,99 +71,99 @@
 }
 
 TEST(Admission, AtTheHardLimitAllAreDenied) {
-  Copy copy(one_tenant(10));
-  copy.at(0, members(4));
-  const double limit = copy.balancer.tenant(0, 0).rate_limit;
+  TestBalancer balancer(one_tenant(10));
+  balancer.at(0, members(4));
+  const double limit = balancer.subject.tenant(0, 0).rate_limit;
   const double flood = 400 * limit;
   int late_admissions = 0;
   for (int i = 0; i < static_cast<int>(flood); ++i) {
-    copy.now = i / flood;
-    const bool sent = !all<Send>(copy.request("r" + std::to_string(i))).empty();
+    balancer.now = i / flood;
+    const bool sent = !all<Send>(balancer.request("r" + std::to_string(i))).empty();
     if (i > flood * 0.9 && sent) ++late_admissions;
   }
   EXPECT_EQ(late_admissions, 0);
-  EXPECT_DOUBLE_EQ(copy.balancer.tenant(copy.now, 0).suppression_factor, 1);
+  EXPECT_DOUBLE_EQ(balancer.subject.tenant(balancer.now, 0).suppression_factor, 1);
 }
 
 TEST(Admission, TheWindowExpires) {
-  Copy copy(one_tenant(10));
-  copy.at(0, members(4));
-  for (int i = 0; i < 500; ++i) copy.request("r" + std::to_string(i));
-  EXPECT_GT(copy.balancer.tenant(0, 0).suppression_factor, 0.5);
-  EXPECT_DOUBLE_EQ(copy.balancer.tenant(1.35, 0).total, 500);
-  EXPECT_DOUBLE_EQ(copy.balancer.tenant(1.65, 0).total, 0);
-  EXPECT_DOUBLE_EQ(copy.balancer.tenant(1.65, 0).suppression_factor, 0);
+  TestBalancer balancer(one_tenant(10));
+  balancer.at(0, members(4));
+  for (int i = 0; i < 500; ++i) balancer.request("r" + std::to_string(i));
+  EXPECT_GT(balancer.subject.tenant(0, 0).suppression_factor, 0.5);
+  EXPECT_DOUBLE_EQ(balancer.subject.tenant(1.35, 0).total, 500);
+  EXPECT_DOUBLE_EQ(balancer.subject.tenant(1.65, 0).total, 0);
+  EXPECT_DOUBLE_EQ(balancer.subject.tenant(1.65, 0).suppression_factor, 0);
 }
 
 // The factor is kept for 100 ms: a flood within that time is met with the factor from before it.
 TEST(Admission, TheFactorIsCached) {
   Settings s = one_tenant(100);
   s.over_share_worth = 0;
-  Copy copy(s);
-  copy.at(0, members(4));
-  const double limit = copy.balancer.tenant(0, 0).rate_limit;
+  TestBalancer balancer(s);
+  balancer.at(0, members(4));
+  const double limit = balancer.subject.tenant(0, 0).rate_limit;
   const int soft = static_cast<int>(1.5 * limit);
   const auto pour = [&](double time, int calls, const std::string& prefix) {
     int admitted = 0;
     for (int i = 0; i < calls; ++i) {
-      copy.now = time;
+      balancer.now = time;
       const std::string id = prefix + std::to_string(i);
-      if (all<Send>(copy.request(id)).empty()) continue;
+      if (all<Send>(balancer.request(id)).empty()) continue;
       ++admitted;
-      copy.end(id, Outcome::kDelivered);
+      balancer.end(id, Outcome::kDelivered);
     }
     return admitted;
   };
   EXPECT_EQ(pour(0, soft, "fill"), soft);
   EXPECT_NEAR(pour(0.01, 1000, "cached"), 667, 60);  // the factor from when the flood began: a third
-  const double factor = copy.balancer.tenant(0.12, 0).suppression_factor;
+  const double factor = balancer.subject.tenant(0.12, 0).suppression_factor;
   EXPECT_GT(factor, 0.85);
   EXPECT_NEAR(pour(0.12, 1000, "fresh"), 1000 * (1 - factor), 40);
 }
 
 TEST(Admission, ADenialIsARefusalUnsent) {
-  Copy copy(one_tenant(10));
-  copy.at(0, members(4));
+  TestBalancer balancer(one_tenant(10));
+  balancer.at(0, members(4));
   int refused = 0;
   for (int i = 0; i < 900; ++i) {
-    copy.now = 0.001 * i;
-    const auto actions = copy.request("r" + std::to_string(i));
+    balancer.now = 0.001 * i;
+    const auto actions = balancer.request("r" + std::to_string(i));
     EXPECT_EQ(all<Refuse>(actions).size() + all<Send>(actions).size(), 1U);
     refused += static_cast<int>(all<Refuse>(actions).size());
-    if (!all<Send>(actions).empty()) copy.end("r" + std::to_string(i), Outcome::kDelivered);
+    if (!all<Send>(actions).empty()) balancer.end("r" + std::to_string(i), Outcome::kDelivered);
   }
   EXPECT_GT(refused, 300);
-  EXPECT_EQ(copy.balancer.tenant(copy.now, 0).declined, refused);
+  EXPECT_EQ(balancer.subject.tenant(balancer.now, 0).declined, refused);
 }
 
 TEST(Limit, RisesWhileCallsFinishInTime) {
-  Copy copy(one_tenant(10));
-  copy.at(0, members(4));
-  const double before = copy.balancer.tenant(0, 0).rate_limit;
-  offer(copy, 0, 10, before * 0.9, "a");
-  EXPECT_GT(copy.balancer.tenant(copy.now, 0).rate_limit, before);
-  EXPECT_LT(copy.balancer.tenant(copy.now, 0).rate_limit, before * 2);
+  TestBalancer balancer(one_tenant(10));
+  balancer.at(0, members(4));
+  const double before = balancer.subject.tenant(0, 0).rate_limit;
+  offer(balancer, 0, 10, before * 0.9, "a");
+  EXPECT_GT(balancer.subject.tenant(balancer.now, 0).rate_limit, before);
+  EXPECT_LT(balancer.subject.tenant(balancer.now, 0).rate_limit, before * 2);
 }
 
 TEST(Limit, DropsWhenCallsFailButKeepsAFloor) {
-  Copy copy(one_tenant(100));
-  copy.at(0, members(4));
-  offer(copy, 0, 40, 120, "up");
-  const double before = copy.balancer.tenant(copy.now, 0).rate_limit;
+  TestBalancer balancer(one_tenant(100));
+  balancer.at(0, members(4));
+  offer(balancer, 0, 40, 120, "up");
+  const double before = balancer.subject.tenant(balancer.now, 0).rate_limit;
   ASSERT_GT(before, 130);
-  offer(copy, 40, 5, before, "a", Outcome::kRejected);
-  EXPECT_LT(copy.balancer.tenant(copy.now, 0).rate_limit, before);
-  offer(copy, 45, 60, 50, "b", Outcome::kRejected);
-  EXPECT_GE(copy.balancer.tenant(copy.now, 0).rate_limit, 100);
+  offer(balancer, 40, 5, before, "a", Outcome::kRejected);
+  EXPECT_LT(balancer.subject.tenant(balancer.now, 0).rate_limit, before);
+  offer(balancer, 45, 60, 50, "b", Outcome::kRejected);
+  EXPECT_GE(balancer.subject.tenant(balancer.now, 0).rate_limit, 100);
 }
 
 TEST(Limit, OneReviewDropsItOnce) {
-  Copy copy(one_tenant(100));
-  copy.at(0, members(4));
-  offer(copy, 0, 0.9, 200, "a", Outcome::kRejected);
-  const double once = copy.balancer.tenant(copy.now, 0).rate_limit;
-  offer(copy, 0.9, 0.05, 200, "b", Outcome::kRejected);
-  EXPECT_DOUBLE_EQ(copy.balancer.tenant(copy.now, 0).rate_limit, once);
+  TestBalancer balancer(one_tenant(100));
+  balancer.at(0, members(4));
+  offer(balancer, 0, 0.9, 200, "a", Outcome::kRejected);
+  const double once = balancer.subject.tenant(balancer.now, 0).rate_limit;
+  offer(balancer, 0.9, 0.05, 200, "b", Outcome::kRejected);
+  EXPECT_DOUBLE_EQ(balancer.subject.tenant(balancer.now, 0).rate_limit, once);
 }
 
 // Danger: at the rate for traffic beyond a share, a limit that an overload had pushed under the tenant's part
@@ -171,21 +171,21 @@
 // A tenant of which nothing is told: a mishap among its first calls, when the window has hardly begun to
 // fill, is no rate to cut it to.
 TEST(Limit, IsNotLearnedFromAWindowThatHasHardlyBegun) {
-  Copy copy(basic_settings());
-  copy.at(0, members(4));
+  TestBalancer balancer(basic_settings());
+  balancer.at(0, members(4));
   for (const double from : {1.0, 30.0}) {  // at its start, and after a pause
     int denied = 0;
     std::deque<std::string> out;
     for (int i = 0; i < 2000; ++i) {
-      copy.now = from + i / 1000.0;
+      balancer.now = from + i / 1000.0;
       const std::string id = std::to_string(from) + "-" + std::to_string(i);
-      all<Send>(copy.request(id)).empty() ? ++denied : (out.push_back(id), 0);
+      all<Send>(balancer.request(id)).empty() ? ++denied : (out.push_back(id), 0);
       if (out.size() < 20) continue;  // so many are out before the first one ends
-      copy.end(out.front(), i == 20 ? Outcome::kReset : Outcome::kDelivered, 0, 0.02);
-      if (i == 20) copy.end(out.front(), Outcome::kDelivered, 1, 0.001);
+      balancer.end(out.front(), i == 20 ? Outcome::kReset : Outcome::kDelivered, 0, 0.02);
+      if (i == 20) balancer.end(out.front(), Outcome::kDelivered, 1, 0.001);
       out.pop_front();
     }
-    for (const std::string& id : out) copy.end(id, Outcome::kDelivered, 0, 0.02);
+    for (const std::string& id : out) balancer.end(id, Outcome::kDelivered, 0, 0.02);
     EXPECT_EQ(denied, 0) << "from " << from;
   }
 }
@@ -194,13 +194,13 @@
   Settings s = one_tenant(400);
   s.over_share_worth = 0.05;
   s.copy_count = 400;
-  Copy copy(s);
-  copy.at(0, members(20));
-  offer(copy, 0, 40, 1, "bad", Outcome::kRejected);
-  const double low = copy.balancer.tenant(copy.now, 0).rate_limit;
+  TestBalancer balancer(s);
+  balancer.at(0, members(20));
+  offer(balancer, 0, 40, 1, "bad", Outcome::kRejected);
+  const double low = balancer.subject.tenant(balancer.now, 0).rate_limit;
   ASSERT_LT(low, 0.6);
-  offer(copy, 40, 20, 1, "good");
-  EXPECT_GT(copy.balancer.tenant(copy.now, 0).rate_limit, 1.5 * low);
+  offer(balancer, 40, 20, 1, "good");
+  EXPECT_GT(balancer.subject.tenant(balancer.now, 0).rate_limit, 1.5 * low);
 }
 
 // Danger: with its own zone alone, a zone with more traffic than servers drowns beside an idle one.
@@ -208,18 +208,18 @@
   const auto far_share = [](double near_answer) {
     Settings s = basic_settings();
     s.cross_zone_price = 0.01;
-    Copy copy(s);
+    TestBalancer balancer(s);
     MembershipUpdate m;
     for (int i = 0; i < 12; ++i) m.servers.push_back(server(i, i % 2));
-    copy.at(0, m);
+    balancer.at(0, m);
     int far = 0;
     for (int i = 0; i < 600; ++i) {
-      copy.now = i * 0.5;
+      balancer.now = i * 0.5;
       const std::string id = std::to_string(i);
-      for (const Send& send : all<Send>(copy.request(id))) {
+      for (const Send& send : all<Send>(balancer.request(id))) {
         const bool crossed = (send.server.back() - '0') % 2 == 1;
         far += crossed ? 1 : 0;
-        copy.end(id, Outcome::kDelivered, 0, crossed ? 0.12 : near_answer);
+        balancer.end(id, Outcome::kDelivered, 0, crossed ? 0.12 : near_answer);
       }
     }
     return far / 600.0;
@@ -253,15 +253,15 @@
       s.copy_index = index;
       s.copy_count = copies;
       const auto used = [&](bool without_one) {
-        Copy copy(s);
+        TestBalancer balancer(s);
         MembershipUpdate m = members(24);
         if (without_one) m.servers.erase(m.servers.begin() + 5);
-        copy.at(0, m);
+        balancer.at(0, m);
         std::set<std::string> out;
         for (int i = 0; i < 400; ++i) {
           const std::string id = std::to_string(i);
-          for (const Send& send : all<Send>(copy.request(id))) out.insert(send.server);
-          copy.end(id, Outcome::kDelivered);
+          for (const Send& send : all<Send>(balancer.request(id))) out.insert(send.server);
+          balancer.end(id, Outcome::kDelivered);
         }
         return out;
       };
@@ -282,10 +282,10 @@
     Settings s = basic_settings();
     s.copy_index = index;
     s.copy_count = 2;
-    Copy copy(s);
-    copy.at(0, members(40));
+    TestBalancer balancer(s);
+    balancer.at(0, members(40));
     for (int i = 0; i < 200; ++i) {
-      for (const Send& send : all<Send>(copy.request(std::to_string(i)))) used.insert(send.server);
+      for (const Send& send : all<Send>(balancer.request(std::to_string(i)))) used.insert(send.server);
     }
   }
   EXPECT_EQ(used.size(), 40U);
@@ -293,11 +293,11 @@
 
 TEST(Pick, PrefersTheLessBusy) {
   Settings s = basic_settings();
-  Copy copy(s);
-  copy.at(0, members(2));
+  TestBalancer balancer(s);
+  balancer.at(0, members(2));
   std::map<std::string, int> held;
   for (int i = 0; i < 10; ++i) {
-    for (const Send& send : all<Send>(copy.request(std::to_string(i)))) ++held[send.server];
+    for (const Send& send : all<Send>(balancer.request(std::to_string(i)))) ++held[send.server];
   }
   EXPECT_EQ(held["s0"], 5);
   EXPECT_EQ(held["s1"], 5);
@@ -305,15 +305,15 @@
 
 // Danger: comparing sizes, a copy with nothing in flight gave every call to the largest server.
 TEST(Pick, SizeCountsInTheDraw) {
-  Copy copy(basic_settings());
+  TestBalancer balancer(basic_settings());
   MembershipUpdate m = members(2);
   m.servers[1].weight = 3;
-  copy.at(0, m);
+  balancer.at(0, m);
   std::map<std::string, int> used;
   for (int i = 0; i < 400; ++i) {
-    copy.now = i * 0.4;
-    for (const Send& send : all<Send>(copy.request(std::to_string(i)))) ++used[send.server];
-    copy.end(std::to_string(i), Outcome::kDelivered);
+    balancer.now = i * 0.4;
+    for (const Send& send : all<Send>(balancer.request(std::to_string(i)))) ++used[send.server];
+    balancer.end(std::to_string(i), Outcome::kDelivered);
   }
   EXPECT_NEAR(used["s0"], 100, 30);
   EXPECT_NEAR(used["s1"], 300, 30);
@@ -321,11 +321,11 @@
 
 TEST(Pick, TheSameSeedAndEventsGiveTheSameActions) {
   const auto run = [] {
-    Copy copy(basic_settings(), 99);
-    copy.at(5, members(12));
+    TestBalancer balancer(basic_settings(), 99);
+    balancer.at(5, members(12));
     std::string out;
     for (int i = 0; i < 200; ++i) {
-      for (const Send& send : all<Send>(copy.request(std::to_string(i)))) out += send.server + " ";
+      for (const Send& send : all<Send>(balancer.request(std::to_string(i)))) out += send.server + " ";
     }
     return out;
   };
@@ -369,15 +369,15 @@
 }
 
 TEST(Settings, NumbersOutOfRangeAreHarmless) {
-  Copy copy(basic_settings());
-  copy.at(0, members(2));
-  EXPECT_EQ(all<Send>(copy.request("a", 77, 88)).size(), 1U);
-  EXPECT_TRUE(copy.end("a", Outcome::kDelivered, 9).empty());
-  EXPECT_TRUE(copy.end("a", Outcome::kDelivered, -1).empty());
-  EXPECT_TRUE(copy.end("never", Outcome::kDelivered).empty());
-  EXPECT_TRUE(copy.at(0, TimerFired{12345}).empty());
-  EXPECT_TRUE(copy.at(0, RequestGone{"never"}).empty());
-  EXPECT_GE(copy.balancer.tenant(0, 1234).rate_limit, 0);
+  TestBalancer balancer(basic_settings());
+  balancer.at(0, members(2));
+  EXPECT_EQ(all<Send>(balancer.request("a", 77, 88)).size(), 1U);
+  EXPECT_TRUE(balancer.end("a", Outcome::kDelivered, 9).empty());
+  EXPECT_TRUE(balancer.end("a", Outcome::kDelivered, -1).empty());
+  EXPECT_TRUE(balancer.end("never", Outcome::kDelivered).empty());
+  EXPECT_TRUE(balancer.at(0, TimerFired{12345}).empty());
+  EXPECT_TRUE(balancer.at(0, RequestGone{"never"}).empty());
+  EXPECT_GE(balancer.subject.tenant(0, 1234).rate_limit, 0);
 }
 
 }  // namespace
--- a/tests/progress_test.cpp
+++ b/tests/progress_test.cpp
@@ -1,78 +1,79 @@
 // Answers that are arriving: how long they may go on.
-#include "../src/progress.h"
-
 #include <gtest/gtest.h>
 
-#include "harness.h"
+#include "../src/answer_progress.h"
+#include "balancer_harness.h"
 
 namespace quinceusher {
 namespace {
 
-AnswerArriving arriving(double since, double received, double expected, double quiet = 0) {
+AnswerProgress arriving(double since, double received, double expected, double quiet = 0) {
   return {"r", 0, since, quiet, received, expected};
 }
 
-constexpr double kPatience = 0.05;
+constexpr double kFirstByteLimit = 0.05;
 
 TEST(Progress, WhatArrivesInTimeGoesOnUntilItIsThere) {
   // 1 MB at 20 KB/s takes 50 s of the 60 that are left; it is looked at again and again.
   double at = 0;
-  int looks = 0;
+  int checks = 0;
   while (at < 49.9) {
-    const double further = further_time(arriving(at, at * 20e3, 1e6), 60 - at, kPatience, true);
-    ASSERT_GT(further, 0) << at;
-    ASSERT_LE(further, 60 - at);
-    at += further;
-    ASSERT_LT(++looks, 100);
+    const double extension = extension_for(arriving(at, at * 20e3, 1e6), 60 - at, kFirstByteLimit, true);
+    ASSERT_GT(extension, 0) << at;
+    ASSERT_LE(extension, 60 - at);
+    at += extension;
+    ASSERT_LT(++checks, 100);
   }
 }
 
 TEST(Progress, AStopOfASecondIsTaken) {
-  EXPECT_GT(further_time(arriving(10, 200e3, 1e6, 1), 45, kPatience, true), 0);
-  EXPECT_GT(further_time(arriving(1.2, 200e3, 400e3, 1), 5, kPatience, true), 0);
+  EXPECT_GT(extension_for(arriving(10, 200e3, 1e6, 1), 45, kFirstByteLimit, true), 0);
+  EXPECT_GT(extension_for(arriving(1.2, 200e3, 400e3, 1), 5, kFirstByteLimit, true), 0);
 }
 
 TEST(Progress, AnAnswerThatHasStoppedIsGivenUpForAnotherTry) {
-  EXPECT_EQ(further_time(arriving(3, 200e3, 400e3, 2), 3, kPatience, true), 0);
-  EXPECT_GT(further_time(arriving(3, 200e3, 400e3, 2), 3, kPatience, false), 0) << "there is no other try";
+  EXPECT_EQ(extension_for(arriving(3, 200e3, 400e3, 2), 3, kFirstByteLimit, true), 0);
+  EXPECT_GT(extension_for(arriving(3, 200e3, 400e3, 2), 3, kFirstByteLimit, false), 0)
+      << "there is no other try";
 }
 
 TEST(Progress, AByteASecondHoldsNoPlace) {
-  EXPECT_EQ(further_time(arriving(2, 2, 1000, 0.5), 5, kPatience, true), 0);
-  EXPECT_EQ(further_time(arriving(2, 2, 1000, 0.5), 5, kPatience, false), 0) << "it can't arrive by far";
-  EXPECT_EQ(further_time(arriving(2, 2, 0, 0.5), 5, kPatience, true), 0)
+  EXPECT_EQ(extension_for(arriving(2, 2, 1000, 0.5), 5, kFirstByteLimit, true), 0);
+  EXPECT_EQ(extension_for(arriving(2, 2, 1000, 0.5), 5, kFirstByteLimit, false), 0)
+      << "it can't arrive by far";
+  EXPECT_EQ(extension_for(arriving(2, 2, 0, 0.5), 5, kFirstByteLimit, true), 0)
       << "nor where its length is not told";
-  EXPECT_GT(further_time(arriving(0.2, 1, 1000, 0.1), 5, kPatience, true), 0) << "it has just begun";
+  EXPECT_GT(extension_for(arriving(0.2, 1, 1000, 0.1), 5, kFirstByteLimit, true), 0) << "it has just begun";
 }
 
 TEST(Progress, WhatWouldBeALittleLateMayStillCatchUp) {
-  EXPECT_GT(further_time(arriving(2, 100e3, 400e3), 5, kPatience, true), 0);
-  EXPECT_EQ(further_time(arriving(2, 40e3, 400e3), 5, kPatience, true), 0);
-  EXPECT_GT(further_time(arriving(2, 40e3, 400e3), 5, kPatience, false), 0);
+  EXPECT_GT(extension_for(arriving(2, 100e3, 400e3), 5, kFirstByteLimit, true), 0);
+  EXPECT_EQ(extension_for(arriving(2, 40e3, 400e3), 5, kFirstByteLimit, true), 0);
+  EXPECT_GT(extension_for(arriving(2, 40e3, 400e3), 5, kFirstByteLimit, false), 0);
 }
 
 // Danger: a crowd of answers that begin late spent all further tries, and the rest was refused with seconds
 // to go.
 TEST(Progress, NothingIsGivenUpEarlyWhereNoOtherTryCanFollow) {
-  EXPECT_EQ(further_time(arriving(-1, 0, 0), 5, kPatience, true), 0);
-  EXPECT_EQ(further_time(arriving(-1, 0, 0), 5, kPatience, false), 5);
-  Copy copy(basic_settings());
-  copy.at(0, members(4));
+  EXPECT_EQ(extension_for(arriving(-1, 0, 0), 5, kFirstByteLimit, true), 0);
+  EXPECT_EQ(extension_for(arriving(-1, 0, 0), 5, kFirstByteLimit, false), 5);
+  TestBalancer balancer(basic_settings());
+  balancer.at(0, members(4));
   for (int i = 0; i < 200; ++i) {
-    copy.now = i * 0.01;
-    copy.request(std::to_string(i));
-    copy.end(std::to_string(i), Outcome::kDelivered, 0, 0.002);
+    balancer.now = i * 0.01;
+    balancer.request(std::to_string(i));
+    balancer.end(std::to_string(i), Outcome::kDelivered, 0, 0.002);
   }
-  for (int i = 0; i < 30; ++i) ASSERT_EQ(all<Send>(copy.request("late" + std::to_string(i))).size(), 1U);
-  copy.now += 0.2;
+  for (int i = 0; i < 30; ++i) ASSERT_EQ(all<Send>(balancer.request("late" + std::to_string(i))).size(), 1U);
+  balancer.now += 0.2;
   int again = 0, waits = 0;
   for (int i = 0; i < 30; ++i) {
     const std::string id = "late" + std::to_string(i);
-    if (!all<Extend>(copy.at(copy.now, AnswerArriving{id, 0, -1, 0, 0, 0})).empty()) {
+    if (!all<Extend>(balancer.at(balancer.now, AnswerProgress{id, 0, -1, 0, 0, 0})).empty()) {
       ++waits;
       continue;
     }
-    const auto after = copy.end(id, Outcome::kTimedOut, 0, 0.2);
+    const auto after = balancer.end(id, Outcome::kTimedOut, 0, 0.2);
     again += static_cast<int>(all<Send>(after).size());
     EXPECT_TRUE(all<Refuse>(after).empty());
   }
@@ -81,48 +82,48 @@
 }
 
 TEST(Progress, NothingGoesOnPastItsUse) {
-  EXPECT_EQ(further_time(arriving(1, 1e5, 2e5), 0, kPatience, false), 0);
-  EXPECT_EQ(further_time(arriving(1, 1e5, 2e5), -1, kPatience, true), 0);
+  EXPECT_EQ(extension_for(arriving(1, 1e5, 2e5), 0, kFirstByteLimit, false), 0);
+  EXPECT_EQ(extension_for(arriving(1, 1e5, 2e5), -1, kFirstByteLimit, true), 0);
 }
 
 // Danger: time-outs learned from small answers cut large ones off in the middle.
 TEST(Progress, ALargeAnswerAfterSmallOnesIsExtended) {
   Settings settings = basic_settings();
-  Copy copy(settings);
-  copy.at(0, members(4));
+  TestBalancer balancer(settings);
+  balancer.at(0, members(4));
   for (int i = 0; i < 200; ++i) {
-    copy.now = i * 0.01;
-    copy.request(std::to_string(i));
-    copy.end(std::to_string(i), Outcome::kDelivered, 0, 0.002);
+    balancer.now = i * 0.01;
+    balancer.request(std::to_string(i));
+    balancer.end(std::to_string(i), Outcome::kDelivered, 0, 0.002);
   }
-  const auto sends = all<Send>(copy.request("large"));
+  const auto sends = all<Send>(balancer.request("large"));
   ASSERT_EQ(sends.size(), 1U);
   EXPECT_LT(sends[0].timeout, 0.5);
-  copy.now += 0.002;
-  const auto extended = all<Extend>(copy.at(copy.now, AnswerArriving{"large", 0, 0, 0, 1000, 390e3}));
+  balancer.now += 0.002;
+  const auto extended = all<Extend>(balancer.at(balancer.now, AnswerProgress{"large", 0, 0, 0, 1000, 390e3}));
   ASSERT_EQ(extended.size(), 1U);
   EXPECT_GT(extended[0].timeout, sends[0].timeout);
   EXPECT_LE(extended[0].timeout, 6);
 }
 
 TEST(Progress, OnlyOpenAttemptsOfOpenRequestsAreExtended) {
-  Copy copy(basic_settings());
-  copy.at(0, members(4));
-  copy.request("r");
-  EXPECT_TRUE(copy.at(0, AnswerArriving{"r", 1, 0, 0, 10, 100}).empty());
-  EXPECT_TRUE(copy.at(0, AnswerArriving{"r", -1, 0, 0, 10, 100}).empty());
-  EXPECT_TRUE(copy.at(0, AnswerArriving{"other", 0, 0, 0, 10, 100}).empty());
-  copy.at(0, RequestGone{"r"});
-  EXPECT_TRUE(copy.at(0, AnswerArriving{"r", 0, 0, 0, 10, 100}).empty());
+  TestBalancer balancer(basic_settings());
+  balancer.at(0, members(4));
+  balancer.request("r");
+  EXPECT_TRUE(balancer.at(0, AnswerProgress{"r", 1, 0, 0, 10, 100}).empty());
+  EXPECT_TRUE(balancer.at(0, AnswerProgress{"r", -1, 0, 0, 10, 100}).empty());
+  EXPECT_TRUE(balancer.at(0, AnswerProgress{"other", 0, 0, 0, 10, 100}).empty());
+  balancer.at(0, RequestGone{"r"});
+  EXPECT_TRUE(balancer.at(0, AnswerProgress{"r", 0, 0, 0, 10, 100}).empty());
 }
 
 // Danger: whatever an answer's progress, an unsafe request is not sent twice, and none beyond its time.
 TEST(Progress, AnUnsafeRequestThatStopsArrivingIsNotSentAgain) {
-  Copy copy(basic_settings(class_of(Effect::kUnsafe)));
-  copy.at(0, members(4));
-  ASSERT_EQ(all<Send>(copy.request("r")).size(), 1U);
-  copy.at(1, AnswerArriving{"r", 0, 0, 0, 10, 1e6});
-  const auto after = copy.at(5.9, AttemptResult{"r", 0, Outcome::kTimedOut, 5.9, false});
+  TestBalancer balancer(basic_settings(class_of(Effect::kUnsafe)));
+  balancer.at(0, members(4));
+  ASSERT_EQ(all<Send>(balancer.request("r")).size(), 1U);
+  balancer.at(1, AnswerProgress{"r", 0, 0, 0, 10, 1e6});
+  const auto after = balancer.at(5.9, AttemptResult{"r", 0, Outcome::kTimedOut, 5.9, false});
   EXPECT_TRUE(all<Send>(after).empty());
   EXPECT_EQ(all<Fail>(after).size(), 1U);
 }
--- a/tests/random_test.cpp
+++ b/tests/random_test.cpp
@@ -6,14 +6,14 @@
 #include <optional>
 #include <set>
 
-#include "harness.h"
+#include "balancer_harness.h"
 
 namespace quinceusher {
 namespace {
 
-class Walk {
+class RandomRun {
  public:
-  Walk(std::uint64_t seed, Effect effect, DedupScope scope, bool ask)
+  RandomRun(std::uint64_t seed, Effect effect, DedupScope scope, bool must_watch)
       : state_(seed), effect_(effect), scope_(scope) {
     settings_ = basic_settings(class_of(effect, scope));
     settings_.classes[0].dedup_window = 0.8;
@@ -21,7 +21,7 @@
     settings_.copy_count = 1 + static_cast<int>(below(300));
     settings_.tier = static_cast<int>(below(2));
     settings_.tenants = {{40.0}, {0.0}, {}};
-    settings_.must_watch = ask;
+    settings_.must_watch = must_watch;
     settings_.ask_within = 10;
     settings_.start_capacity = 0.2;
     settings_.ramp_time = 8;
@@ -50,15 +50,15 @@
   int finals() const { return finals_; }
 
  private:
-  struct Sent {
+  struct SentAttempt {
     std::string server;
     double at = 0, timeout = 0;
     bool open = true, ran = true;
   };
-  struct Live {
+  struct OpenRequest {
     double until = 0;
     bool finished = false;
-    std::vector<Sent> sent;
+    std::vector<SentAttempt> sent;
   };
 
   std::uint64_t next() {
@@ -68,36 +68,36 @@
   std::size_t below(std::size_t n) { return static_cast<std::size_t>(next() % n); }
 
   void restart() {
-    copy_.emplace(settings_, next());
-    live_.clear();
-    told_.clear();
+    balancer_.emplace(settings_, next());
+    requests_.clear();
+    listed_.clear();
     apply(Started{});
     list();
   }
 
   void apply(const Event& event) {
-    for (const Action& action : copy_->at(now_, event)) {
+    for (const Action& action : balancer_->at(now_, event)) {
       if (const auto* send = std::get_if<Send>(&action)) sent(*send);
       if (const auto* refuse = std::get_if<Refuse>(&action)) answered(refuse->id, true);
       if (const auto* fail = std::get_if<Fail>(&action)) answered(fail->id, false);
       if (const auto* cancel = std::get_if<Cancel>(&action)) {
-        ASSERT_LT(static_cast<std::size_t>(cancel->attempt), live_.at(cancel->id).sent.size());
+        ASSERT_LT(static_cast<std::size_t>(cancel->attempt), requests_.at(cancel->id).sent.size());
       }
     }
   }
 
   void sent(const Send& send) {
     ++sends_;
-    ASSERT_TRUE(live_.contains(send.id));
-    Live& r = live_.at(send.id);
+    ASSERT_TRUE(requests_.contains(send.id));
+    OpenRequest& r = requests_.at(send.id);
     EXPECT_FALSE(r.finished) << "nothing is sent for what is finished";
-    ASSERT_TRUE(told_.contains(send.server));
-    const Server& to = told_.at(send.server);
+    ASSERT_TRUE(listed_.contains(send.server));
+    const Server& to = listed_.at(send.server);
     EXPECT_EQ(to.state, ServerState::kReady) << "drains are kept";
     EXPECT_GT(send.timeout, 0);
     EXPECT_LE(now_ + send.timeout, r.until + 1e-9);
     EXPECT_LT(r.sent.size(), static_cast<std::size_t>(settings_.max_attempts));
-    for (const Sent& s : r.sent) {
+    for (const SentAttempt& s : r.sent) {
       EXPECT_FALSE(s.open) << "two attempts at once";
       if (!s.ran || effect_ == Effect::kSafe) continue;
       EXPECT_NE(effect_, Effect::kUnsafe) << "an unsafe request that may have run was sent again";
@@ -116,12 +116,12 @@
 
   void answered(const std::string& id, bool refused) {
     ++finals_;
-    ASSERT_TRUE(live_.contains(id));
-    Live& r = live_.at(id);
+    ASSERT_TRUE(requests_.contains(id));
+    OpenRequest& r = requests_.at(id);
     EXPECT_FALSE(r.finished) << "a second final answer";
     r.finished = true;
     bool ran = false;
-    for (const Sent& s : r.sent) ran = ran || s.ran;
+    for (const SentAttempt& s : r.sent) ran = ran || s.ran;
     if (!refused || !ran || effect_ == Effect::kSafe) return;
     EXPECT_TRUE(effect_ == Effect::kKeyed && scope_ == DedupScope::kAll) << "refused though it may have run";
   }
@@ -132,38 +132,38 @@
     r.tenant = below(4);
     const double lefts[] = {6, 2, 0.05, 0, -1};
     r.time_left = lefts[below(20) == 0 ? below(5) : below(2)];
-    live_[r.id].until = now_ + r.time_left;
+    requests_[r.id].until = now_ + r.time_left;
     apply(r);
-    Live& after = live_.at(r.id);
+    OpenRequest& after = requests_.at(r.id);
     EXPECT_TRUE(after.finished || !after.sent.empty()) << "a request neither sent nor answered";
     if (!after.finished && below(30) == 0) {
-      EXPECT_TRUE(copy_->at(now_, r).empty()) << "an id that comes twice";
+      EXPECT_TRUE(balancer_->at(now_, r).empty()) << "an id that comes twice";
     }
   }
 
   // Ends a random open attempt, or one whose time is up.
   void end(const std::string& id, std::size_t at, Outcome outcome) {
-    Live& r = live_.at(id);
-    Sent& s = r.sent[at];
+    OpenRequest& r = requests_.at(id);
+    SentAttempt& s = r.sent[at];
     s.open = false;
     s.ran = outcome != Outcome::kRejected && outcome != Outcome::kDialFailed && outcome != Outcome::kNotSent;
     const bool done = r.finished || outcome == Outcome::kDelivered;
     r.finished = done;
     const AttemptResult result{id, static_cast<int>(at), outcome, now_ - s.at, done};
     apply(result);
-    const Live& after = live_.at(id);
+    const OpenRequest& after = requests_.at(id);
     bool open = false;
-    for (const Sent& each : after.sent) open = open || each.open;
+    for (const SentAttempt& each : after.sent) open = open || each.open;
     EXPECT_TRUE(after.finished || open) << "a request left without an answer or an attempt";
     if (below(20) == 0) {
-      EXPECT_TRUE(copy_->at(now_, result).empty()) << "an outcome that comes twice";
+      EXPECT_TRUE(balancer_->at(now_, result).empty()) << "an outcome that comes twice";
     }
   }
 
   void outcome() {
-    if (live_.empty()) return;
-    auto it = live_.begin();
-    std::advance(it, static_cast<std::ptrdiff_t>(below(live_.size())));
+    if (requests_.empty()) return;
+    auto it = requests_.begin();
+    std::advance(it, static_cast<std::ptrdiff_t>(below(requests_.size())));
     const auto [id, r] = *it;
     for (std::size_t i = 0; i < r.sent.size(); ++i) {
       if (!r.sent[i].open) continue;
@@ -171,32 +171,32 @@
       end(id, i, draw < 9 ? static_cast<Outcome>(draw) : Outcome::kDelivered);
       return;
     }
-    if (r.finished) live_.erase(it);
+    if (r.finished) requests_.erase(it);
   }
 
   // Attempts end at their time-out; none may be out, and none unanswered, after the client's time.
   void check_deadlines() {
     std::vector<std::pair<std::string, std::size_t>> due;
-    for (const auto& [id, r] : live_) {
+    for (const auto& [id, r] : requests_) {
       for (std::size_t i = 0; i < r.sent.size(); ++i) {
         if (r.sent[i].open && r.sent[i].at + r.sent[i].timeout <= now_) due.emplace_back(id, i);
       }
     }
     const double later = now_;
     for (const auto& [id, i] : due) {
-      const Sent& s = live_.at(id).sent[i];
-      now_ = std::max(copy_->now, s.at + s.timeout);
+      const SentAttempt& s = requests_.at(id).sent[i];
+      now_ = std::max(balancer_->now, s.at + s.timeout);
       end(id, i, Outcome::kTimedOut);
     }
     now_ = later;
-    for (const auto& [id, r] : live_)
+    for (const auto& [id, r] : requests_)
       EXPECT_TRUE(r.finished || r.until + 0.15 >= now_) << id << " is overdue";
   }
 
   void leave() {
     const std::string id = "r" + std::to_string(1 + below(ids_ + 1));
-    const auto it = live_.find(id);
-    if (it != live_.end()) it->second.finished = true;
+    const auto it = requests_.find(id);
+    if (it != requests_.end()) it->second.finished = true;
     apply(RequestGone{id});
   }
 
@@ -217,9 +217,9 @@
       update.servers.push_back(s);
     }
     if (update.form == MembershipUpdate::Form::kFull) {
-      for (auto& [address, s] : told_) s.state = ServerState::kGone;
+      for (auto& [address, s] : listed_) s.state = ServerState::kGone;
     }
-    for (const Server& s : update.servers) known_[s.address] = told_[s.address] = s;
+    for (const Server& s : update.servers) known_[s.address] = listed_[s.address] = s;
     apply(update);
   }
 
@@ -227,11 +227,11 @@
   Effect effect_;
   DedupScope scope_;
   Settings settings_;
-  std::optional<Copy> copy_;
+  std::optional<TestBalancer> balancer_;
   double now_ = 1000;
   std::size_t ids_ = 0;
-  std::map<std::string, Live> live_;
-  std::map<std::string, Server> told_, known_;
+  std::map<std::string, OpenRequest> requests_;
+  std::map<std::string, Server> listed_, known_;
   int sends_ = 0, finals_ = 0;
 };
 
@@ -245,10 +245,10 @@
     int sends = 0;
     int finals = 0;
     for (std::uint64_t seed = 1; seed <= 30; ++seed) {
-      Walk walk(seed, effect, scope, seed % 2 == 0);
-      for (int i = 0; i < 2000; ++i) walk.step();
-      sends += walk.sends();
-      finals += walk.finals();
+      RandomRun run(seed, effect, scope, seed % 2 == 0);
+      for (int i = 0; i < 2000; ++i) run.step();
+      sends += run.sends();
+      finals += run.finals();
       if (HasFailure())
         FAIL() << "seed " << seed << ", kind " << static_cast<int>(effect) << "/" << static_cast<int>(scope);
     }
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -4,7 +4,7 @@
 #include <map>
 #include <set>
 
-#include "harness.h"
+#include "balancer_harness.h"
 
 namespace quinceusher {
 namespace {
@@ -13,7 +13,7 @@
   return all<Refuse>(actions).size() + all<Fail>(actions).size();
 }
 
-bool proves_unrun(Outcome o) {
+bool proves_never_ran(Outcome o) {
   return o == Outcome::kRejected || o == Outcome::kDialFailed || o == Outcome::kNotSent;
 }
 
@@ -39,11 +39,11 @@
   for (const auto& [effect, scope] : kinds) {
     for (const Outcome first : kFailures) {
       for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-        Copy copy(basic_settings(class_of(effect, scope)), seed);
-        copy.at(0, two_cells());
+        TestBalancer balancer(basic_settings(class_of(effect, scope)), seed);
+        balancer.at(0, two_cells());
         std::optional<Server> may_have_run;
         std::string id = "r";
-        auto actions = copy.request(id);
+        auto actions = balancer.request(id);
         for (int attempt = 0; attempt < 10; ++attempt) {
           const auto sends = all<Send>(actions);
           if (sends.empty()) {
@@ -65,9 +65,9 @@
             }
           }
           const Outcome outcome = attempt == 0 ? first : Outcome::kDialFailed;
-          if (!may_have_run && !proves_unrun(outcome)) may_have_run = s;
-          copy.now += 0.05;
-          actions = copy.end(id, outcome, attempt);
+          if (!may_have_run && !proves_never_ran(outcome)) may_have_run = s;
+          balancer.now += 0.05;
+          actions = balancer.end(id, outcome, attempt);
           ASSERT_LT(attempt, 9);
         }
       }
@@ -78,11 +78,11 @@
 TEST(NoDoubleEffect, NothingIsRepeatedAfterTheServersForget) {
   RequestClass c = class_of(Effect::kKeyed, DedupScope::kAll);
   c.dedup_window = 0.5;
-  Copy copy(basic_settings(c));
-  copy.at(0, members(4));
-  ASSERT_EQ(all<Send>(copy.request("r")).size(), 1U);
-  copy.now = 0.6;
-  EXPECT_TRUE(all<Send>(copy.end("r", Outcome::kError)).empty());
+  TestBalancer balancer(basic_settings(c));
+  balancer.at(0, members(4));
+  ASSERT_EQ(all<Send>(balancer.request("r")).size(), 1U);
+  balancer.now = 0.6;
+  EXPECT_TRUE(all<Send>(balancer.end("r", Outcome::kError)).empty());
 }
 
 // Orders in which an outcome, the deadline and the client's leaving can meet: one final answer, none after.
@@ -91,54 +91,54 @@
     for (const bool gone_first : {false, true}) {
       Settings s = basic_settings(class_of(Effect::kUnsafe));
       s.max_attempts = 1;
-      Copy copy(s);
-      copy.at(0, members(3));
-      ASSERT_EQ(all<Send>(copy.request("r")).size(), 1U);
-      copy.now = 1;
+      TestBalancer balancer(s);
+      balancer.at(0, members(3));
+      ASSERT_EQ(all<Send>(balancer.request("r")).size(), 1U);
+      balancer.now = 1;
       std::vector<Action> after;
       if (gone_first) {
-        after = copy.at(1, RequestGone{"r"});
+        after = balancer.at(1, RequestGone{"r"});
         EXPECT_EQ(finals(after), 0U);
         EXPECT_EQ(all<Cancel>(after).size(), 1U);
-        after = copy.end("r", outcome);
+        after = balancer.end("r", outcome);
         EXPECT_EQ(finals(after), 0U);
       } else {
-        after = copy.end("r", outcome);
+        after = balancer.end("r", outcome);
         EXPECT_EQ(finals(after), 1U);
-        EXPECT_TRUE(copy.at(1, RequestGone{"r"}).empty());
+        EXPECT_TRUE(balancer.at(1, RequestGone{"r"}).empty());
       }
       EXPECT_TRUE(all<Send>(after).empty());
-      EXPECT_TRUE(copy.end("r", outcome).empty()) << "an outcome twice";
+      EXPECT_TRUE(balancer.end("r", outcome).empty()) << "an outcome twice";
     }
   }
 }
 
 TEST(NoneLost, AnOutcomeThatEndedTheRequestNeedsNoAnswer) {
-  Copy copy(basic_settings());
-  copy.at(0, members(3));
-  copy.request("r");
-  EXPECT_TRUE(copy.end("r", Outcome::kDelivered).empty());
-  EXPECT_TRUE(copy.at(0, RequestGone{"r"}).empty());
+  TestBalancer balancer(basic_settings());
+  balancer.at(0, members(3));
+  balancer.request("r");
+  EXPECT_TRUE(balancer.end("r", Outcome::kDelivered).empty());
+  EXPECT_TRUE(balancer.at(0, RequestGone{"r"}).empty());
 }
 
 TEST(NoneLost, ATimeOutNeverPassesTheClientsOwn) {
   RequestClass c = class_of(Effect::kUnsafe);
   c.late_worth = 0.5;
-  Copy copy(basic_settings(c));
-  copy.at(0, members(3));
+  TestBalancer balancer(basic_settings(c));
+  balancer.at(0, members(3));
   Request r;
   r.id = "r";
   r.time_left = 0.7;
-  const auto sends = all<Send>(copy.at(0, r));
+  const auto sends = all<Send>(balancer.at(0, r));
   ASSERT_EQ(sends.size(), 1U);
   EXPECT_LE(sends[0].timeout, 0.7);
   EXPECT_GT(sends[0].timeout, 0);
 }
 
 TEST(NoneLost, WithoutServersARequestIsRefused) {
-  Copy nothing_known(basic_settings());
+  TestBalancer nothing_known(basic_settings());
   EXPECT_EQ(all<Refuse>(nothing_known.request("a")).size(), 1U);
-  Copy draining(basic_settings());
+  TestBalancer draining(basic_settings());
   MembershipUpdate m = members(3);
   for (Server& s : m.servers) s.state = ServerState::kDraining;
   draining.at(0, m);
@@ -148,78 +148,78 @@
 TEST(NoneLost, NoMoreAttemptsThanAllowed) {
   Settings s = basic_settings();
   s.max_attempts = 3;
-  Copy copy(s);
-  copy.at(0, members(8));
-  auto actions = copy.request("r");
+  TestBalancer balancer(s);
+  balancer.at(0, members(8));
+  auto actions = balancer.request("r");
   int sends = 0;
-  while (!all<Send>(actions).empty()) actions = copy.end("r", Outcome::kRejected, sends++);
+  while (!all<Send>(actions).empty()) actions = balancer.end("r", Outcome::kRejected, sends++);
   EXPECT_LE(sends, 3);
   EXPECT_EQ(finals(actions), 1U);
 }
 
-std::set<std::string> servers_used(Copy& copy, int calls, const std::string& prefix) {
+std::set<std::string> servers_used(TestBalancer& balancer, int calls, const std::string& prefix) {
   std::set<std::string> used;
   for (int i = 0; i < calls; ++i) {
     const std::string id = prefix + std::to_string(i);
-    for (const Send& send : all<Send>(copy.request(id))) used.insert(send.server);
-    copy.end(id, Outcome::kDelivered);
+    for (const Send& send : all<Send>(balancer.request(id))) used.insert(send.server);
+    balancer.end(id, Outcome::kDelivered);
   }
   return used;
 }
 
 TEST(Drains, NothingNewOnceTold) {
   for (const ServerState state : {ServerState::kDraining, ServerState::kGone}) {
-    Copy copy(basic_settings());
-    copy.at(0, members(3));
-    EXPECT_EQ(servers_used(copy, 50, "a").size(), 3U);
+    TestBalancer balancer(basic_settings());
+    balancer.at(0, members(3));
+    EXPECT_EQ(servers_used(balancer, 50, "a").size(), 3U);
     MembershipUpdate change;
     change.form = MembershipUpdate::Form::kChanges;
     change.servers = {server(1)};
     change.servers[0].state = state;
-    copy.at(1, change);
-    EXPECT_EQ(servers_used(copy, 50, "b"), (std::set<std::string>{"s0", "s2"}));
+    balancer.at(1, change);
+    EXPECT_EQ(servers_used(balancer, 50, "b"), (std::set<std::string>{"s0", "s2"}));
     change.servers[0].state = ServerState::kReady;
-    copy.at(2, change);
-    EXPECT_EQ(servers_used(copy, 50, "c").size(), 3U);
+    balancer.at(2, change);
+    EXPECT_EQ(servers_used(balancer, 50, "c").size(), 3U);
   }
 }
 
 TEST(Drains, AServerMissingFromAFullListIsGone) {
-  Copy copy(basic_settings());
-  copy.at(0, members(3));
-  copy.at(1, members(2));
-  EXPECT_EQ(servers_used(copy, 50, "a"), (std::set<std::string>{"s0", "s1"}));
+  TestBalancer balancer(basic_settings());
+  balancer.at(0, members(3));
+  balancer.at(1, members(2));
+  EXPECT_EQ(servers_used(balancer, 50, "a"), (std::set<std::string>{"s0", "s1"}));
   MembershipUpdate failed;
   failed.form = MembershipUpdate::Form::kFailed;
-  copy.at(2, failed);
-  EXPECT_EQ(servers_used(copy, 50, "b"), (std::set<std::string>{"s0", "s1"}));
+  balancer.at(2, failed);
+  EXPECT_EQ(servers_used(balancer, 50, "b"), (std::set<std::string>{"s0", "s1"}));
 }
 
 TEST(Watch, IsAskedForAtTheStartAndAgainAfterFailures) {
   Settings s = basic_settings();
   s.must_watch = true;
   s.ask_within = 10;
-  Copy copy(s);
-  EXPECT_EQ(all<WatchMembers>(copy.at(0, Started{})).size(), 1U);
+  TestBalancer balancer(s);
+  EXPECT_EQ(all<WatchMembers>(balancer.at(0, Started{})).size(), 1U);
   MembershipUpdate failed;
   failed.form = MembershipUpdate::Form::kFailed;
   double now = 0;
   for (int i = 0; i < 12; ++i) {
-    const auto timers = all<SetTimer>(copy.at(now, failed));
+    const auto timers = all<SetTimer>(balancer.at(now, failed));
     ASSERT_EQ(timers.size(), 1U);
     EXPECT_GT(timers[0].at, now);
     EXPECT_LE(timers[0].at, now + 5) << "within the time after which it counts as told";
     now = timers[0].at;
-    EXPECT_EQ(all<WatchMembers>(copy.at(now, TimerFired{timers[0].token})).size(), 1U);
+    EXPECT_EQ(all<WatchMembers>(balancer.at(now, TimerFired{timers[0].token})).size(), 1U);
   }
 }
 
 TEST(Watch, IsNotAskedForWhereChangesArriveByThemselves) {
-  Copy copy(basic_settings());
-  EXPECT_TRUE(copy.at(0, Started{}).empty());
+  TestBalancer balancer(basic_settings());
+  EXPECT_TRUE(balancer.at(0, Started{}).empty());
   MembershipUpdate failed;
   failed.form = MembershipUpdate::Form::kFailed;
-  EXPECT_TRUE(copy.at(0, failed).empty());
+  EXPECT_TRUE(balancer.at(0, failed).empty());
 }
 
 // Several copies, one server that has just started: together they stay within what it can take.
@@ -234,8 +234,8 @@
   std::vector<double> sends;
   for (int c = 0; c < kCopies; ++c) {
     s.copy_index = c;
-    Copy copy(s, static_cast<std::uint64_t>(c) + 1);
-    copy.at(100, members(kServers));
+    TestBalancer balancer(s, static_cast<std::uint64_t>(c) + 1);
+    balancer.at(100, members(kServers));
     for (int i = 0; i < static_cast<int>(40 * kRate); ++i) {
       const double now = 100 + i / kRate;
       if (i == static_cast<int>(10 * kRate)) {
@@ -243,14 +243,14 @@
         restart.form = MembershipUpdate::Form::kChanges;
         restart.servers = {server(0)};
         restart.servers[0].started = 109;
-        copy.at(now, restart);
+        balancer.at(now, restart);
       }
-      copy.now = now;
+      balancer.now = now;
       const std::string id = std::to_string(i);
-      for (const Send& send : all<Send>(copy.request(id))) {
+      for (const Send& send : all<Send>(balancer.request(id))) {
         if (send.server == "s0" && now >= 110) sends.push_back(now);
       }
-      copy.end(id, Outcome::kDelivered);
+      balancer.end(id, Outcome::kDelivered);
     }
   }
   const double share = kCopies * kRate / kServers;
@@ -278,13 +278,13 @@
   int sent = 0;
   for (int c = 0; c < s.copy_count; ++c) {
     s.copy_index = c;
-    Copy copy(s, static_cast<std::uint64_t>(c) + 1);
+    TestBalancer balancer(s, static_cast<std::uint64_t>(c) + 1);
     MembershipUpdate m = members(31);
     for (Server& one : m.servers) one.started = 1000;
-    copy.at(1000, m);
+    balancer.at(1000, m);
     for (const double at : {1000.01, 1000.05}) {
-      copy.now = at;
-      sent += static_cast<int>(all<Send>(copy.request(std::to_string(at))).size());
+      balancer.now = at;
+      sent += static_cast<int>(all<Send>(balancer.request(std::to_string(at))).size());
     }
   }
   EXPECT_LT(sent, 20) << "of 58";
@@ -295,16 +295,16 @@
   s.start_capacity = 0.2;
   s.ramp_time = 10;
   s.tenants = {{100.0}};
-  Copy copy(s);
+  TestBalancer balancer(s);
   MembershipUpdate m = members(4);
   for (Server& one : m.servers) one.started = 99.5;
-  copy.at(100, m);
+  balancer.at(100, m);
   int sent = 0;
   for (int i = 0; i < 500; ++i) {
-    copy.now = 100 + i * 0.01;
+    balancer.now = 100 + i * 0.01;
     const std::string id = std::to_string(i);
-    sent += static_cast<int>(all<Send>(copy.request(id)).size());
-    copy.end(id, Outcome::kDelivered);
+    sent += static_cast<int>(all<Send>(balancer.request(id)).size());
+    balancer.end(id, Outcome::kDelivered);
   }
   EXPECT_GT(sent, 50);
   EXPECT_LT(sent, 400);
--- a/tests/system/quota_test.cpp
+++ b/tests/system/quota_test.cpp
@@ -20,12 +20,12 @@
   return *parsed;
 }
 
-struct Played {
+struct QuotaRun {
   std::size_t most_in_window = 0, taken = 0, asked = 0;
 };
 
 // Nodes that ask an owner for tokens, some of which lose touch with it; owners that are succeeded.
-Played play(std::uint64_t seed, double rate, double burst, double demand, std::size_t nodes, bool faults) {
+QuotaRun play(std::uint64_t seed, double rate, double burst, double demand, std::size_t nodes, bool faults) {
   std::mt19937_64 random(seed);
   const auto configuration = configuration_with(rate, burst);
   const Tenant& tenant = *configuration->tenant_named("t");
@@ -35,7 +35,7 @@
   std::deque<Millis> window;
   std::vector<std::pair<std::size_t, Millis>> waiting;  // node, and until when
   constexpr Millis kWaitMs = 120;
-  Played out;
+  QuotaRun out;
   const auto length = static_cast<Millis>(kBounds.window_s * 1000);
   const Millis swing_ms = faults ? 4000 : 40000;
   for (Millis now = 1000; now < 41000; now += 5) {
@@ -59,7 +59,7 @@
     // Uneven: the first nodes get more, and demand swings, so that buckets fill up before each flood.
     const double now_demand = demand * (now / swing_ms % 2 == 0 ? 1.9 : 0.1);
     const auto call = [&](std::size_t node, Millis until) {
-      switch (leases[node].take(now, tenant)) {
+      switch (leases[node].acquire(now, tenant)) {
         case QuotaLease::Result::kTaken:
           ++out.taken;
           window.push_back(now);
@@ -100,8 +100,8 @@
     const double burst = seed % 2 == 0 ? rate : rate / 4;
     const std::size_t nodes = seed % 4 == 0 ? 30 : 10;
     INFO("seed " << seed << " rate " << rate << " burst " << burst << " nodes " << nodes);
-    const Played played = play(seed, rate, burst, rate * 6, nodes, true);
-    CHECK(static_cast<double>(played.most_in_window) <= allowed(rate, burst));
+    const QuotaRun run = play(seed, rate, burst, rate * 6, nodes, true);
+    CHECK(static_cast<double>(run.most_in_window) <= allowed(rate, burst));
   }
 }
 
@@ -127,11 +127,11 @@
       // One request in five seconds, which waits a moment for a token; then as many as there are tokens.
       const bool asks = now >= flood || waits[i] > 0 || (now / 25 + static_cast<Millis>(i)) % 200 == 0;
       if (!asks) continue;
-      const auto result = leases[i].take(now, tenant);
+      const auto result = leases[i].acquire(now, tenant);
       waits[i] = result == QuotaLease::Result::kWait && waits[i] < 5 ? waits[i] + 1 : 0;
       if (now < flood || result != QuotaLease::Result::kTaken) continue;
       do ++taken;
-      while (leases[i].take(now, tenant) == QuotaLease::Result::kTaken);
+      while (leases[i].acquire(now, tenant) == QuotaLease::Result::kTaken);
     }
   }
   CHECK(taken <= allowed(rate, rate));
@@ -139,13 +139,13 @@
 }
 
 TEST_CASE("a tenant far over its limit gets nearly all of it") {
-  const Played played = play(5, 81, 81, 600, 10, false);
-  CHECK(static_cast<double>(played.taken) >= 0.97 * 81 * 40);
+  const QuotaRun run = play(5, 81, 81, 600, 10, false);
+  CHECK(static_cast<double>(run.taken) >= 0.97 * 81 * 40);
 }
 
 TEST_CASE("a tenant well below its limit is hardly ever refused") {
-  const Played played = play(6, 81, 81, 24, 10, false);
-  CHECK(static_cast<double>(played.taken) >= 0.97 * static_cast<double>(played.asked));
+  const QuotaRun run = play(6, 81, 81, 24, 10, false);
+  CHECK(static_cast<double>(run.taken) >= 0.97 * static_cast<double>(run.asked));
 }
 
 // A leader whose link is full hears the polls and answers them seconds later.
@@ -158,12 +158,12 @@
   grant.granted = 30;
   lease.on_grants(1000, 990, {grant}, 10);
   std::size_t taken = 0;
-  while (lease.take(1000, tenant) == QuotaLease::Result::kTaken) ++taken;
+  while (lease.acquire(1000, tenant) == QuotaLease::Result::kTaken) ++taken;
   CHECK(taken == 30);
   const Millis late = 1000 + quota_fallback_ms(10) + 600;
   lease.on_grants(late, 1010, {grant}, 10);
   taken = 0;
-  while (lease.take(late, tenant) == QuotaLease::Result::kTaken) ++taken;
+  while (lease.acquire(late, tenant) == QuotaLease::Result::kTaken) ++taken;
   CHECK(taken <= 3);  // of the fixed part
 }
 
@@ -171,6 +171,6 @@
   QuotaLease lease;
   Tenant tenant;
   tenant.name = "free";
-  for (int i = 0; i < 1000; ++i) REQUIRE(lease.take(5, tenant) == QuotaLease::Result::kTaken);
+  for (int i = 0; i < 1000; ++i) REQUIRE(lease.acquire(5, tenant) == QuotaLease::Result::kTaken);
   CHECK(lease.requests(10).empty());
 }
