--- a/src/consensus/messages.h
+++ b/src/consensus/messages.h
@@ -1,4 +1,4 @@
-// What replicas of one group say to each other, and what they keep on disk.
+// Messages between the replicas of a consensus group, and the state that they persist.
 #pragma once
 
 #include <boost/hana.hpp>
@@ -10,33 +10,36 @@
 
 namespace nettlestand::tier::consensus {
 
-// A replica's identity is its disk's: a machine that comes back with an empty disk is another replica, which
-// has promised nothing and belongs to no group until the others take it in.
+// Identifies a replica by its disk. A machine that returns with an empty disk gets a new id: it has cast no
+// votes and belongs to no group until the members add it.
 using ReplicaId = std::uint64_t;
 using Term = std::uint64_t;
 using LogIndex = std::uint64_t;
 
+// A replica of a group, and where it runs.
 struct Member {
   BOOST_HANA_DEFINE_STRUCT(Member, (ReplicaId, id), (std::string, address), (std::string, node));
 };
 
 enum class EntryKind : std::uint8_t { kNoop, kCommand, kMembers };
 
+// An entry of the replicated log.
 struct LogEntry {
   BOOST_HANA_DEFINE_STRUCT(LogEntry, (Term, term), (LogIndex, index), (EntryKind, kind), (std::string, data));
 };
 
-// What must be durable before a vote is given or a term is used.
+// Raft state that must be durable before a vote is sent or a new term is used.
 struct HardState {
   BOOST_HANA_DEFINE_STRUCT(HardState, (Term, term), (ReplicaId, vote));
 };
 
-// Who votes in a group. While members are being replaced (joint consensus, section 4.3 of the dissertation)
-// `outgoing` holds the members before the change, and decisions need a majority of both lists.
+// The voters of a group. During a membership change (joint consensus, section 4.3 of the Raft dissertation)
+// `outgoing` holds the previous members, and decisions need a majority of both lists.
 struct MemberList {
   BOOST_HANA_DEFINE_STRUCT(MemberList, (std::vector<Member>, members), (std::vector<Member>, outgoing));
 };
 
+// The state machine and membership after the entry at `index`; replaces the log up to there.
 struct Snapshot {
   BOOST_HANA_DEFINE_STRUCT(Snapshot, (LogIndex, index), (Term, term), (MemberList, members),
                            (std::string, state));
@@ -50,19 +53,19 @@
   kAppend,
   kAppendReply,
   kInstallSnapshot,
-  kTimeoutNow  // the leader has stepped down so that the receiver may take over
+  kTimeoutNow  // leadership transfer: the leader has stepped down, the receiver should campaign now
 };
 
-// One message between replicas; which members count depends on its kind.
+// A message between replicas. Which fields are used depends on `kind`.
 struct Message {
-  BOOST_HANA_DEFINE_STRUCT(Message, (MessageKind, kind), (ReplicaId, from), (ReplicaId, to), (Term, term),
-                           (LogIndex,
-                            index),  // vote: last index; append: previous index; reply: match or hint
-                           (Term, log_term),    // vote: last term; append: previous term
-                           (LogIndex, commit),  // append: the leader's commit index
-                           (bool, accepted),    // replies; vote: the leader itself has asked for the election
-                           (Millis, sent_at),   // append: the leader's clock; echoed by the reply
-                           (std::vector<LogEntry>, entries), (std::vector<Snapshot>, snapshot));
+  BOOST_HANA_DEFINE_STRUCT(
+      Message, (MessageKind, kind), (ReplicaId, from), (ReplicaId, to), (Term, term),
+      // Vote: last index; append: previous index; append reply: match, or hint if rejected.
+      (LogIndex, index), (Term, log_term),  // vote: term of the last entry; append: of the previous entry
+      (LogIndex, commit),                   // append: the leader's commit index
+      (bool, accepted),                     // replies: the outcome; vote: a leadership transfer
+      (Millis, sent_at),                    // append: the leader's clock; echoed in the reply
+      (std::vector<LogEntry>, entries), (std::vector<Snapshot>, snapshot));
 };
 
 }  // namespace nettlestand::tier::consensus
--- a/src/consensus/quorum.h
+++ b/src/consensus/quorum.h
@@ -1,4 +1,4 @@
-// Majorities of a group's members, also while members are being replaced.
+// Quorum computations over a group's members, including joint consensus.
 #pragma once
 
 #include <algorithm>
@@ -14,14 +14,15 @@
   return std::any_of(members.begin(), members.end(), [id](const Member& m) { return m.id == id; });
 }
 
+// Whether a membership change is in progress.
 inline bool is_joint(const MemberList& list) { return !list.outgoing.empty(); }
 
-// Whether a replica votes, in either list.
+// Whether the replica is a voter in either list.
 inline bool is_voter(const MemberList& list, ReplicaId id) {
   return contains(list.members, id) || contains(list.outgoing, id);
 }
 
-// All that vote, each once.
+// The voters of both lists, without duplicates.
 inline std::vector<Member> voters(const MemberList& list) {
   std::vector<Member> out = list.members;
   for (const Member& member : list.outgoing) {
@@ -30,7 +31,7 @@
   return out;
 }
 
-// Whether those for whom `holds` is true are a majority of the members, and of the outgoing ones too.
+// Whether `holds` is true for a majority of the members and, in joint consensus, of the outgoing members too.
 template <class Predicate>
 bool has_quorum(const MemberList& list, Predicate holds) {
   const auto majority = [&holds](const std::vector<Member>& members) {
@@ -41,7 +42,7 @@
   return majority(list.members) && (list.outgoing.empty() || majority(list.outgoing));
 }
 
-// The highest index that a quorum has reached. `reached` gives each voter's.
+// The highest log index that a quorum has reached. `reached` returns the index of one voter.
 template <class Reached>
 LogIndex quorum_index(const MemberList& list, Reached reached) {
   const auto majority_index = [&reached](const std::vector<Member>& members) {
--- a/src/consensus/replica.cpp
+++ b/src/consensus/replica.cpp
@@ -7,8 +7,9 @@
 namespace nettlestand::tier::consensus {
 namespace {
 
-constexpr std::size_t kMaxAppendBytes = 512U << 10;  // of entries in one message, beyond the first
-constexpr Millis kSnapshotRetryMs = 1500;            // a snapshot that nobody has acknowledged is sent again
+// Limit of the entry data in one message; the first entry may exceed it.
+constexpr std::size_t kMaxAppendBytes = 512U << 10;
+constexpr Millis kSnapshotRetryMs = 1500;  // an unacknowledged snapshot is sent again after this time
 
 }  // namespace
 
@@ -16,7 +17,7 @@
     : id_(id), timing_(timing), random_(seed), hard_state_(stored.hard), log_(std::move(stored)) {
   commit_index_ = applied_index_ = log_.snapshot().index;
   durable_index_ = taken_index_ = log_.last_index();
-  // Before it was restarted it may have heard a leader, whose lease counts on its silence.
+  // Before a restart this replica may have acknowledged a leader whose lease relies on it granting no vote.
   leader_heard_at_ = now;
   reset_election_timeout(now);
 }
@@ -29,8 +30,8 @@
   log_.install(first);
   hard_state_.term = std::max<Term>(hard_state_.term, 1);
   hard_state_changed_ = true;
-  commit_index_ = applied_index_ = durable_index_ =
-      1;  // written with the first ready, before anything is sent
+  // The first Ready makes it durable before anything is sent.
+  commit_index_ = applied_index_ = durable_index_ = 1;
   pending_snapshot_ = std::move(first);
   election_deadline_ = leader_heard_at_ = 0;
 }
@@ -165,8 +166,8 @@
     const bool has_quorum_contact = has_quorum(log_.members(), [&](ReplicaId id) {
       return id == id_ || progress_[id].last_reply_at + timing_.max_election_timeout > now;
     });
-    if (!has_quorum_contact)
-      return become_follower(now, hard_state_.term, 0);  // others may have elected another
+    // Check-quorum: the others may have elected another leader.
+    if (!has_quorum_contact) return become_follower(now, hard_state_.term, 0);
     if (now >= next_heartbeat_at_) broadcast(now, true);
     return;
   }
@@ -200,7 +201,7 @@
   return true;
 }
 
-// Once old and new members have agreed on the change, the new ones go on alone.
+// Ends joint consensus once the old and new members have committed the change.
 void Replica::leave_joint(Millis now) {
   const bool agreed =
       role_ == Role::kLeader && commit_index_ >= term_start_index_ && log_.members_index() <= commit_index_;
@@ -266,7 +267,7 @@
   m.term = hard_state_.term;
   m.sent_at = now;
   if (p.snapshot_index != 0 && now < p.snapshot_sent_at + kSnapshotRetryMs) {
-    m.kind = MessageKind::kAppend;  // a heartbeat alone: the snapshot is on its way
+    m.kind = MessageKind::kAppend;  // only a heartbeat while the snapshot is in transit
     m.index = log_.snapshot().index;
     m.log_term = log_.snapshot().term;
     return send(std::move(m), to);
@@ -279,7 +280,7 @@
 }
 
 void Replica::step(Millis now, const Message& m) {
-  if (m.to != id_) return;  // for the replica that was here before its disk was lost
+  if (m.to != id_) return;  // for this machine's previous replica, whose disk was lost
   switch (m.kind) {
     case MessageKind::kPreVote:
     case MessageKind::kVote:
@@ -307,11 +308,11 @@
 
 void Replica::on_vote_request(Millis now, const Message& m) {
   const bool pre_vote = m.kind == MessageKind::kPreVote;
-  // Whoever hears a leader lets nobody disturb it; leases rest on this.
+  // A replica that hears from a leader grants no vote against it. Leader leases rely on this.
   const bool hears_leader = now < leader_heard_at_ + timing_.min_election_timeout;
   Message reply{};
   reply.kind = pre_vote ? MessageKind::kPreVoteReply : MessageKind::kVoteReply;
-  const bool is_transfer = !pre_vote && m.accepted;  // which has given up its lease
+  const bool is_transfer = !pre_vote && m.accepted;  // the old leader has given up its lease
   if (role_ == Role::kLeader || (hears_leader && !is_transfer) || m.term < hard_state_.term) {
     reply.term = hard_state_.term;
     return send(std::move(reply), m.from);
@@ -320,8 +321,8 @@
   const bool can_vote =
       pre_vote ? m.term > hard_state_.term : (hard_state_.vote == 0 || hard_state_.vote == m.from);
   reply.accepted = can_vote && is_log_up_to_date(m);
-  // A refusal tells the own term only: told the term that was asked for, a candidate whose log is behind
-  // would raise its term with every try, and keep the one whose log is current from ever being elected.
+  // A rejection carries this replica's own term. If it echoed the requested term, a candidate with an
+  // outdated log would raise its term with every attempt and keep an up-to-date replica from being elected.
   reply.term = pre_vote && reply.accepted ? m.term : hard_state_.term;
   if (reply.accepted && !pre_vote) {
     hard_state_.vote = m.from;
@@ -373,7 +374,8 @@
   send(std::move(reply), m.from);
 }
 
-// Where the logs may still agree: the end of the own log, or before the term that differs.
+// The index up to which the logs may still match: the end of the own log, or just before the conflicting
+// term.
 LogIndex Replica::conflict_hint(const Message& m) const {
   LogIndex hint = std::min(log_.last_index(), m.index > 0 ? m.index - 1 : 0);
   const Term differing = log_.term_at(hint);
@@ -424,14 +426,14 @@
   }
 }
 
-// True where more is committed than before.
+// Returns whether the commit index has advanced.
 bool Replica::advance_commit() {
   if (role_ != Role::kLeader) return false;
   const LogIndex agreed = quorum_index(log_.members(), [this](ReplicaId id) {
     const Progress* p = progress(id);
     return id == id_ ? durable_index_ : p != nullptr ? p->match : 0;
   });
-  // Section 5.4.2 of the Raft paper: entries of earlier terms are committed by one of the own term alone.
+  // Section 5.4.2 of the Raft paper: entries of earlier terms are committed only through one of the own term.
   if (agreed <= commit_index_ || log_.term_at(agreed) != hard_state_.term) return false;
   commit_index_ = agreed;
   return true;
@@ -463,7 +465,7 @@
 
 void Replica::persisted(Millis now) {
   durable_index_ = std::min(taken_index_, log_.last_index());
-  // Followers learn of the commit with the next message; told at once, the whole group acts without delay.
+  // Followers learn the commit index with the next message; broadcasting now saves them that delay.
   if (advance_commit()) broadcast(now, true);
   leave_joint(now);
   const bool removed = role_ == Role::kLeader && !is_member() && log_.members_index() <= commit_index_;
--- a/src/control/bootstrap.cpp
+++ b/src/control/bootstrap.cpp
@@ -5,8 +5,8 @@
 namespace nettlestand::tier {
 namespace {
 
-constexpr Millis kDiscoveryDelayMs = 900;     // for the core machines to find each other
-constexpr Millis kFullGroupTimeoutMs = 6000;  // after which fewer members than wanted will do
+constexpr Millis kDiscoveryDelayMs = 900;     // for the core machines to discover each other
+constexpr Millis kFullGroupTimeoutMs = 6000;  // after which a smaller group is accepted
 constexpr Millis kRequestIntervalMs = 400;
 
 }  // namespace
@@ -22,7 +22,7 @@
   return request;
 }
 
-// The machine with the lowest address proposes; the others leave it to that one.
+// Only the machine with the lowest address proposes.
 bool BootstrapProposer::choose_members(Millis now, const NodeInfo& self, std::vector<NodeInfo> core) {
   std::erase_if(core, [](const NodeInfo& node) { return node.disk_id == 0; });
   std::sort(core.begin(), core.end(),
--- a/src/control/bootstrap.h
+++ b/src/control/bootstrap.h
@@ -1,6 +1,6 @@
-// Forming the replica groups, once in the system's life, on empty disks: one core machine proposes the first
-// members, and the seeds vote. Each seed gives its vote to one proposer, so two groups can't both be formed.
-// No I/O.
+// Bootstrap of the consensus groups, which happens once in a system's life, on empty disks. One core machine
+// proposes the first members and the seeds vote. Each seed votes for one proposer only, so that no two sets
+// of groups can be created. No I/O.
 #pragma once
 
 #include <optional>
@@ -12,21 +12,21 @@
 
 namespace nettlestand::tier {
 
-// The core machine that proposes.
+// The proposing core machine.
 class BootstrapProposer {
  public:
   struct Settings {
-    std::vector<std::string> seed_addresses;  // where the seeds' nodes listen
-    std::size_t group_size = 3;               // wanted
+    std::vector<std::string> seed_addresses;  // internal addresses of the seed nodes
+    std::size_t group_size = 3;               // desired number of members
     Millis started_at = 0;
   };
   explicit BootstrapProposer(Settings settings) : settings_(std::move(settings)) {}
 
-  // What the seeds are to be asked now; nothing while it is too early or another machine proposes. `core`:
-  // the core machines that are known, this one too.
+  // Returns the request to send to the seeds now; nothing while it is too early or if another machine is the
+  // proposer. `core`: the known core machines, including this one.
   std::optional<BootstrapRequest> next_request(Millis now, const NodeInfo& self, std::vector<NodeInfo> core);
-  // Counts voters, not votes: a seed that answers several requests has one vote. True once a majority of the
-  // seeds has voted for this proposer.
+  // Handles a vote. Each seed counts once, however many requests it answers. Returns true once a majority of
+  // the seeds has voted for this proposer.
   bool on_vote(const std::string& voter, const NodeInfo& self, const BootstrapVote& vote);
 
   const std::vector<std::string>& seeds() const { return settings_.seed_addresses; }
@@ -37,14 +37,14 @@
 
   Settings settings_;
   Millis next_request_at_ = 0;
-  std::vector<consensus::Member> members_;  // chosen once
+  std::vector<consensus::Member> members_;  // chosen once, then fixed
   std::set<std::string> voters_;
 };
 
-// A seed: votes for the first proposer that asks, and for no other in its life.
+// A voting seed. Votes for the first proposer that asks, and never for another one.
 class BootstrapVoter {
  public:
-  // `may_vote`: the process runs for the first time. One that was restarted may have voted before.
+  // `may_vote`: whether this is the first start of the process. After a restart it may have voted before.
   explicit BootstrapVoter(bool may_vote) : may_vote_(may_vote) {}
   std::optional<BootstrapVote> on_request(const BootstrapRequest& request);
 
--- a/src/control/change_feed.h
+++ b/src/control/change_feed.h
@@ -1,5 +1,5 @@
-// The change feed of the configuration at a leader: what a node that has a certain sequence is still to be
-// told. No I/O.
+// The most recent changes of the configuration, from which a node with an older version can be updated
+// without sending the full text. No I/O.
 #pragma once
 
 #include <deque>
@@ -10,18 +10,18 @@
 
 namespace nettlestand::tier {
 
-// The newest orders, without a gap between them, and no more of them than fit.
+// A bounded, gapless list of the most recent changes.
 class ChangeFeed {
  public:
   static constexpr std::size_t kMaxChanges = 64;
   static constexpr std::size_t kMaxBytes = 128U << 10;
 
-  // An order that doesn't follow on the newest one begins the feed anew.
+  // Adds a change. If it does not directly follow the newest one, the feed is cleared first.
   void append(SequencedChange change);
-  // The state was replaced as a whole: the orders in between are not known here.
+  // Clears the feed after the state was replaced by a snapshot, as the changes in between are unknown.
   void reset();
-  // All orders behind `after` up to `current`; nothing where one of them is not kept, so that the node needs
-  // a snapshot.
+  // Returns the changes after sequence `after` up to `current`, or nothing if some are no longer stored and
+  // the full text is needed.
   std::optional<std::vector<SequencedChange>> changes_between(std::uint64_t after,
                                                               std::uint64_t current) const;
 
--- a/src/control/config_text.cpp
+++ b/src/control/config_text.cpp
@@ -7,12 +7,13 @@
 namespace nettlestand::tier {
 namespace {
 
-constexpr Millis kMaxRequestHoldMs = 600;  // a holder keeps a request for a version that is on its way to it
-constexpr Millis kReplyTimeoutMs = 400;    // without any answer the next holder is asked
-constexpr Millis kPendingReplyTimeoutMs =
-    700;  // the same, once a holder has told that it waits for the version
-constexpr Millis kAllSourcesFailedBackoffMs = 100;  // pause once all holders were asked in vain
-constexpr Millis kOldVersionTtlMs = 1500;  // an older version stays for so long after it was last asked for
+// How long a provider holds a request for a version that it is itself waiting for.
+constexpr Millis kMaxRequestHoldMs = 600;
+constexpr Millis kReplyTimeoutMs = 400;  // after which the next source is asked
+// The same, once a source has replied that it is waiting for the version itself.
+constexpr Millis kPendingReplyTimeoutMs = 700;
+constexpr Millis kAllSourcesFailedBackoffMs = 100;
+constexpr Millis kOldVersionTtlMs = 1500;  // how long an older version is kept after its last request
 constexpr std::size_t kMaxVersions = 4;
 constexpr std::size_t kMaxPendingRequests = 1024;
 constexpr double kBurstSeconds = 0.05;
@@ -31,7 +32,7 @@
 
 }  // namespace
 
-// ---------------------------------------------------------------- handing out
+// ---------------------------------------------------------------- provider
 
 ConfigTextProvider::ConfigTextProvider(double bytes_per_s)
     : bytes_per_s_(bytes_per_s), send_budget_(kMinBurstBytes) {}
@@ -124,7 +125,7 @@
   return out;
 }
 
-// ---------------------------------------------------------------- fetching
+// ---------------------------------------------------------------- fetcher
 
 void ConfigTextFetcher::start_fetch(const ConfigVersion& id) {
   target_ = id;
@@ -148,7 +149,8 @@
   if (newest_) start_fetch(*newest_);
 }
 
-// A holder that has moved on, or the last one of the list: the newest version is asked for from the start.
+// Moves on to the next source, and switches to the newest known version, which is fetched from the start.
+// After the last source it backs off and starts again with the first.
 void ConfigTextFetcher::try_next_source(Millis now) {
   request_pending_ = false;
   ++source_index_;
--- a/src/control/config_text.h
+++ b/src/control/config_text.h
@@ -1,8 +1,8 @@
-// The bytes of the configuration on their way to the nodes, apart from word of which version is in force.
+// Distribution of the configuration's text to the nodes.
 //
-// The leader names a version by its sequence and digest; the bytes are the same wherever they come from, so
-// any node that holds them may hand them out. A node asks one holder at a time, the nearest first, piece by
-// piece, and checks the whole against the digest that the leader named. No I/O.
+// The leader announces only the sequence and digest of the current version. The text is the same wherever it
+// comes from, so any node that has it may serve it. A node requests it in chunks from one source at a time,
+// the nearest first, and verifies the complete text against the announced digest. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -22,7 +22,8 @@
 
 using ConfigText = std::shared_ptr<const std::string>;
 
-// Hands out versions that this node holds, at a bounded rate, and keeps requests for one that is on its way.
+// Serves the versions that this node has, at a limited rate. Holds requests for a version that this node has
+// not received yet.
 class ConfigTextProvider {
  public:
   struct OutgoingReply {
@@ -33,12 +34,13 @@
 
   explicit ConfigTextProvider(double bytes_per_s);
 
-  // A version that this node holds now; nothing where it is not newer than those before, of which some stay
-  // while they are asked for. `orders`: that led to it from the one before; empty where these are not known.
+  // Adds a version that this node now has; ignored unless it is newer than all earlier ones. Some earlier
+  // versions are kept while they are requested. `changes` lead to it from the previous version; empty if they
+  // are not known.
   void add_version(const ConfigVersion& id, ConfigText text, const std::vector<SequencedChange>& changes);
 
   void on_request(Millis now, const std::string& from, const ConfigTextRequest& request);
-  // What may be sent now; to be asked again with time.
+  // Returns the replies that the rate limit allows to be sent now. To be called periodically.
   std::vector<OutgoingReply> take_due_replies(Millis now);
 
  private:
@@ -58,22 +60,22 @@
   void drop_old_versions(Millis now);
 
   double bytes_per_s_;
-  double send_budget_;  // bytes that may be sent at once
+  double send_budget_;  // bytes that may be sent now (token bucket)
   Millis refilled_at_ = 0;
-  std::deque<StoredVersion> versions_;  // the newest last
+  std::deque<StoredVersion> versions_;  // newest last
   std::deque<PendingRequest> pending_requests_;
   ChangeFeed change_feed_;
 };
 
-// Brings this node to the version that the leader has named.
+// Fetches the version that the leader has announced.
 class ConfigTextFetcher {
  public:
-  // Nodes to ask, the nearest first.
+  // Returns the addresses of nodes to fetch from, nearest first.
   using Sources = std::function<std::vector<std::string>()>;
   struct Fetched {
     ConfigVersion id{};
     ConfigText text;
-    std::vector<SequencedChange> changes;  // that led to it from the version held; empty where it came whole
+    std::vector<SequencedChange> changes;  // from the version held before; empty if the full text was sent
   };
   struct Request {
     std::string to;
@@ -82,14 +84,15 @@
 
   explicit ConfigTextFetcher(Sources sources) : sources_(std::move(sources)) {}
 
-  // The leader has named a version that is newer than the one held.
+  // Starts to fetch a version that the leader has announced and that is newer than the one held.
   void fetch(const ConfigVersion& id);
-  // What has to be sent now, if anything. `held`: the version that this node has, and its text.
+  // Returns the request to send now, if any. `held_sequence`: the version that this node has.
   std::optional<Request> next_request(Millis now, std::uint64_t held_sequence);
-  // The whole version once its last piece is there and its digest is right.
+  // Returns the version once it is complete and its digest is correct. `held`: the text of the version that
+  // this node has.
   std::optional<Fetched> on_reply(Millis now, const std::string& from, const ConfigTextReply& reply,
                                   std::uint64_t held_sequence, const ConfigText& held);
-  // The version is held, wherever it came from.
+  // Reports that this node has a version, from whatever source.
   void on_version_held(std::uint64_t sequence);
   bool is_idle() const { return !target_; }
 
@@ -99,12 +102,12 @@
   std::optional<Fetched> verify(Millis now, Fetched fetched);
 
   Sources sources_;
-  std::optional<ConfigVersion> newest_;  // that was named
-  std::optional<ConfigVersion> target_;  // that is being fetched
-  std::string bytes_;                    // of the target so far
-  bool full_text_only_ = false;          // the orders did not lead to the target
+  std::optional<ConfigVersion> newest_;  // newest announced version
+  std::optional<ConfigVersion> target_;  // version being fetched
+  std::string bytes_;                    // received part of the target
+  bool full_text_only_ = false;          // the changes did not result in the target
   bool request_pending_ = false;
-  std::size_t source_index_ = 0;  // that is asked, by its place in the list
+  std::size_t source_index_ = 0;  // index of the current source
   Millis reply_deadline_ = 0, retry_at_ = 0;
 };
 
--- a/src/control/configuration.cpp
+++ b/src/control/configuration.cpp
@@ -65,7 +65,7 @@
 
 }  // namespace
 
-// Reads the JSON of a configuration into its structs.
+// Parses the JSON of a configuration.
 class ConfigurationParser {
  public:
   explicit ConfigurationParser(Configuration& out) : out_(out) {}
@@ -88,7 +88,7 @@
             for_each_object(document, "tenants", [this](const Json& j) { return parse_tenant(j); });
         !s.ok())
       return s;
-    if (const Json* limits = member(document, "limits")) return parse_limits(*limits);
+    if (const Json* limits = member(document, "limits")) return this->parse_limits(*limits);
     return absl::OkStatus();
   }
 
@@ -215,7 +215,7 @@
 
 absl::StatusOr<std::shared_ptr<const Configuration>> Configuration::parse(std::string_view json) {
   rapidjson::Document document;
-  // Iterative: the depth of what is sent is not the depth of this stack.
+  // Iterative parsing, so that deeply nested input cannot overflow the stack.
   document.Parse<rapidjson::kParseIterativeFlag>(json.data(), json.size());
   if (document.HasParseError()) return invalid_argument("configuration", "no whole JSON");
   auto out = std::make_shared<Configuration>();
--- a/src/control/configuration.h
+++ b/src/control/configuration.h
@@ -1,4 +1,4 @@
-// The operator's configuration: routes, services, tenants and limits, parsed and checked.
+// The operator's configuration: routes, services, tenants and limits, parsed and validated.
 #pragma once
 
 #include <absl/status/statusor.h>
@@ -12,13 +12,16 @@
 
 namespace nettlestand::tier {
 
+// How the requests of a route may be retried and scheduled.
 enum class RouteClass : std::uint8_t { kIdempotent, kNonIdempotent, kStreaming, kBatch };
 
+// A service and its share of a route's traffic.
 struct ServiceWeight {
   std::string service;
   double weight = 1;
 };
 
+// A host and path prefix, the services behind it, and how requests to it are treated.
 struct Route {
   std::string name, host, prefix;
   RouteClass route_class = RouteClass::kNonIdempotent;
@@ -27,19 +30,20 @@
   std::vector<ServiceWeight> split;
   int max_attempts = 1;
   bool is_public = false, resumable = false;
-  // Of batch routes.
+  // For batch routes.
   double completion_target_ms = 0, max_wait_s = 0;
   std::int64_t max_queued_tokens = 0;  // 0: no limit
 
-  // Whether a request may run more than once.
+  // Whether a request may be executed more than once.
   bool repeatable() const {
     return route_class == RouteClass::kIdempotent || (route_class == RouteClass::kStreaming && resumable) ||
            route_class == RouteClass::kBatch;
   }
-  // A service by the weights; `draw` is uniform in [0, 1).
+  // Picks a service by weight; `draw` is uniform in [0, 1).
   const std::string& pick_service(double draw) const;
 };
 
+// A group of interchangeable servers.
 struct Service {
   std::string name, health_path;
   int max_connections = 0;
@@ -47,6 +51,7 @@
   int slots = 0;
 };
 
+// A customer, known by its API keys.
 struct Tenant {
   std::string name;
   std::vector<std::string> keys;
@@ -54,21 +59,22 @@
   double rate_per_s = 0, burst = 0;  // rate 0: no limit
 };
 
+// Limits on client connections and requests.
 struct ClientLimits {
   std::uint64_t max_header_bytes = 16384, max_body_bytes = 4194304;
   std::int64_t header_timeout_ms = 3000, idle_timeout_ms = 15000;
 };
 
-// An immutable version of the configuration with the look-ups that requests need.
+// An immutable version of the configuration, with the lookups that request handling needs.
 class Configuration {
  public:
-  // What makes a configuration invalid is an InvalidArgumentError that says where.
+  // An invalid configuration gives an InvalidArgumentError that names the place and the reason.
   static absl::StatusOr<std::shared_ptr<const Configuration>> parse(std::string_view json);
 
-  // The route with the longest prefix of the path among those of the host; null where there is none.
+  // The route of the host with the longest matching path prefix; null if none matches.
   const Route* find_route(std::string_view host, std::string_view path) const;
   const Route* route_named(std::string_view name) const;
-  // Null for a key that nobody holds.
+  // Null for an unknown key.
   const Tenant* tenant_by_key(std::string_view key) const;
   const Tenant* tenant_named(std::string_view name) const;
   const Service* service_named(std::string_view name) const;
--- a/src/control/control_client.cpp
+++ b/src/control/control_client.cpp
@@ -9,11 +9,11 @@
 
 constexpr Millis kStorePollIntervalMs = 200;
 constexpr Millis kServerListPollIntervalMs = 600;
-constexpr Millis kLeaderSearchIntervalMs = 120;  // between polls while the leader is not known
-constexpr Millis kLeaderTimeoutMs = 700;  // a leader that does not answer for so long is looked for anew
+constexpr Millis kLeaderSearchIntervalMs = 120;  // between polls while the leader is unknown
+constexpr Millis kLeaderTimeoutMs = 700;         // after which a silent leader is searched for again
 constexpr Millis kMinUrgentPollIntervalMs = 25;
-constexpr Millis kReplicaApplyTimeoutMs =
-    150;  // for the own replica to apply a version, before others are asked
+// How long to wait for the local replica to apply a version before requesting it from other nodes.
+constexpr Millis kReplicaApplyTimeoutMs = 150;
 constexpr std::size_t kMaxZoneSources = 2;
 constexpr std::size_t kMaxPendingRenewals = 16;
 
@@ -74,7 +74,7 @@
   LeaderContact& leader = leaders_[group];
   const std::string to = leader.address.empty() ? next_core_address() : leader.address;
   leader.next_poll_at = now + (leader.confirmed ? poll_interval(group) : kLeaderSearchIntervalMs);
-  if (!leader.confirmed) leader.address.clear();  // a hint is followed once
+  if (!leader.confirmed) leader.address.clear();  // a hint is used only once
   if (to.empty()) return;
   leader.last_poll_at = now;
   Poll poll{};
@@ -113,8 +113,8 @@
   if (reply.sent_at > 0) apply_reply(now, reply);
 }
 
-// An answer makes fresh what this node holds, and only where it holds what the leader has, now or once that
-// has come.
+// A reply renews the lease only if this node has the version that the leader named in it, now or once that
+// version has arrived.
 void ControlClient::apply_reply(Millis now, const PollReply& reply) {
   if (pending_renewals_.size() >= kMaxPendingRenewals) pending_renewals_.pop_front();
   pending_renewals_.push_back({reply.config.sequence, reply.sent_at});
@@ -138,10 +138,11 @@
   });
 }
 
-// ---------------------------------------------------------------- the configuration's bytes
+// ---------------------------------------------------------------- configuration text
 
-// The core machines of the own zone, each node's own first; where there are none, the first nodes of the zone
-// by name, that ask beyond it; then the leader and the other core machines.
+// Sources for the configuration's text: first the core machines of this zone, in an order that differs from
+// node to node. A zone without core machines uses its first nodes by name, so that only these fetch from
+// other zones. Then the leader and the remaining core machines.
 std::vector<std::string> ControlClient::config_text_sources() const {
   struct Ranked {
     std::uint64_t rank = 0;
@@ -181,7 +182,7 @@
 }
 
 void ControlClient::want_version(Millis now, const ConfigVersion& id) {
-  if (id.sequence <= state_.sequence()) return;  // a node never goes back
+  if (id.sequence <= state_.sequence()) return;  // a node never returns to an older version
   if (fetcher_.is_idle()) fetch_started_at_ = now;
   fetcher_.fetch(id);
   fetch_config_text(now);
@@ -196,7 +197,7 @@
   if (next) messenger_.send(next->to, encode_message(MessageType::kConfigTextRequest, next->request));
 }
 
-// What the own replica has applied is committed, and newer than what is held.
+// Takes over the local replica's state if that is newer. What the replica has applied is committed.
 bool ControlClient::adopt_from_replica() {
   const ControlState* replica = replica_source_ ? replica_source_() : nullptr;
   if (replica == nullptr || replica->sequence() <= state_.sequence()) return false;
--- a/src/control/journal.cpp
+++ b/src/control/journal.cpp
@@ -10,8 +10,8 @@
 
 constexpr std::size_t kMinSegments = 4;
 constexpr std::size_t kMaxSegments = 6;
-// Of the segments, that only a checkpoint may use: each start takes a segment, and a disk without any would
-// stop its machine for good.
+// Segments that only a checkpoint may use. Each start of the process takes a segment, and a machine whose
+// disk has none left could never start again.
 constexpr std::size_t reserved_segments_of(std::size_t segments) { return segments / 3; }
 constexpr std::size_t checkpoint_threshold(std::size_t segments) { return segments / 2; }
 
@@ -57,7 +57,8 @@
   ring.reserved_segments = reserved_segments_of(ring.max_segments);
   auto journal = load(ring);
   if (absl::IsDataLoss(journal.status())) {
-    NETTLESTAND_WARNING("journal damaged, begun anew error=" << journal.status().message());
+    NETTLESTAND_WARNING(
+        "control journal is corrupt; starting with an empty one error=" << journal.status().message());
     if (absl::Status status = storage::SegmentRing::erase(ring); !status.ok()) return status;
     journal = load(ring);
   }
@@ -135,7 +136,7 @@
   return write_with_reserve(groups);
 }
 
-// A fresh segment was begun with this start, and holds nothing yet.
+// Opening the journal has started a new, empty segment; the checkpoint goes there.
 absl::Status ControlJournal::rewrite_at_open() {
   if (ring_->free_segments() > reserved_segments_of(ring_->max_segments())) return absl::OkStatus();
   return write_with_reserve(stored_);
@@ -148,7 +149,7 @@
   return status;
 }
 
-// All that is needed stands in the present segment and those after it once this has returned ok.
+// Once this has returned ok, everything needed is in the current and later segments, and the others are free.
 absl::Status ControlJournal::write_groups(const std::map<GroupId, consensus::StoredState>& groups) {
   const storage::Generation first = ring_->current();
   if (absl::Status status = append_identity(); !status.ok()) return status;
--- a/src/control/journal.h
+++ b/src/control/journal.h
@@ -1,4 +1,4 @@
-// What a core machine keeps on its disk: its identity, and the logs and snapshots of the groups' replicas.
+// The write-ahead log of a core machine: its disk id, and the logs and snapshots of its groups' replicas.
 #pragma once
 
 #include <absl/status/status.h>
@@ -15,33 +15,36 @@
 
 namespace nettlestand::tier {
 
+// Identifies a consensus group.
 using GroupId = std::uint32_t;
 
+// Stores the replicas of all groups in one ring of segments.
 class ControlJournal {
  public:
   struct Options {
     std::string directory;
     std::uint64_t disk_mb = 64;
-    std::uint64_t segment_bytes = 10U << 20;  // a configuration of 4 MiB with its history fits twice
+    std::uint64_t segment_bytes = 10U << 20;  // holds a 4 MiB configuration with its history twice
     storage::FileSystem* files = &storage::posix_file_system();
   };
-  // Opens the journal; a disk that holds none gets the new identity, which is durable on return. So does one
-  // whose journal is damaged: it may have forgotten what it promised, and is taken in by the others as an
-  // emptied one is.
+  // Opens the journal. An empty disk gets the id `new_disk_id`, which is durable on return. So does a disk
+  // whose journal is corrupt: votes and log entries may be missing, so the machine rejoins the groups like
+  // one with an empty disk.
   static absl::StatusOr<std::unique_ptr<ControlJournal>> open(const Options& options,
                                                               std::uint64_t new_disk_id);
 
   std::uint64_t disk_id() const { return disk_id_; }
-  // Whether the disk held nothing before.
+  // Whether the disk was empty, or its journal corrupt, when it was opened.
   bool is_new() const { return is_new_; }
-  // What a group's replica starts with; empty where the disk has nothing of it.
+  // Moves out the stored state from which a group's replica starts; empty if there is none.
   consensus::StoredState take_stored_state(GroupId group);
 
-  // Queues what a ready wants to be durable.
+  // Appends the durable part of a Ready. It is durable after sync().
   absl::Status append(GroupId group, const consensus::Ready& ready);
   absl::Status sync() { return ring_->sync(); }
-  // Whether so much is used that the groups should be written anew, in whole. May be asked on any thread.
+  // Whether so many segments are in use that a checkpoint is needed. May be called on any thread.
   bool needs_checkpoint() const;
+  // Writes the complete state of all groups to a new segment and releases the older ones.
   absl::Status checkpoint(const std::map<GroupId, consensus::StoredState>& groups);
 
  private:
--- a/src/control/member_repair.cpp
+++ b/src/control/member_repair.cpp
@@ -8,9 +8,9 @@
 using consensus::contains;
 using consensus::Member;
 
-constexpr Millis kMemberTimeoutMs = 2000;  // a member is replaced once it has been silent so long
+constexpr Millis kMemberTimeoutMs = 2000;  // after which a silent member is replaced
 
-// The machine has come back with another disk: what the old one held is gone for good.
+// Whether the machine has returned with another disk, so that the data of this member is lost for good.
 bool is_wiped(const Member& member, const std::vector<Member>& live) {
   return std::any_of(live.begin(), live.end(),
                      [&](const Member& other) { return other.node == member.node && other.id != member.id; });
@@ -21,7 +21,7 @@
   return progress != nullptr && progress->last_reply_at + kMemberTimeoutMs < now;
 }
 
-// Null where all are well. Members whose disk is gone go first.
+// Returns a failed member, or null if there is none. Members whose disk is lost are replaced first.
 const Member* find_failed_member(const consensus::Replica& replica, const std::vector<Member>& live,
                                  Millis now) {
   const Member* silent = nullptr;
@@ -33,7 +33,8 @@
   return silent;
 }
 
-// A live machine outside the group; the dead member's own, where it is back with an empty disk.
+// Returns a live machine outside the group, preferably the failed member's own if it is back with an empty
+// disk.
 const Member* find_replacement(const consensus::Replica& replica, const std::vector<Member>& live,
                                const Member* failed) {
   const Member* found = nullptr;
--- a/src/control/member_repair.h
+++ b/src/control/member_repair.h
@@ -1,4 +1,4 @@
-// Which member of a group to replace, so that the group keeps its size while machines come and go. No I/O.
+// Replacement of failed group members, so that a group keeps its size while machines come and go. No I/O.
 #pragma once
 
 #include <optional>
@@ -8,14 +8,15 @@
 
 namespace nettlestand::tier {
 
+// The next step of a repair, for the leader to carry out.
 struct MemberRepair {
-  std::vector<consensus::Member> learners;  // to be brought up to date
-  std::optional<std::vector<consensus::Member>> new_members;
+  std::vector<consensus::Member> learners;                    // replicas to bring up to date
+  std::optional<std::vector<consensus::Member>> new_members;  // membership change to propose
 };
 
-// For the group's leader. `live`: the core machines that it hears, members or not. `wanted`: the group's
-// size. A dead member leaves and its successor enters in one change, once the successor has the log: at no
-// moment does the group need more machines than it needed before.
+// Plans the next step for a group's leader. `live`: the core machines that the leader hears from, members or
+// not. A failed member and its replacement are exchanged in one change, once the replacement has the log, so
+// that the group never depends on more machines than before.
 MemberRepair plan_member_repair(const consensus::Replica& replica, const std::vector<consensus::Member>& live,
                                 std::size_t group_size, Millis now);
 
--- a/src/control/node_registry.cpp
+++ b/src/control/node_registry.cpp
@@ -5,8 +5,8 @@
 namespace nettlestand::tier {
 namespace {
 
-constexpr Millis kRegistrationTtlMs = 3500;  // a node counts as live for so long after its last poll
-constexpr Millis kPushTtlMs = 3000;          // and is told of changes unasked
+constexpr Millis kRegistrationTtlMs = 3500;  // how long a node counts as live after its last poll
+constexpr Millis kPushTtlMs = 3000;          // how long changes are pushed to it
 constexpr Millis kCoreTimeoutMs = 1500;
 
 }  // namespace
--- a/src/control/operator_api.cpp
+++ b/src/control/operator_api.cpp
@@ -8,7 +8,7 @@
 namespace nettlestand::tier {
 namespace {
 
-constexpr Millis kCommitTimeoutMs = 2500;  // for a majority to take an order
+constexpr Millis kCommitTimeoutMs = 2500;  // for a majority to commit a change
 constexpr std::uint32_t kOk = 200, kBadRequest = 400, kNotFound = 404, kConflict = 409,
                         kPreconditionFailed = 412, kUnavailable = 503;
 constexpr std::string_view kReadPath = "/nettlestand/config/read";
@@ -56,7 +56,7 @@
   change.kind = call.path == kUpdatePath ? ConfigChangeKind::kUpdate : ConfigChangeKind::kReplace;
   change.base = call.base;
   change.body = call.body;
-  // With others on their way it is judged at its place in the log, once they are decided.
+  // If other entries are in flight, the change is validated only when it is applied, after these.
   if (!group_.has_unapplied_entries()) {
     std::string reason;
     const ChangeOutcome outcome = state_.validate(change, &reason);
@@ -98,11 +98,11 @@
   if (refused) return operator_reply(call, kConflict, error_body("too few would be left"));
   if (!change) return operator_reply(call, kNotFound, error_body("unknown machine"));
   if (change->empty()) return operator_reply(call, kOk, "{}");
-  // Judged by the table as it is: a change of it that is under way may leave too few.
+  // The check used the current table: a placement change in flight may leave too few stores.
   if (group_.placement_pending()) return operator_reply(call, kUnavailable, error_body("busy"));
   ControlCommand command{};
   command.placement_changes.push_back(*change);
-  NETTLESTAND_INFO("retire begun node=" << name);
+  NETTLESTAND_INFO("store retirement started node=" << name);
   return propose(now, command, call, done);
 }
 
--- a/src/control/operator_api.h
+++ b/src/control/operator_api.h
@@ -1,5 +1,5 @@
-// The operator's calls at the leader of the configuration's group: orders that change the configuration,
-// reading it, and emptying storage machines. No I/O.
+// The operator API at the leader of the configuration group: changing and reading the configuration, and
+// retiring storage machines. No I/O.
 #pragma once
 
 #include <functional>
@@ -12,23 +12,25 @@
 
 namespace nettlestand::tier {
 
+// Handles the calls and answers them once their log entries are applied.
 class OperatorApi {
  public:
+  // Access to the configuration group's replica.
   struct GroupAccess {
-    // Appends a command to the group's log; nothing where this replica does not lead.
+    // Appends a command to the group's log. Returns nothing if this replica is not the leader.
     std::function<std::optional<EntryId>(Millis, const ControlCommand&)> propose;
-    // Writes and sends what was proposed.
+    // Persists and sends what was proposed.
     std::function<void(Millis)> process_ready;
-    // Whether the log holds entries that are not applied yet.
+    // Whether the log holds entries that are not yet applied.
     std::function<bool()> has_unapplied_entries;
-    // Whether a change of the placement is among them.
+    // Whether a placement change is among them.
     std::function<bool()> placement_pending;
-    // Null where this replica does not lead.
+    // Null if this replica is not the leader.
     std::function<const PlacementPlanner*()> planner;
   };
   OperatorApi(const ControlState& state, GroupAccess group) : state_(state), group_(std::move(group)) {}
 
-  // To be called under the leader's lease alone.
+  // To be called only while this replica holds the leader lease.
   void on_call(Millis now, const OperatorCall& call, OperatorCallback done);
   void on_config_change_applied(EntryId entry, ChangeOutcome outcome);
   void on_placement_applied(EntryId entry);
@@ -36,7 +38,7 @@
   bool has_pending_calls() const { return !pending_calls_.empty(); }
 
  private:
-  // An answer with status 0 comes later, through `done`.
+  // A reply with status 0 means that the call is answered later through `done`.
   OperatorReply read(const OperatorCall& call) const;
   OperatorReply change_config(Millis now, const OperatorCall& call, OperatorCallback& done);
   OperatorReply retire(Millis now, const OperatorCall& call, OperatorCallback& done);
--- a/src/control/operator_relay.cpp
+++ b/src/control/operator_relay.cpp
@@ -7,9 +7,9 @@
 namespace nettlestand::tier {
 namespace {
 
-constexpr Millis kCallTimeoutMs =
-    2500;  // the caller goes to another node after a second, later for large bodies
-constexpr Millis kReplyTimeoutMs = 1300;  // for a leader to answer, before the call is sent again
+// The caller turns to another node after a second, later for large bodies.
+constexpr Millis kCallTimeoutMs = 2500;
+constexpr Millis kReplyTimeoutMs = 1300;  // for the leader to reply before the call is sent again
 constexpr Millis kRetryDelayMs = 40;
 constexpr std::uint32_t kUnavailable = 503, kTimedOut = 504;
 
@@ -23,7 +23,7 @@
   send_to_leader(now, std::move(pending));
 }
 
-// Each try has a number of its own, so that a late reply to an earlier one is passed over.
+// Each attempt has its own id, so that a late reply to an earlier attempt is ignored.
 void OperatorRelay::send_to_leader(Millis now, PendingCall pending) {
   const std::uint64_t attempt_id = ++last_attempt_id_;
   pending.call.call = attempt_id;
@@ -61,7 +61,7 @@
     auto node = calls_.extract(attempt_id);
     if (node.empty()) continue;
     PendingCall pending = std::move(node.mapped());
-    // A leader that was asked and has not answered may have taken it.
+    // A leader that has not replied may still have applied the call.
     if (pending.reply_deadline != 0) pending.may_be_applied = true;
     if (now >= pending.deadline) {
       fail(pending);
--- a/src/control/operator_relay.h
+++ b/src/control/operator_relay.h
@@ -1,5 +1,5 @@
-// The operator's calls at any node: passes them on to the leader of the configuration's group, and again
-// where that one doesn't answer or no longer leads. No I/O of its own.
+// Forwards operator calls from any node to the leader of the configuration group, and retries if the leader
+// doesn't reply or has lost leadership. No I/O of its own.
 #pragma once
 
 #include <functional>
@@ -9,13 +9,14 @@
 
 namespace nettlestand::tier {
 
+// Tracks the forwarded calls until they are answered or time out.
 class OperatorRelay {
  public:
-  // 503: certainly not taken. 504: it may be in force.
+  // Status 503: the call was certainly not applied. 504: it may have been.
   using Done = std::function<void(std::uint32_t status, const std::string& body)>;
 
-  // `first_number`: drawn by chance at each start of the process, so that a reply to a call of its earlier
-  // life is not taken for the reply to one of this life.
+  // `first_attempt_id`: random at each start of the process, so that a reply to a call from before a restart
+  // is not mistaken for the reply to a new call.
   OperatorRelay(Messenger& messenger, ControlClient& control_client, std::uint64_t first_attempt_id)
       : messenger_(messenger), control_client_(control_client), last_attempt_id_(first_attempt_id) {}
 
@@ -27,9 +28,9 @@
   struct PendingCall {
     OperatorCall call{};
     Done done;
-    Millis deadline = 0;        // then the caller is answered, whatever is known
-    Millis retry_at = 0;        // while no leader is known or it was the wrong one
-    Millis reply_deadline = 0;  // while a leader has been asked; 0: none is
+    Millis deadline = 0;        // when the caller is answered at the latest
+    Millis retry_at = 0;        // while the leader is unknown or the call was sent to another node
+    Millis reply_deadline = 0;  // while a reply from the leader is pending; 0: none is
     bool may_be_applied = false;
   };
   using Calls = std::map<std::uint64_t, PendingCall>;
@@ -40,7 +41,7 @@
   Messenger& messenger_;
   ControlClient& control_client_;
   std::uint64_t last_attempt_id_;
-  Calls calls_;  // by the number of their newest try
+  Calls calls_;  // by the id of their latest attempt
 };
 
 }  // namespace nettlestand::tier
--- a/src/control/pending_operator_calls.cpp
+++ b/src/control/pending_operator_calls.cpp
@@ -31,7 +31,7 @@
 void PendingOperatorCalls::add(EntryId entry, const OperatorCall& call, OperatorCallback done,
                                Millis deadline) {
   PendingCall pending;
-  pending.call.call = call.call;  // the body is in the log already
+  pending.call.call = call.call;  // the body is already in the log
   pending.done = std::move(done);
   pending.deadline = deadline;
   calls_.emplace(entry, std::move(pending));
--- a/src/control/pending_operator_calls.h
+++ b/src/control/pending_operator_calls.h
@@ -1,7 +1,7 @@
-// The operator's calls at a leader that wait for their entry of the log to be applied. No I/O.
+// Operator calls at a leader that wait until their log entry is applied. No I/O.
 //
-// An entry is known by its term and index together: after a change of leader the same index may hold another
-// leader's entry, whose outcome is no answer to this call.
+// An entry is identified by its term and index together: after a change of leader the same index may hold
+// another leader's entry, whose outcome says nothing about this call.
 #pragma once
 
 #include <functional>
@@ -12,8 +12,10 @@
 
 namespace nettlestand::tier {
 
+// Receives the reply to an operator call.
 using OperatorCallback = std::function<void(const OperatorReply&)>;
 
+// Identifies a log entry.
 struct EntryId {
   consensus::Term term = 0;
   consensus::LogIndex index = 0;
@@ -21,19 +23,21 @@
   auto operator<=>(const EntryId&) const = default;
 };
 
+// Builds the reply to a call.
 OperatorReply operator_reply(const OperatorCall& call, std::uint32_t status, std::string body);
-// {"error":"..."} with the text escaped.
+// The JSON body {"error":"..."} with the text escaped.
 std::string error_body(const std::string& what);
 
+// The calls by the log entry that they wait for.
 class PendingOperatorCalls {
  public:
   void add(EntryId entry, const OperatorCall& call, OperatorCallback done, Millis deadline);
-  // The entry was applied with this outcome.
+  // Answers the calls of an entry that was applied with this outcome.
   void answer(EntryId entry, std::uint32_t status, const std::string& body);
-  // Another entry was applied at an index: a call that waits for its own entry there will never see it.
+  // Fails the calls that wait for another term's entry at the index of an applied entry: theirs was replaced.
   void on_applied(EntryId entry);
-  // Calls whose time is up, or all of them at a replica that doesn't lead: their orders may yet be taken, so
-  // nothing is promised.
+  // Fails the calls whose deadline has passed, or all of them on a replica that is no longer the leader.
+  // Their changes may still be committed, so the reply says that the outcome is unknown.
   void expire(Millis now, bool leads);
   bool empty() const { return calls_.empty(); }
 
--- a/src/control/placement.cpp
+++ b/src/control/placement.cpp
@@ -8,8 +8,8 @@
 namespace nettlestand::tier {
 namespace {
 
-constexpr Millis kInitialPlacementDelayMs =
-    1500;  // after the group has formed, for storage machines to turn up
+// How long a new leader waits for storage machines to appear before it makes the first table.
+constexpr Millis kInitialPlacementDelayMs = 1500;
 
 bool contains(const std::vector<StoreId>& ids, StoreId id) {
   return std::find(ids.begin(), ids.end(), id) != ids.end();
@@ -20,7 +20,7 @@
   return record != nullptr && (record->retiring || record->retired);
 }
 
-// Rows in which a store stands.
+// The number of rows that contain a store, either as primary or as any replica.
 std::size_t row_count_of(const PlacementTable& table, StoreId id, bool as_primary) {
   return static_cast<std::size_t>(
       std::count_if(table.shards.begin(), table.shards.end(), [&](const ShardPlacement& row) {
@@ -38,7 +38,8 @@
 std::size_t count_stores_with_jobs(const PlacementTable& table, const Configuration& configuration) {
   std::set<std::uint32_t> shards;
   for (const Tenant& tenant : configuration.tenants()) shards.insert(batch_shard_of(tenant.name));
-  if (shards.empty()) shards.insert(batch_shard_of(""));  // no tenants: all jobs are of nobody's
+  if (shards.empty())
+    shards.insert(batch_shard_of(""));  // without tenants, all jobs belong to the empty tenant name
   std::set<StoreId> primaries;
   for (const ShardPlacement& row : table.shards) {
     if (shards.contains(row.shard) && !row.members.empty()) primaries.insert(row.members.front());
@@ -65,7 +66,7 @@
 }
 
 bool PlacementPlanner::is_live(Millis now, StoreId id) const {
-  // A new leader has heard nobody yet: all count as live until they have had the time to poll.
+  // A new leader has not heard from any store yet, so all count as live until they had time to poll.
   if (now < leader_since_ + kStoreTimeoutMs) return true;
   const auto found = live_stores_.find(id);
   return found != live_stores_.end() && found->second.last_poll_at + kStoreTimeoutMs > now;
@@ -89,7 +90,7 @@
                                                                const PlacementTable& table) const {
   std::vector<StoreId> stores = usable(now, table);
   if (stores.size() < replica_count_ || now < leader_since_ + kInitialPlacementDelayMs) return std::nullopt;
-  // Neighbours in this order stand in different zones where there are several.
+  // Order the stores so that neighbours are in different zones, if there are several zones.
   std::sort(stores.begin(), stores.end(), [&](StoreId a, StoreId b) {
     return live_stores_.at(a).node.zone < live_stores_.at(b).node.zone;
   });
@@ -105,8 +106,8 @@
     ShardPlacement row{};
     row.shard = shard;
     row.epoch = 1;
-    // The distance to the copies changes with each round, so that a lost store's load spreads over all
-    // others.
+    // The distance from the primary to the backups changes with each round, so that the load of a failed
+    // store spreads over all others.
     const std::size_t round = shard / order.size();
     for (std::size_t copy = 0; copy < replica_count_; ++copy) {
       const std::size_t step = copy == 0 ? 0 : 1 + (copy - 1 + round) % (order.size() - 1);
@@ -128,7 +129,7 @@
     if (contains(row.members, id) || contains(row.joining, id)) continue;
     const bool same_zone = live_stores_.at(id).node.zone == home;
     std::size_t rank = row_count_of(table, id, false) + (same_zone ? kBatchShards : 0);
-    // It holds nearly all already.
+    // It already holds nearly all of the data.
     if (contains(row.eligible, id)) rank = 0;
     if (!best || rank < best_rank) {
       best = id;
@@ -151,11 +152,11 @@
   }
 }
 
-// Takes dead members out. `next` holds the members of `row` and those that have just been admitted, all of
-// which hold what was acknowledged.
+// Removes dead members. `next` contains the members of `row` and those just admitted, all of which hold every
+// acknowledged change.
 void PlacementPlanner::remove_dead_members(Millis now, const ShardPlacement& row,
                                            ShardPlacement& next) const {
-  // With too few members nothing was acknowledged since the eligible ones left.
+  // While there were too few members, nothing was acknowledged, so the eligible stores still hold everything.
   const bool was_short = row.members.size() < replica_count_;
   std::vector<StoreId> holders = next.members;
   if (was_short) {
@@ -169,7 +170,7 @@
     living = holders;
     std::erase_if(living, [&](StoreId id) { return !is_known_live(now, id); });
   }
-  if (living.empty()) return;  // until one of them is back nobody may take over
+  if (living.empty()) return;  // no store may take over until one of them is back
   next.members = living;
   next.eligible.clear();
   if (living.size() >= replica_count_) return;
@@ -184,8 +185,8 @@
       std::count_if(members.begin(), members.end(), [&](StoreId id) { return !is_retiring(table, id); }));
 }
 
-// Members that are to be emptied leave once enough others hold all; so does a surplus, which a machine leaves
-// behind that came back while it was replaced.
+// Removes retiring members once enough others hold all data, and surplus members, which remain when a machine
+// returns while it is being replaced.
 void PlacementPlanner::drop_retiring(const PlacementTable& table, ShardPlacement& next) const {
   const std::size_t remaining = count_remaining(table, next.members);
   if (remaining < replica_count_) return;
@@ -224,7 +225,7 @@
     record.id = id;
     record.name = live.node.name;
     record.address = live.node.address;
-    // Taken away for good under this name: what is there now is another machine, of which nothing was asked.
+    // A new disk gets a new record: a retirement of the machine's earlier disk does not apply to it.
     change.stores.push_back(std::move(record));
   }
   for (const StoreRecord& record : table.stores) {
@@ -235,7 +236,7 @@
   }
   if (!change.empty()) return change;
   if (table.shards.empty()) return initial_table(now, table);
-  PlacementTable next = table;  // so that each row sees the load that the ones before it have moved
+  PlacementTable next = table;  // so that each row takes the moves of the rows before it into account
   for (std::size_t i = 0; i < table.shards.size(); ++i) {
     if (auto row = next_row(now, next, next.shards[i])) {
       next.shards[i] = *row;
--- a/src/control/placement.h
+++ b/src/control/placement.h
@@ -1,10 +1,10 @@
-// Where the shards of batch jobs are kept: decides changes of the placement table. No I/O.
+// Placement of the batch jobs' shards on storage machines: plans changes of the placement table. No I/O.
 //
-// Primary-backup with the configuration group as master (as published for PacificA): every member holds all
-// that was acknowledged, and a primary that can't reach one waits until the master has taken it out. Only a
-// member is ever promoted, or, where none is left, a copy that was a member until the members became too few:
-// a primary acknowledges nothing while its recorded members are fewer than the copies that are wanted.
-// docs/design/control-safety.md goes through the cases.
+// Primary-backup replication with the configuration group as master (as published for PacificA). Every member
+// holds all acknowledged changes, and a primary that can't reach a member waits until the master has removed
+// it. Only a member is ever promoted or, if none is left, a replica that was a member until there were too
+// few: a primary acknowledges nothing while it has fewer recorded members than the required number of
+// replicas. docs/design/control-safety.md discusses the cases.
 #pragma once
 
 #include <map>
@@ -16,33 +16,37 @@
 
 namespace nettlestand::tier {
 
+// The number of shards of the batch jobs.
 constexpr std::uint32_t kBatchShards = 24;
-// A primary serves for this long after it sent a poll that was answered.
+// A primary may act for this long after it sent a poll that was answered.
 constexpr Millis kPrimaryLeaseMs = 700;
-// A store that has not polled for this long is taken for dead: its lease has run out by then.
+// A store that has not polled for this long counts as dead. Its primary lease has expired by then.
 constexpr Millis kStoreTimeoutMs = 1150;
 
-// The shard of a tenant's jobs: all of them stand together, so that their waiting tokens are counted in one
-// place.
+// The shard of a tenant's jobs. All jobs of a tenant are in one shard, so that its queued tokens are counted
+// in one place.
 std::uint32_t batch_shard_of(const std::string& tenant);
-// How many stores may have items to run: the primaries of the shards of the tenants that there are.
+// The number of stores that may have items to run: primaries of shards to which a tenant belongs.
 std::size_t count_stores_with_jobs(const PlacementTable& table, const Configuration& configuration);
-// Where the primary of a tenant's shard listens; empty where the table tells of none.
+// The address of the primary of a tenant's shard; empty if the table has none.
 std::string primary_address(const PlacementTable& table, const std::string& tenant);
 
+// Plans placement changes at the leader of the configuration group; created anew with each leadership.
 class PlacementPlanner {
  public:
-  // `tolerance`: disks that may be lost at once; every job is kept on one more.
+  // `fault_tolerance`: the number of disks that may fail at once; each job has one replica more.
   PlacementPlanner(std::size_t fault_tolerance, Millis leader_since)
       : replica_count_(fault_tolerance + 1), leader_since_(leader_since) {}
 
+  // Records a poll of a store and its in-sync reports.
   void on_poll(Millis now, const Poll& poll);
-  // What to change next, or nothing.
+  // Returns the next change to propose, if any.
   std::optional<PlacementChange> plan(Millis now, const PlacementTable& table);
-  // The change that starts to empty a machine; nothing where it is unknown. `refused`: too few would be left.
+  // Returns the change that starts to retire a machine, or nothing if it is unknown. `refused` is set if too
+  // few stores would be left.
   std::optional<PlacementChange> retire(Millis now, const PlacementTable& table, const std::string& name,
                                         bool& refused) const;
-  // Whether a retiring machine holds nothing any more.
+  // Whether a machine no longer holds any shard.
   static bool is_empty(const PlacementTable& table, const std::string& name);
 
  private:
@@ -53,7 +57,7 @@
   bool is_live(Millis now, StoreId id) const;
   bool is_usable(Millis now, const PlacementTable& table, StoreId id) const;
   std::optional<PlacementChange> initial_table(Millis now, const PlacementTable& table) const;
-  // The shard's next row, or nothing where it may stay.
+  // Returns the shard's next row, or nothing if it needs no change.
   std::optional<ShardPlacement> next_row(Millis now, const PlacementTable& table,
                                          const ShardPlacement& row) const;
   void remove_dead_members(Millis now, const ShardPlacement& row, ShardPlacement& next) const;
--- a/src/control/replica_host.cpp
+++ b/src/control/replica_host.cpp
@@ -9,11 +9,11 @@
 namespace nettlestand::tier {
 namespace {
 
-// Applied entries in memory before they are folded into a snapshot: a replica that starts, or that has just
-// been elected, has to apply them all before it leads.
+// Limits of the log before it is compacted into a snapshot. A replica that starts or was just elected has to
+// apply the whole log before it can serve as leader.
 constexpr std::size_t kCompactEntries = 128;
 constexpr std::size_t kCompactBytes = 1U << 20;
-// Messages that wait for a write; their senders repeat what is dropped.
+// Messages queued per group during a write. Senders repeat what is dropped.
 constexpr std::size_t kMaxQueuedMessages = 256;
 
 }  // namespace
@@ -76,7 +76,7 @@
   checkpoint_if_due();
 }
 
-// True where the group may have more to do at once.
+// Returns whether the group may have more to do immediately.
 bool ReplicaHost::process_group(Millis now, GroupId id, Group& group) {
   if (group.pending_write) return false;
   process_inbox(now, group);
@@ -103,7 +103,7 @@
 
 void ReplicaHost::write(GroupId id, Group& group) {
   group.write_failed = false;
-  // What stands in the journal already needs the sync alone.
+  // After a failed sync the records are already in the journal and only need the sync.
   const auto append = [this, id, &group]() -> absl::Status {
     if (group.appended) return absl::OkStatus();
     absl::Status status = disk_.journal->append(id, *group.pending_write);
@@ -117,7 +117,7 @@
 void ReplicaHost::on_written(Millis now, GroupId id, const absl::Status& status) {
   Group& group = groups_.at(id);
   if (!status.ok()) {
-    NETTLESTAND_WARNING("journal failed group=" << id << " error=" << status.message());
+    NETTLESTAND_WARNING("control journal write failed group=" << id << " error=" << status.message());
     group.write_failed = true;
     return;
   }
@@ -149,7 +149,7 @@
   }
 }
 
-// A change of members is told once the old ones are no longer needed.
+// Logs a membership change once it is complete, so that the old members are no longer needed.
 void ReplicaHost::log_members(GroupId id, Group& group) {
   if (!group.replica->members_are_committed()) return;
   std::vector<consensus::ReplicaId> members;
@@ -160,12 +160,12 @@
   group.logged_members = std::move(members);
 }
 
-// The groups' states are taken between two writes of each, and written behind all writes that are queued.
+// The states are captured while no write is in progress, and written after all queued writes.
 void ReplicaHost::checkpoint_if_due() {
   if (checkpointing_ || !disk_.journal->needs_checkpoint() || has_pending_write()) return;
   std::map<GroupId, consensus::StoredState> states;
   for (auto& [id, group] : groups_) {
-    // What a refused write holds is not applied to the state machine yet.
+    // The entries of a failed write are not applied to the state machine yet.
     if (!group.pending_write) group.replica->compact(group.state_machine->save());
     states[id] = group.replica->stored();
   }
@@ -174,7 +174,7 @@
                       [this](Millis, const absl::Status& status) {
                         checkpointing_ = false;
                         if (status.ok()) return;
-                        NETTLESTAND_WARNING("checkpoint failed error=" << status.message());
+                        NETTLESTAND_WARNING("control journal checkpoint failed error=" << status.message());
                       });
 }
 
--- a/src/control/replica_host.h
+++ b/src/control/replica_host.h
@@ -1,8 +1,9 @@
-// The I/O round one core machine's replicas: has written what they want durable, sends their messages, and
-// hands committed commands on.
+// The I/O around the replicas of one core machine: persists their state, sends their messages, and passes
+// committed commands to the state machines.
 //
-// While a group's write is under way that group hears and says nothing; what comes meanwhile waits. A disk
-// that stalls so costs the groups that this machine leads, within an election's time, and nothing else.
+// While a group's write is in progress, the group sends nothing and its incoming messages are queued. A
+// stalled disk therefore costs this machine the leadership of its groups, within an election timeout, and
+// nothing else.
 #pragma once
 
 #include <deque>
@@ -19,21 +20,24 @@
 
 namespace nettlestand::tier {
 
-// The state machine of a group.
+// The replicated state machine of a group.
 class GroupStateMachine {
  public:
   virtual ~GroupStateMachine() = default;
+  // Applies a committed command.
   virtual void apply(Millis now, const consensus::LogEntry& entry) = 0;
+  // Serializes the state for a snapshot, and restores it.
   virtual std::string save() const = 0;
   virtual void load(const std::string& state) = 0;
 };
 
-// A core machine's disk: its journal, and the queue of writes to it. The queue is destroyed first.
+// A core machine's journal and the queue of writes to it. The queue is destroyed first.
 struct ControlDisk {
   std::unique_ptr<ControlJournal> journal;
   std::unique_ptr<storage::DiskQueue> queue;
 };
 
+// Runs one replica per group.
 class ReplicaHost {
  public:
   ReplicaHost(Messenger& messenger, ControlDisk disk);
@@ -44,16 +48,17 @@
   const consensus::Replica& replica(GroupId group) const { return *groups_.at(group).replica; }
   std::uint64_t disk_id() const { return disk_.journal->disk_id(); }
   storage::DiskQueue* disk_queue() { return disk_.queue.get(); }
-  // Whether this disk belongs to no group and has promised nothing.
+  // Whether this disk belongs to no group and has cast no vote.
   bool has_no_state() const;
 
   void tick(Millis now);
   void on_message(Millis now, const std::string& from, const GroupMessage& message);
-  // Does what the replicas want done; to be called after each step or proposal.
+  // Processes the replicas' pending output. To be called after each proposal or other direct use of a
+  // replica.
   void process_ready(Millis now);
 
-  // Replaces dead members by live core machines, one change at a time; for groups that this node leads.
-  // `wanted`: the size of a group.
+  // Replaces failed members by live core machines, one change at a time, in a group that this node leads.
+  // `group_size`: the desired number of members.
   void repair_members(Millis now, GroupId group, const std::vector<consensus::Member>& live,
                       std::size_t group_size);
 
@@ -61,12 +66,12 @@
   struct Group {
     std::unique_ptr<consensus::Replica> replica;
     GroupStateMachine* state_machine = nullptr;
-    // Is being made durable: until then nothing of it is sent or applied.
+    // Output that is being persisted. Nothing of it is sent or applied before that is done.
     std::optional<consensus::Ready> pending_write;
-    bool appended = false;      // and stands in the journal, but was not synced
-    bool write_failed = false;  // the disk refused it; it is tried again with the next tick
+    bool appended = false;      // it is in the journal but not yet synced
+    bool write_failed = false;  // the disk returned an error; the write is retried with the next tick
     std::deque<consensus::Message> inbox;
-    std::vector<consensus::ReplicaId> logged_members;  // that were last logged
+    std::vector<consensus::ReplicaId> logged_members;  // as last written to the program's log
   };
   bool process_group(Millis now, GroupId id, Group& group);
   void write(GroupId id, Group& group);
@@ -75,14 +80,15 @@
   void process_inbox(Millis now, Group& group);
   void log_members(GroupId id, Group& group);
   void checkpoint_if_due();
-  // Whether a write of any group is under way. One that the disk has refused is not: the checkpoint that
-  // makes room for it must not wait for it.
+  // Whether a write of any group is in progress. A failed write doesn't count, since the checkpoint that
+  // frees the space it needs must not wait for it.
   bool has_pending_write() const;
 
   Messenger& messenger_;
   ControlDisk disk_;
   std::map<GroupId, Group> groups_;
-  std::map<consensus::ReplicaId, std::string> reply_address_;  // of replicas that are no members here
+  std::map<consensus::ReplicaId, std::string>
+      reply_address_;  // of replicas that aren't members in this replica's view
   bool processing_ = false, checkpointing_ = false;
 };
 
--- a/src/control/server_list_poller.cpp
+++ b/src/control/server_list_poller.cpp
@@ -28,7 +28,7 @@
 constexpr auto kCallTimeout = std::chrono::milliseconds(900);
 constexpr std::size_t kMaxPages = 1000;
 constexpr std::uint64_t kMaxPageBytes = 4U << 20;
-constexpr Millis kMaxBackoffMs = 4000;  // after failures and refusals
+constexpr Millis kMaxBackoffMs = 4000;  // after failures and rejected calls
 
 std::string string_field(const rapidjson::Value& object, const char* name) {
   const auto found = object.FindMember(name);
@@ -88,7 +88,7 @@
   }
 
  private:
-  // `self` keeps this alive for as long as it runs.
+  // `self` keeps this object alive while the coroutine runs.
   asio::awaitable<void> run(std::shared_ptr<Impl> self) {
     (void)self;
     Millis delay = interval_;
--- a/src/control/server_list_poller.h
+++ b/src/control/server_list_poller.h
@@ -1,4 +1,4 @@
-// Reads the platform's list of servers, page by page, at a steady pace.
+// Polls the cloud platform's API for the list of servers, page by page, at a fixed interval.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -11,9 +11,11 @@
 
 namespace nettlestand::tier {
 
+// Polls over HTTP, with exponential backoff after failures.
 class ServerListPoller : public ServerListSource {
  public:
-  // Calls `done` with each whole list until stopped. `interval_ms` lies between the starts of two readings.
+  // Calls `callback` with each complete list until destroyed. `interval_ms` is the time from the start of one
+  // poll to the start of the next.
   ServerListPoller(boost::asio::io_context& io, std::string platform_address, Millis interval_ms,
                    Callback callback);
   ~ServerListPoller() override;
@@ -23,7 +25,8 @@
   std::shared_ptr<Impl> impl_;
 };
 
-// One page; false where it is none. `next` is empty after the last.
+// Parses one page of the list and appends its servers. Returns false if the page is invalid. `next_token` is
+// empty after the last page.
 bool parse_server_list_page(std::string_view json, std::vector<ListedServer>& servers,
                             std::string& next_token);
 
--- a/src/control/server_list_source.h
+++ b/src/control/server_list_source.h
@@ -1,4 +1,4 @@
-// A reader of the platform's list of servers, as the owner of a service shard starts it.
+// Interface to the platform's list of servers, which the leader of a service shard reads.
 #pragma once
 
 #include <functional>
@@ -9,15 +9,15 @@
 
 namespace nettlestand::tier {
 
-// Reads the list for as long as it lives.
+// Reads the list until it is destroyed.
 class ServerListSource {
  public:
-  // Is handed each whole list.
+  // Called with each complete list.
   using Callback = std::function<void(Millis now, std::vector<ListedServer>)>;
   virtual ~ServerListSource() = default;
 };
 
-// Starts to read; `interval` lies between the starts of two readings.
+// Creates a source that reads the list every `interval` ms.
 using ServerListSourceFactory =
     std::function<std::unique_ptr<ServerListSource>(Millis interval, ServerListSource::Callback)>;
 
--- a/src/control/service.cpp
+++ b/src/control/service.cpp
@@ -8,10 +8,10 @@
 namespace nettlestand::tier {
 namespace {
 
-constexpr Millis kMinLeadershipMs = 4000;  // before a leader hands a group to its preferred owner
-constexpr Millis kPreferredContactMs = 400;
+constexpr Millis kMinLeadershipMs = 4000;    // before a leader transfers a group to its preferred leader
+constexpr Millis kPreferredContactMs = 400;  // within which the preferred leader must have replied
 constexpr Millis kMinListIntervalMs = 400;
-constexpr double kListRateShare = 0.25;  // of the platform's rate, for all shards together
+constexpr double kListRateShare = 0.25;  // of the rate limit of the platform's API, for all shards together
 constexpr Millis kQuotaLeaseMarginMs = 1000;
 constexpr std::uint32_t kUnavailable = 503;
 
@@ -23,7 +23,7 @@
   explicit ConfigStateMachine(ControlService& service) : service_(service) {}
   void apply(Millis now, const consensus::LogEntry& entry) override {
     const auto command = decode<ControlCommand>(entry.data);
-    if (!command) return;  // every replica passes over it alike
+    if (!command) return;  // all replicas skip it
     const EntryId id{entry.term, entry.index};
     for (const ConfigChange& change : command->config_changes) {
       const ChangeOutcome outcome = state.apply(change);
@@ -48,8 +48,8 @@
   ControlService& service_;
 };
 
-// A service shard replicates nothing but its ownership: the list is the platform's, and read anew by each
-// owner.
+// A service shard replicates only its leadership: the server list comes from the platform, and each new
+// leader reads it again.
 class ControlService::EmptyStateMachine : public GroupStateMachine {
  public:
   void apply(Millis, const consensus::LogEntry&) override {}
@@ -102,7 +102,7 @@
   return EntryId{replica.term(), *index};
 }
 
-// ---------------------------------------------------------------- forming the groups
+// ---------------------------------------------------------------- bootstrap
 
 std::size_t ControlService::group_size() const {
   return static_cast<std::size_t>(2 * settings_.fault_tolerance.machines + 1);
@@ -128,13 +128,13 @@
 
 void ControlService::on_bootstrap_vote(Millis now, const std::string& from, const BootstrapVote& vote) {
   if (!replica_host_.has_no_state() || !bootstrap_proposer_.on_vote(from, view_.self(), vote)) return;
-  NETTLESTAND_INFO("groups formed members=" << bootstrap_proposer_.members().size());
+  NETTLESTAND_INFO("consensus groups bootstrapped members=" << bootstrap_proposer_.members().size());
   for (GroupId group = 0; group < kGroups; ++group)
     replica_host_.replica(group).bootstrap(bootstrap_proposer_.members());
   replica_host_.process_ready(now);
 }
 
-// ---------------------------------------------------------------- leading
+// ---------------------------------------------------------------- leadership
 
 bool ControlService::leads(Millis now, GroupId group) const {
   return replica_host_.replica(group).has_lease(now);
@@ -196,7 +196,7 @@
   replica_host_.process_ready(now);
 }
 
-// Each group has a preferred owner, so that the groups' load spreads over the core.
+// Each group has a preferred leader, so that the load of the groups is balanced over the core machines.
 void ControlService::balance_leaders(Millis now, GroupId group) {
   consensus::Replica& replica = replica_host_.replica(group);
   if (stepped_down_ || replica.leader_since() + kMinLeadershipMs > now || operator_api_.has_pending_calls())
@@ -210,7 +210,7 @@
   if (preferred == replica.id() || progress == nullptr || progress->last_reply_at + kPreferredContactMs < now)
     return;
   if (!replica.transfer_leadership(now, preferred)) return;
-  NETTLESTAND_INFO("leadership handed over group=" << group);
+  NETTLESTAND_INFO("leadership transferred group=" << group);
   replica_host_.process_ready(now);
 }
 
@@ -273,7 +273,8 @@
   messenger_.send(from, encode_message(MessageType::kPollReply, out), Lane::kControl);
 }
 
-// What a subscriber does not have yet; taken as had from then on, until its next poll says otherwise.
+// Builds a reply with what the subscriber does not have yet. It is assumed to have it from then on, until its
+// next poll says otherwise.
 PollReply ControlService::make_reply(GroupId group, NodeRegistry::Subscriber& subscriber) {
   PollReply out{};
   out.group = group;
@@ -311,8 +312,8 @@
 
 void ControlService::grant_tokens(Millis now, const Poll& poll, PollReply& out) {
   if (poll.tokens.empty() || !config_machine_->state.configuration()) return;
-  // Nodes out of touch use their fixed part until their lease has run out; a new leader knows of them by the
-  // view.
+  // Unreachable nodes use their fixed fallback share until their lease expires, so they have to be counted. A
+  // new leader, whose registry is still empty, takes their number from the membership view.
   const NodeRegistry& registry = registries_[kConfigGroup];
   const Millis lease = static_cast<Millis>(settings_.bounds.revoke_ms) + kQuotaLeaseMarginMs;
   std::size_t known = registry.live_edges(now, lease);
@@ -328,7 +329,7 @@
                             static_cast<double>(reachable) / static_cast<double>(known), known, poll.tokens);
 }
 
-// ---------------------------------------------------------------- the operator
+// ---------------------------------------------------------------- operator calls
 
 void ControlService::on_operator_call(Millis now, const OperatorCall& call, OperatorCallback done) {
   if (leads(now, kConfigGroup)) return operator_api_.on_call(now, call, std::move(done));
@@ -343,9 +344,9 @@
 void ControlService::on_config_change_applied(Millis now, EntryId entry, const ConfigChange& change,
                                               ChangeOutcome outcome) {
   if (outcome == ChangeOutcome::kApplied) {
-    NETTLESTAND_INFO("configuration in force generation=" << config_machine_->state.generation()
-                                                          << " sequence="
-                                                          << config_machine_->state.sequence());
+    NETTLESTAND_INFO("configuration applied generation=" << config_machine_->state.generation()
+                                                         << " sequence="
+                                                         << config_machine_->state.sequence());
     SequencedChange applied{};
     applied.sequence = config_machine_->state.sequence();
     applied.change = change;
--- a/src/control/service.h
+++ b/src/control/service.h
@@ -1,5 +1,6 @@
-// The control state on a core machine: leads groups or follows, serves the nodes' polls, takes the operator's
-// calls, reads the platform's list for the shards that it owns, and places batch shards. No I/O of its own.
+// The control service of a core machine. Takes part in the consensus groups and, for those that it leads,
+// answers the nodes' polls, handles operator calls, reads the platform's server list and plans the placement
+// of batch shards. No I/O of its own.
 #pragma once
 
 #include <array>
@@ -21,16 +22,17 @@
 
 namespace nettlestand::tier {
 
+// Connects the consensus groups with the components that act for their leader.
 class ControlService {
  public:
-  // `listing` may be empty: then no list is read.
+  // `list_source_factory` may be empty; then no server list is read.
   ControlService(Messenger& messenger, PartialView& view, ConfigTextProvider& config_texts,
                  const Settings& settings, ServerListSourceFactory list_source_factory, ControlDisk disk,
                  Millis now);
   ~ControlService();
 
   void tick(Millis now);
-  // Hands on what this node leads, before it stops.
+  // Transfers the leadership of all groups that this node leads, before it stops.
   void step_down(Millis now);
   void on_consensus(Millis now, const std::string& from, const GroupMessage& message);
   void on_poll(Millis now, const std::string& from, const Poll& poll);
@@ -40,6 +42,7 @@
   const ControlState& state() const;
   const ReplicaHost& host() const { return replica_host_; }
   storage::DiskQueue* disk_queue() { return replica_host_.disk_queue(); }
+  // Whether this node leads the group and holds its lease.
   bool leads(Millis now, GroupId group) const;
 
  private:
@@ -47,7 +50,7 @@
   class EmptyStateMachine;
 
   QuotaBounds quota_bounds() const;
-  // How many members a group has, so that it bears what it has to.
+  // The number of members that a group needs for the configured fault tolerance.
   std::size_t group_size() const;
   OperatorApi::GroupAccess operator_group();
   std::optional<EntryId> propose(Millis now, const ControlCommand& command);
@@ -81,7 +84,7 @@
   OperatorApi operator_api_;
   bool stepped_down_ = false;
 
-  // Of leading; begun anew with each term.
+  // State of a leader; reset with each term.
   std::array<NodeRegistry, kGroups> registries_;
   std::map<GroupId, consensus::Term> leader_terms_;
   std::optional<PlacementPlanner> planner_;
--- a/src/control/state.cpp
+++ b/src/control/state.cpp
@@ -12,9 +12,10 @@
 
 using Json = rapidjson::Value;
 
-constexpr std::size_t kMaxHistory = 8192;  // so many taken orders are recognised when they are sent again
+constexpr std::size_t kMaxHistory =
+    8192;  // the number of recent changes that are recognized when they are sent again
 
-// The position of the item with a name in a list, or the list's size.
+// The index of the item with this name in a list, or the size of the list.
 rapidjson::SizeType find_named(const Json& list, const Json& name) {
   for (rapidjson::SizeType i = 0; i < list.Size(); ++i) {
     if (!list[i].IsObject()) continue;
@@ -63,7 +64,7 @@
   return true;
 }
 
-// The configuration's text with the named items changed; empty where the change can't be read.
+// Applies an update to the configuration's text. Returns an empty string if the update can't be parsed.
 std::string apply_update(const std::string& text, const std::string& change_text) {
   rapidjson::Document change, document;
   change.Parse<rapidjson::kParseIterativeFlag>(change_text.data(), change_text.size());
--- a/tests/system/configuration_test.cpp
+++ b/tests/system/configuration_test.cpp
@@ -1,4 +1,4 @@
-// The operator's orders: what is valid, what is taken, and what is recognised again.
+// Configuration changes: validation, application, conflicts and repeated changes.
 #include <catch2/catch.hpp>
 
 #include "base/codec.h"
@@ -162,5 +162,6 @@
   row.members = {9};
   change.shards = {row};
   other.apply(change);
-  CHECK(other.placement().shards.front().members == std::vector<StoreId>{7, 8});  // the epoch has to rise
+  CHECK(other.placement().shards.front().members ==
+        std::vector<StoreId>{7, 8});  // only a higher epoch replaces a row
 }
--- a/tests/system/content_test.cpp
+++ b/tests/system/content_test.cpp
@@ -1,5 +1,5 @@
-// The configuration's bytes on their way to the nodes: from whom they are asked, in what pieces, and what
-// becomes of wrong ones.
+// Distribution of the configuration's text: from which nodes it is fetched, in what chunks, and how wrong
+// data is handled.
 #include <catch2/catch.hpp>
 #include <set>
 
@@ -14,7 +14,7 @@
 constexpr double kFast = 1e9;
 const std::string kA = "10.0.0.1:7000", kB = "10.0.0.2:7000";
 
-// A configuration of about so many bytes.
+// The text of a configuration that is padded by this many bytes.
 std::string text_of(std::uint64_t generation, std::size_t bytes = 0) {
   return "{\"generation\":" + std::to_string(generation) + ",\"note\":\"" + std::string(bytes, 'x') +
          "\",\"routes\":[],\"services\":[],\"tenants\":[]}";
@@ -29,7 +29,7 @@
   return out;
 }
 
-// Two holders and a fetcher, with the messages between them delivered at once.
+// Two providers and a fetcher, with immediate delivery of messages between them.
 struct Exchange {
   ConfigTextProvider a{kFast}, b{kFast};
   std::vector<std::string> holders = {kA, kB};
@@ -96,7 +96,7 @@
   exchange.a.add_version(id, shared(text), {});
   exchange.b.add_version(id, shared(text), {});
   exchange.fetcher.fetch(id);
-  REQUIRE_FALSE(exchange.step(0));  // the first piece
+  REQUIRE_FALSE(exchange.step(0));  // the first chunk
   exchange.a_is_silent = true;
   const auto fetched = exchange.run(20, 2000);
   REQUIRE(fetched);
@@ -242,7 +242,7 @@
   CHECK_FALSE(feed.changes_between(20, 21));
 }
 
-// ---------------------------------------------------------------- from whom a node asks
+// ---------------------------------------------------------------- choice of sources
 
 namespace {
 
@@ -256,7 +256,7 @@
   return out;
 }
 
-// A follower whose view holds some nodes.
+// A control client whose membership view contains some nodes.
 struct ClientWorld {
   RecordingMessenger messenger;
   PartialView view;
@@ -313,7 +313,7 @@
   next.base = 1;
   next.body = text_of(2);
   world.name(1000, config_version_of(2, next.body));
-  CHECK(world.requests().empty());  // its replica is behind: it is given a moment
+  CHECK(world.requests().empty());  // its replica is behind and gets some time to catch up
   CHECK(world.control_client.state().sequence() == 1);
   REQUIRE(replica.apply(next) == ChangeOutcome::kApplied);
   world.control_client.tick(1040);
--- a/tests/system/control_test.cpp
+++ b/tests/system/control_test.cpp
@@ -1,4 +1,5 @@
-// The parts of the control state by themselves: forming, the change feed, calls that wait, repair of members.
+// Unit tests of the control state: bootstrap, change feed, config lease, pending operator calls, member
+// repair.
 #include <catch2/catch.hpp>
 
 #include "control/bootstrap.h"
@@ -92,7 +93,7 @@
   reply.sent_at = 1000;
   reply.config = content_of(3).id;
   control_client.on_reply(1010, leader, reply);
-  REQUIRE_FALSE(control_client.has_config_lease(1010));  // named, and not held yet
+  REQUIRE_FALSE(control_client.has_config_lease(1010));  // announced but not received yet
   control_client.on_config_text(1050, leader, content_of(3));
   REQUIRE(control_client.state().sequence() == 3);
   REQUIRE(control_client.has_config_lease(4600));
@@ -102,7 +103,7 @@
   control_client.on_reply(4010, leader, reply);
   CHECK(control_client.state().sequence() == 3);
   CHECK_FALSE(control_client.has_config_lease(4800));
-  control_client.on_config_text(4020, leader, content_of(8));  // nobody named it
+  control_client.on_config_text(4020, leader, content_of(8));  // never announced
   CHECK(control_client.state().sequence() == 3);
 
   control_client.on_config_text(4030, leader, content_of(9));
@@ -143,8 +144,8 @@
   vote.proposer = self.disk_id;
   vote.granted = true;
   CHECK_FALSE(proposer.on_vote("10.0.0.1:7000", self, vote));
-  CHECK_FALSE(proposer.on_vote("10.0.0.1:7000", self, vote));  // the answer to a second request
-  CHECK_FALSE(proposer.on_vote("10.0.0.7:7000", self, vote));  // no seed
+  CHECK_FALSE(proposer.on_vote("10.0.0.1:7000", self, vote));  // the reply to a second request
+  CHECK_FALSE(proposer.on_vote("10.0.0.7:7000", self, vote));  // not a seed
   vote.granted = false;
   CHECK_FALSE(proposer.on_vote("10.0.0.2:7000", self, vote));
   vote.granted = true;
@@ -210,11 +211,11 @@
   }
 }
 
-// ---------------------------------------------------------------- repair of members
+// ---------------------------------------------------------------- member repair
 
 namespace {
 
-// A leader of three, whose followers answer or not.
+// The leader of a group whose followers reply or stay silent.
 struct RepairGroup {
   explicit RepairGroup(int size) {
     std::vector<Member> members;
@@ -222,7 +223,7 @@
     leader.bootstrap(members);
     settle(0);
   }
-  // Elects the leader and lets the members that are listed answer all that it sends, until nothing is left.
+  // Lets the leader tick and the listed members reply to all messages, until none is left.
   void settle(Millis now, std::vector<consensus::ReplicaId> answering = {2, 3, 4, 5, 6}) {
     leader.tick(now);
     while (leader.has_ready()) {
@@ -286,7 +287,7 @@
   for (Millis now = 2100; now <= 4000; now += 100) {
     group.settle(now, {2, 4});
     group.repair(now, live, 3);
-    // At no moment are four machines needed, or the dead one.
+    // The group never depends on four machines, or on the failed one.
     was_joint = was_joint || is_joint(group.leader.member_list());
     CHECK(group.leader.members().size() == 3);
   }
--- a/tests/system/replica_test.cpp
+++ b/tests/system/replica_test.cpp
@@ -1,5 +1,5 @@
-// Replica groups played from seeds: messages lost and late, cuts one-sided and whole, restarts, disks wiped,
-// and an oracle for what a group promises.
+// Simulation of consensus groups from seeds, with lost and delayed messages, one-way and full partitions,
+// restarts and wiped disks. Checks the safety and liveness properties of a group.
 #include "consensus/replica.h"
 
 #include <catch2/catch.hpp>
@@ -15,16 +15,16 @@
 
 namespace {
 
-// Faults of the program itself, planted to show that the oracle sees them.
+// Faults of the implementation that are injected to show that the checks detect them.
 enum class InjectedFault { kNone, kVoteAfterAmnesia, kSendBeforeSync, kLeaseWithoutQuorum };
 
 struct Result {
-  std::string violation;  // empty: all promises were kept
+  std::string violation;  // the violated property; empty if none
   std::size_t acknowledged = 0;
   std::size_t leaders = 0;
 };
 
-// A group of machines, each with one replica, in simulated time.
+// Machines with one replica each, in simulated time.
 class SimulatedGroup {
  public:
   SimulatedGroup(std::uint64_t seed, std::size_t size, InjectedFault fault)
@@ -52,9 +52,9 @@
   static constexpr Millis kStep = 10;
   struct Machine {
     ReplicaId id = 0;
-    std::unique_ptr<Replica> replica;  // null while it is down
+    std::unique_ptr<Replica> replica;  // null while the machine is down
     StoredState disk;
-    std::vector<std::string> applied;  // commands, in this life
+    std::vector<std::string> applied;  // commands applied since the last start
     LogIndex applied_from = 0;
     Millis back_at = 0, paused_until = 0;
   };
@@ -116,7 +116,8 @@
     loss_ = now_ / 3000 % 3 == 1 ? 0.3 : 0.02;
   }
 
-  // One disk may be lost while all others are members and hold what was committed.
+  // A disk may be wiped only while all machines are up and agree on the full membership, so that the others
+  // hold what was committed.
   bool may_wipe(std::size_t i) const {
     if (!up(i)) return false;
     std::set<ReplicaId> ids;
@@ -143,7 +144,7 @@
     while (m.replica && m.replica->has_ready()) {
       Ready ready = m.replica->take_ready();
       const bool durable = ready.hard || ready.snapshot || !ready.entries.empty();
-      // Power may go before the disk has it: nothing may have been sent by then.
+      // Power may fail before the data is on disk; nothing may have been sent by then.
       const bool power_lost = durable && faults_enabled_ && now_ > 0 && uniform() < 0.001;
       if (injected_fault_ == InjectedFault::kSendBeforeSync) send(i, ready);
       if (power_lost) return stop(i, 300);
@@ -291,7 +292,7 @@
     acknowledged += result.acknowledged;
     leaders += result.leaders;
   }
-  // The worlds are neither idle nor dead.
+  // The simulated groups made progress and changed leaders.
   CHECK(acknowledged > 160 * 100);
   CHECK(leaders > 160 * 3);
 }
@@ -347,7 +348,7 @@
   Message request{};
   request.kind = MessageKind::kVote;
   request.from = 1;
-  request.to = 3;  // the disk that was here before
+  request.to = 3;  // the replica on the disk that was here before
   request.term = 5;
   blank.step(5000, request);
   CHECK_FALSE(blank.has_ready());
