--- a/tests/system/batch_test.cpp
+++ b/tests/system/batch_test.cpp
@@ -1,5 +1,5 @@
-// Batch jobs: what copies hold, where they stand, and that nothing acknowledged is lost over many worlds of
-// faults.
+// Batch jobs: the job table, the journal, replication and the placement of shards. Simulated worlds with
+// faults check that nothing acknowledged is lost.
 #include <catch2/catch.hpp>
 #include <map>
 #include <random>
@@ -119,7 +119,7 @@
       }
     };
     if (life == 0) change(new_job("stays", 1));
-    // Far more than fits goes through: 84 MB of disk, 40 jobs of 8 MB in each life.
+    // Writes far more than fits: 40 jobs of 8 MB after each start, on 84 MB of disk.
     for (int i = 0; i < 40; ++i, ++next) {
       JobChange job = new_job("job" + std::to_string(next), 40);
       for (JobItem& item : job.spec.front().items) item.body = body;
@@ -154,7 +154,7 @@
     table.apply(5, change);
   };
   commit(new_job("j", 2));
-  // A result and a job that wait for another copy, written by the store that leads.
+  // A result and a job that the primary has written and that wait for another replica.
   const JobChange result = result_of("j", 0, 1, "read by a client"), job = new_job("new", 1);
   write(result);
   write(job);
@@ -177,7 +177,7 @@
 
 namespace {
 
-// Storage machines, one shard and a placement master, in simulated time, messages late and lost, machines
+// Stores, one shard and a placement planner in simulated time. Messages are delayed and lost; stores are
 // killed, frozen and wiped.
 class World {
  public:
@@ -259,7 +259,7 @@
       stop(s, 500);
     }
   }
-  // One disk may be lost while every copy is in line.
+  // A disk may be lost only while all members are in sync.
   bool all_members_healthy() const {
     if (row().members.size() < 2 || !row().joining.empty()) return false;
     for (const StoreId id : row().members) {
@@ -391,7 +391,8 @@
     }
   }
 
-  // Submits jobs, lists results and reads them, at whichever store is certain that it may answer.
+  // Submits jobs, adds results and reads them, at each store that considers itself the primary and holds a
+  // lease. Only one may.
   void client() {
     std::size_t certain = 0;
     for (Store& s : stores_) {
@@ -485,7 +486,7 @@
   return poll;
 }
 
-// Lets a planner work until it has nothing to do, with some stores alive.
+// Runs a planner for a given time, with some stores alive.
 class PlannerHarness {
  public:
   void settle(const std::vector<StoreId>& alive, Millis for_ms) {
@@ -595,7 +596,7 @@
 
 namespace {
 
-// The master with three stores and one shard whose copies are stores 1 and 2.
+// A planner with three stores, where stores 1 and 2 are the members of all shards.
 struct Placement {
   PlacementPlanner planner{1, 0};
   PlacementTable table{};
@@ -649,13 +650,13 @@
 
 TEST_CASE("a copy that left while members were too few takes over when the last member loses its disk") {
   Placement world;
-  world.alive[2] = false;  // frozen, say
+  world.alive[2] = false;  // for example frozen
   world.run(1500);
   REQUIRE(world.row().members == std::vector<StoreId>{1});
   CHECK(world.row().eligible == std::vector<StoreId>{2});
   CHECK(world.row().joining == std::vector<StoreId>{3});
   world.alive[2] = true;
-  world.alive[1] = false;  // and its disk is lost before store 3 was told to hold all
+  world.alive[1] = false;  // its disk is lost before store 3 was reported as in sync
   world.run(1500);
   CHECK(world.row().members == std::vector<StoreId>{2});
 }
@@ -701,7 +702,7 @@
   primary.on_batch_durable();
   reply_from(kMember, sent.front().number);  // the joining one has not answered yet
 
-  // Whatever the host asks for before it has applied the commit, and after that.
+  // Whatever the host calls before it has applied the commit, and after that.
   const auto told_to_forget = [&](Millis now) {
     for (const Replicate& message : primary.outgoing(now)) {
       for (const JobChange& change : message.changes) {
@@ -739,7 +740,7 @@
   digest.from = 3;
   digest.accepted = digest.has_digest = true;
   primary.on_reply(digest);
-  CHECK(primary.in_sync_reports().empty());  // it was not asked yet
+  CHECK(primary.in_sync_reports().empty());  // its digests were not requested yet
   digest.number = primary.outgoing(0).front().number;
   primary.on_reply(digest);
   CHECK(primary.in_sync_reports().size() == 1);
--- a/tests/system/item_test.cpp
+++ b/tests/system/item_test.cpp
@@ -1,5 +1,5 @@
-// Items of batch jobs on their way to servers: a store with its disk, its copy's answers given by the test,
-// and servers that show what has reached them.
+// Items of batch jobs on their way to servers: a store with its disk, whose replica is played by the test,
+// and servers that record the requests that reach them.
 #include <algorithm>
 #include <boost/asio/io_context.hpp>
 #include <catch2/catch.hpp>
@@ -29,12 +29,12 @@
     "\"timeout_ms\":4000,\"target_latency_ms\":300,\"route_class\":\"batch\",\"max_attempts\":2,"
     "\"max_wait_s\":600}]}";
 
-// A request as a server has got it.
+// A request as a server received it.
 struct ReceivedRequest {
   std::string id, head, body;
 };
 
-// Takes items and answers with one event, or turns them away.
+// Accepts items and answers each with one event, or rejects them.
 class ItemServer {
  public:
   ItemServer() : server_([this](int fd, int, const std::string& request) { return serve(fd, request); }) {}
@@ -88,7 +88,7 @@
   return out;
 }
 
-// A store that is the primary of the tenant's shard, with one copy.
+// A store that is the primary of the tenant's shard, with one other replica.
 class Store {
  public:
   explicit Store(const ItemServer& server)
@@ -111,7 +111,7 @@
 
   StoreService& service() { return *service_; }
 
-  // Tells the store where the shard is kept, with a lease from now on.
+  // Sets the members of the shard, first the primary, and renews the store's lease.
   void place(const std::vector<StoreId>& members) {
     table_.sequence += 1;
     table_.stores = {record(service_->disk_id(), "10.0.0.9:7000"), record(kReplicaDisk, kReplica),
@@ -127,7 +127,7 @@
   std::uint64_t epoch() const { return table_.sequence; }
   const JobTable& jobs() const { return *table_of_jobs_; }
 
-  // Submits a job and has it accepted.
+  // Submits a job and requires that it is accepted.
   void submit(const JobSpec& spec) {
     JobCall call = call_on(JobCallKind::kSubmit, spec.id);
     call.spec.push_back(spec);
@@ -135,7 +135,7 @@
     answer_as_replica();
     REQUIRE(reply_to(call.call).status == 202);
   }
-  // Submits a job; the status of the answer.
+  // Submits a job and returns the status of the reply.
   std::uint32_t try_submit(const JobSpec& spec) {
     JobCall call = call_on(JobCallKind::kSubmit, spec.id);
     call.spec.push_back(spec);
@@ -144,7 +144,7 @@
     REQUIRE(replies.size() == 1);
     return replies.front().second.status;
   }
-  // Asks for a job's end; its outcome is left open.
+  // Requests the end of a job and does not wait for the reply.
   void request_end(const std::string& job) { send(call_on(JobCallKind::kEnd, job)); }
   std::string read(const std::string& job) {
     const JobCall call = call_on(JobCallKind::kRead, job);
@@ -152,7 +152,8 @@
     return reply_to(call.call).body;
   }
 
-  // As the copy: answers what was sent to it, until nothing more is. `later` is added to the store's clock.
+  // Plays the replica: acknowledges what was sent to it until nothing more is. `later` is added to the
+  // store's clock.
   void answer_as_replica(Millis later = 0) {
     for (;;) {
       const auto sent = messenger_.take<Replicate>(MessageType::kReplicate);
@@ -170,7 +171,7 @@
       }
     }
   }
-  // As the one message of the copy that answers what was sent first.
+  // Plays the replica: acknowledges only the first of the messages sent to it.
   void answer_first_as_replica(Millis later) {
     const auto sent = messenger_.take<Replicate>(MessageType::kReplicate);
     REQUIRE_FALSE(sent.empty());
@@ -182,9 +183,9 @@
     reply.accepted = true;
     service_->on_replicate_reply(steady_now() + later, reply);
   }
-  // What the copy tells that it holds, once it is asked anew.
+  // Sets the digests that the replica reports when it is next asked for them.
   void set_replica_digests(const std::vector<JobDigest>& digests) { digests_ = digests; }
-  // A change that another primary sends to this store.
+  // Delivers a change that another primary sends to this store.
   void replicate_from(const std::string& primary, const JobChange& change, MessageNumber number = {1, 1, 1},
                       std::uint64_t earlier_epochs = 0) {
     Replicate message{};
@@ -196,7 +197,7 @@
     service_->on_replicate(primary, message);
   }
 
-  // As a fault of the memory would.
+  // Corrupts the body of an item, as a memory fault would.
   void damage_body(const std::string& job, std::size_t item) {
     table_of_jobs_->find({kTenant, job})->spec.items[item].body += "!";
   }
@@ -205,13 +206,13 @@
     hear_leader(later);
     service_->tick(steady_now() + later);
   }
-  // Runs what has been started to its end.
+  // Runs what has been started to completion.
   void settle() {
     io_.restart();
     io_.run_for(std::chrono::milliseconds(kPatienceMs));
     REQUIRE(io_.stopped());
   }
-  // Whether something was sent that the copy has not answered.
+  // Whether a message was sent that the replica has not answered.
   bool awaits_replica() const {
     return std::any_of(messenger_.sent.begin(), messenger_.sent.end(),
                        [](const RecordingMessenger::Sent& each) {
@@ -307,7 +308,7 @@
   std::uint64_t calls_ = 0;
 };
 
-constexpr Millis kAfterRetryDelayMs = 200;  // by then an item that was turned away may be offered again
+constexpr Millis kAfterRetryDelayMs = 200;  // by then a rejected item may be sent again
 
 }  // namespace
 
@@ -318,14 +319,14 @@
   store.submit(job_of("j", 2));
   store.settle();
   REQUIRE(server.received().size() == 2);
-  // The first result is written here, the second waits behind it; the copy is silent, and the client ends the
-  // job.
+  // The first result is written here and the second waits behind it. The replica is silent, and the client
+  // ends the job.
   REQUIRE(store.awaits_replica());
   store.request_end("j");
   server.set_full(true);
   store.tick();
   store.settle();
-  // The copy answers for the first result alone: its item is listed, and the job not ended yet.
+  // The replica acknowledges only the first result: its item has a result now, and the job is not ended yet.
   store.answer_first_as_replica(kAfterRetryDelayMs);
   store.settle();
   store.answer_as_replica();
@@ -426,7 +427,7 @@
   store.replicate_from(kOtherStore, snapshot, {1, 1, 3});
   store.replicate_from(kOtherStore, result_change, {1, 1, 5});
   REQUIRE(results() == 1);
-  store.replicate_from(kOtherStore, snapshot, {1, 1, 4});  // a repair of the time before the result
+  store.replicate_from(kOtherStore, snapshot, {1, 1, 4});  // a repair from before the result
   CHECK(results() == 1);
   store.place({kOtherStoreDisk, store.service().disk_id()});
   store.replicate_from(kOtherStore, snapshot, {1, 1, 9}, 1);
@@ -435,7 +436,8 @@
   CHECK(results() == 0);
 }
 
-// Numbers were once packed into one: 24 bits of messages, 16 of tenures, the rest of starts.
+// Guards against numbers that overflow into each other: they were once packed into one integer, with 24 bits
+// for messages, 16 for tenures and the rest for starts.
 TEST_CASE("the messages of a later tenure or start count, however many the earlier one has sent") {
   const auto later = GENERATE(MessageNumber{1, 2, 1}, MessageNumber{2, 1, 1});
   constexpr std::uint64_t kMessagesOfDays = (std::uint64_t{1} << 24) + 5;
@@ -472,7 +474,7 @@
   CHECK(asked[1].number < MessageNumber{3, 5, 1});
 }
 
-// ---------------------------------------------------------------- bodies that change on their way
+// ---------------------------------------------------------------- bodies corrupted on their way
 
 TEST_CASE(
     "a job whose body has changed on its way to its store is not kept, and its edge node sends it again") {
--- a/tests/system/schedule_test.cpp
+++ b/tests/system/schedule_test.cpp
@@ -1,5 +1,5 @@
-// The item schedule against its promises, over random walks: results that are on their way while their job is
-// ended, demoted or listed elsewhere, and runs that end after they stopped counting.
+// Random walks that check the guarantees of the item schedule: results are uncommitted while their job is
+// ended, moves to another primary or gets results there, and runs end after they were abandoned.
 #include <catch2/catch.hpp>
 #include <map>
 #include <random>
@@ -24,8 +24,8 @@
   return out;
 }
 
-// A store that keeps the promises of its side: it applies results in order, some time after they were
-// decided.
+// A host that keeps its side of the contract: it applies results in order, some time after they were
+// reported.
 class Walk : public ItemHost {
  public:
   explicit Walk(std::uint64_t seed) : random_(seed), schedule_(table_, *this) {}
@@ -69,7 +69,7 @@
     runs_.emplace(run.id, Running{run, true});
   }
   void on_corrupted_item(const JobKey& key, std::uint32_t item, StartReason) override {
-    FAIL_CHECK("no body changes here, and one is missing: " << key.id << " " << item);
+    FAIL_CHECK("no item is corrupted here, but one was reported: " << key.id << " " << item);
   }
   void on_result(Millis, const JobKey& key, JobResult result) override {
     CHECK(decided_.insert({key, result.item}).second);
@@ -143,7 +143,7 @@
     change.results.push_back(result);
     table_.apply(now_, change);
   }
-  // The end is asked for now and committed behind what is on its way.
+  // Requests the end of a job; it commits after the uncommitted results.
   void request_end() {
     const JobKey key = any_job();
     if (!is_primary_) return;
@@ -156,7 +156,7 @@
     table_.apply(now_, change);
     schedule_.forget(key);
   }
-  // What is on its way may be on disk, or lost.
+  // Uncommitted results may be on disk or lost.
   void step_down() {
     is_primary_ = false;
     while (!uncommitted_results_.empty()) {
--- a/tests/system/storage_test.cpp
+++ b/tests/system/storage_test.cpp
@@ -1,4 +1,5 @@
-// The ring of segment files: what was synced is there after a start, whatever became of the rest.
+// The ring of segment files and the control journal in it: what was synced is there after a start, whatever
+// happened to the rest.
 #include <boost/asio/io_context.hpp>
 #include <catch2/catch.hpp>
 #include <catch2/trompeloeil.hpp>
@@ -44,7 +45,7 @@
   return out;
 }
 
-// The file that holds the newest records, and its bytes.
+// The path of the segment file that holds a record.
 std::string newest_segment(const std::string& folder, const std::string& last_record) {
   for (const auto& entry : std::filesystem::directory_iterator(folder)) {
     std::ifstream file(entry.path(), std::ios::binary);
@@ -104,7 +105,7 @@
     TempDirectory torn_folder;
     write_bytes(torn_folder.path() + "/segment-0", bytes);
     INFO("torn at " << torn);
-    // A zero byte at the very end may be what stood there anyway: never so in this text.
+    // The record holds no zero byte, so filling any part of it with zeros changes it.
     CHECK(records_in(options_in(torn_folder.path())) == std::vector<std::string>{"first"});
   }
 }
@@ -225,7 +226,7 @@
       ready.entries.push_back(entry);
     }
     REQUIRE((*journal)->append(1, ready).ok());
-    consensus::Ready replacing;  // the log from entry 4 on was another leader's
+    consensus::Ready replacing;  // replaces the log from entry 4 on, which came from another leader
     consensus::LogEntry other{};
     other.index = 4;
     other.term = 4;
@@ -312,7 +313,7 @@
 
 namespace {
 
-// Three records, each synced by itself, in one segment; the path of that segment.
+// Writes three records to one segment, each synced by itself, and returns the path of that segment.
 std::string write_synced(const RingOptions& options) {
   auto ring = SegmentRing::open(options, [](std::string_view, Generation) {});
   REQUIRE(ring.ok());
@@ -444,7 +445,7 @@
     auto ring =
         SegmentRing::open(options, [&](std::string_view record, Generation) { shown.emplace_back(record); });
     INFO("seed " << seed);
-    if (!ring.ok()) continue;  // a later sync that did nothing is damage, and told as such
+    if (!ring.ok()) continue;  // a later sync that did nothing is damage, and reported as such
     REQUIRE(shown.size() >= synced.size());
     CHECK(std::equal(synced.begin(), synced.end(), shown.begin()));
   }
--- a/tests/system/submission_test.cpp
+++ b/tests/system/submission_test.cpp
@@ -1,5 +1,5 @@
-// Submissions of batch jobs from the client's bytes on, over sockets: in chunks, cut at each byte, one behind
-// the other, as large as may be. An oracle that knows what the client sent compares each parsed item.
+// Submissions of batch jobs over sockets, from the client's bytes to parsed items: chunked, split at each
+// byte, pipelined, and of the largest size. Each parsed item is compared with what the client sent.
 #include <absl/strings/escaping.h>
 
 #include <algorithm>
@@ -24,7 +24,7 @@
 
 constexpr std::uint64_t kMaxBodyBytes = 4U << 20;
 
-// What a client puts into an item.
+// An item as its client sends it.
 struct ClientItem {
   std::string id, path, body;
   std::vector<std::pair<std::string, std::string>> headers;
@@ -44,7 +44,7 @@
   return out + "]}";
 }
 
-// A body of any bytes, those that frame messages among them.
+// A random body, rich in bytes that delimit HTTP messages and JSON.
 std::string random_body(std::mt19937_64& random, std::size_t max_bytes) {
   static const std::string kSpecial = std::string("\0\r\n\"\\{}:,", 9);
   std::string out(random() % (max_bytes + 1), '\0');
@@ -90,7 +90,7 @@
   return out + "0\r\n\r\n";
 }
 
-// Parses each submission as an edge node does, and keeps what came out.
+// Parses each submission as an edge node does and records the items.
 class TestFront {
  public:
   TestFront() {
@@ -102,7 +102,7 @@
     thread_.join();
   }
   std::uint16_t port() const { return port_; }
-  // The items of a submission, by its id; nothing where it was refused.
+  // The items of the submission with this id; none if it was rejected.
   std::vector<JobItem> parsed(const std::string& id) {
     const std::lock_guard lock(mutex_);
     return parsed_[id];
@@ -143,7 +143,7 @@
   std::map<std::string, std::vector<JobItem>> parsed_;
 };
 
-// Sends bytes in the given pieces on one connection and reads so many answers; their status lines.
+// Sends the pieces on one connection, reads `answers` responses and returns their status codes.
 std::vector<std::string> send_pieces(std::uint16_t port, const std::vector<std::string>& pieces,
                                      std::size_t answers) {
   const int fd = ::socket(AF_INET, SOCK_STREAM, 0);
--- a/tests/system/temp_directory.h
+++ b/tests/system/temp_directory.h
@@ -1,4 +1,4 @@
-// A folder of a test's own, gone with it.
+// A temporary directory that is removed with its object.
 #pragma once
 
 #include <cstdlib>
@@ -10,7 +10,7 @@
  public:
   TempDirectory() {
     std::string name = (std::filesystem::temp_directory_path() / "nettlestand-XXXXXX").string();
-    if (::mkdtemp(name.data()) == nullptr) throw std::runtime_error("no temporary folder");
+    if (::mkdtemp(name.data()) == nullptr) throw std::runtime_error("cannot create a temporary directory");
     path_ = name;
   }
   ~TempDirectory() {
