--- a/peers/balancer_tracker.cpp
+++ b/peers/balancer_tracker.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr double kNever = std::numeric_limits<double>::infinity();
-constexpr double kFlapResetSeconds = 60;  // s without a change, after which a copy's flaps are forgotten
+constexpr double kFlapResetSeconds = 60;  // without a change, after which a balancer's flaps are forgotten
 constexpr int kMaxFlaps = 10;
 
 }  // namespace
@@ -22,11 +22,11 @@
       last_change_(now),
       next_tick_(now + settings_.settle_time) {
   if (settings_.count < 1 || settings_.index < 0 || settings_.index >= settings_.count) {
-    throw std::invalid_argument("copies: the place is not one of the count");
+    throw std::invalid_argument("balancers: the index is not below the count");
   }
   if (!(settings_.join_delay >= 0) || !(settings_.loss_delay >= 0) || !(settings_.settle_time >= 0) ||
       !(settings_.loss_memory >= 0)) {
-    throw std::invalid_argument("copies: times must not be negative");
+    throw std::invalid_argument("balancers: times must not be negative");
   }
 }
 
@@ -41,7 +41,7 @@
     entry.identity = m.identity;
     entry.tier_known = true;
   }
-  // Who is doubted is still there; who is about to go takes nothing new.
+  // A suspected balancer still counts as present; a leaving one takes no new requests.
   const bool present = m.state == MemberState::kAlive || m.state == MemberState::kSuspect;
   entry.dead = m.state == MemberState::kDead;
   if (present != entry.present) {
@@ -71,7 +71,7 @@
       ++dead_count;
     }
   }
-  // Those that were configured and never heard of may be on the other side of a cut.
+  // Configured balancers that were never heard of may be on the other side of a partition.
   const int expected = now - started_ < settings_.loss_memory ? settings_.count : 0;
   out.rate_limit_divisor = std::max<double>(out.count, std::max(out.count + dead_count, expected) / 2.0);
   return out;
@@ -111,11 +111,11 @@
     next_tick_ = std::min(next_tick_, started_ + settings_.loss_memory);
   const BalancerAssignment current = assign(now);
   const bool alone = current.count == 1 && assignment_.count > 1;
-  // Alone by goodbyes is alone; alone by silence is perhaps cut off.
+  // The only one left after goodbyes is alone; the only one left after deaths may be cut off.
   if (alone && std::any_of(entries_.begin(), entries_.end(), [](const auto& c) { return c.second.dead; })) {
     return std::nullopt;
   }
-  if (alone && entries_.empty()) return std::nullopt;  // nobody was ever heard of
+  if (alone && entries_.empty()) return std::nullopt;  // no other balancer was ever heard of
   if (current == assignment_) return std::nullopt;
   assignment_ = current;
   return current;
--- a/peers/datagram_codec.cpp
+++ b/peers/datagram_codec.cpp
@@ -12,7 +12,8 @@
 constexpr std::size_t kBlake2bBytes = kMacBytes;  // BLAKE2b
 static_assert(kBlake2bBytes == crypto_generichash_BYTES_MIN);
 constexpr std::size_t kKeyBytes = crypto_generichash_KEYBYTES;  // 32 bytes
-constexpr std::uint32_t kMaxArrayElements = 16;  // of an array: guards the memory of the reader
+// Elements of an array; bounds the memory that a datagram makes the parser use.
+constexpr std::uint32_t kMaxArrayElements = 16;
 
 std::string mac_of(std::string_view bytes, const std::string& key) {
   std::string out(kBlake2bBytes, '\0');
@@ -60,16 +61,16 @@
 
 DatagramCodec::DatagramCodec(Cluster cluster)
     : cluster_(std::move(cluster)), cluster_id_(static_cast<std::uint32_t>(member_key(cluster_.name))) {
-  if (sodium_init() < 0) throw std::runtime_error("libsodium can't start");
+  if (sodium_init() < 0) throw std::runtime_error("libsodium initialization failed");
   set_keys(std::move(cluster_.keys));
 }
 
 void DatagramCodec::set_keys(std::vector<std::string> keys) {
   for (const std::string& key : keys) {
-    if (key.size() != kKeyBytes) throw std::invalid_argument("a cluster's key is not 32 bytes");
+    if (key.size() != kKeyBytes) throw std::invalid_argument("a cluster key must be 32 bytes");
   }
   authenticated_ = !keys.empty();
-  if (!authenticated_) keys.emplace_back(kKeyBytes, '\0');  // then it is a checksum
+  if (!authenticated_) keys.emplace_back(kKeyBytes, '\0');  // the MAC is then only a checksum
   cluster_.keys = std::move(keys);
 }
 
@@ -107,14 +108,14 @@
   std::string bytes(buffer.data(), buffer.size());
   bytes += mac_of(bytes, cluster_.keys.front());
   if (bytes.size() > kMaxDatagramBytes)
-    throw std::length_error("a datagram of " + std::to_string(bytes.size()) + " bytes");
+    throw std::length_error("datagram too long: " + std::to_string(bytes.size()) + " bytes");
   return bytes;
 }
 
 bool DatagramCodec::accept_number(MemberKey from, std::uint64_t generation, std::uint64_t number) {
   auto it = recent_.find({from, generation});
   if (it == recent_.end()) {
-    // Guards the memory against keys and lives without end: who is not heard for long is forgotten.
+    // Bounds the memory against endless keys and generations: windows that are not used for long are dropped.
     if (recent_.size() >= kMaxReplayWindows) {
       older_ = std::move(recent_);
       recent_.clear();
@@ -214,14 +215,14 @@
         id.version = read_text(element(x, 9), 0, kMaxLabelBytes);
         id.tier = static_cast<std::uint8_t>(read_unsigned(element(x, 10), 255));
         id.number = static_cast<std::uint32_t>(read_unsigned(element(x, 11), 0xFFFFFFFF));
-        if (member_key(id.name) != u.key) throw Malformed{};  // a name that is not the key's
+        if (member_key(id.name) != u.key) throw Malformed{};  // the name does not belong to the key
         u.identity = std::make_shared<const Identity>(std::move(id));
       }
       m.updates.push_back(std::move(u));
     }
   } catch (const Malformed&) {
     return std::nullopt;
-  } catch (const std::exception&) {  // not MessagePack, cut short, or too deep
+  } catch (const std::exception&) {  // not MessagePack, truncated or nested too deep
     return std::nullopt;
   }
   error = DecodeError::kNone;
--- a/peers/datagram_codec.h
+++ b/peers/datagram_codec.h
@@ -1,5 +1,6 @@
-// Membership's datagrams: MessagePack arrays of at most 256 bytes, for one cluster, perhaps sealed with its
-// key. Bytes in, a message or why not out; no sockets. The format stands in docs/design/peers.md.
+// Encodes and decodes membership datagrams: MessagePack arrays of at most 256 bytes for one cluster,
+// authenticated if the cluster has keys, with replay protection. No sockets. The format is described in
+// docs/design/peers.md.
 #pragma once
 
 #include <cstdint>
@@ -16,46 +17,49 @@
 
 constexpr std::uint8_t kWireVersion = 2;
 
+// Why a datagram was rejected.
 enum class DecodeError {
   kNone,
-  kMalformed,     // no message, or figures out of range
-  kVersion,       // of another version
-  kOtherCluster,  // of another name
-  kBadMac,        // sealed with none of this cluster's keys, or corrupted on the way
-  kReplay         // heard before, or long ago
+  kMalformed,     // no message, or values out of range
+  kVersion,       // another protocol version
+  kOtherCluster,  // another cluster name
+  kBadMac,        // authenticated with none of this cluster's keys, or corrupted
+  kReplay         // received before, or too old to tell
 };
 constexpr std::size_t kDecodeErrorCount = 6;
 const char* name_of(DecodeError refusal);
 
-// What a cluster's nodes share.
+// What the nodes of a cluster share.
 struct Cluster {
   std::string name = "nettlestand";
-  std::vector<std::string>
-      keys;  // 32 bytes each; the first seals, all are taken: a change of keys needs two for a while
+  // 32 bytes each. The first authenticates outgoing datagrams, all are accepted: a change of keys needs two
+  // for a while.
+  std::vector<std::string> keys;
 };
 
-// Not for two threads at once. One for a process's life.
+// Not thread-safe. A process must keep one instance for its whole life, as it numbers the outgoing datagrams.
 class DatagramCodec {
  public:
-  // Lives of members whose datagrams are told apart from repeats: the least, and the double at the most.
+  // Generations of members that replay protection remembers: at least these many, at most twice as many.
   static constexpr std::size_t kMaxReplayWindows = 16384;
 
   // Throws std::invalid_argument for a key that is not 32 bytes long.
   explicit DatagramCodec(Cluster cluster);
 
-  // Throws std::length_error where it would be over kMostBytes: a defect of the caller.
+  // Throws std::length_error if the datagram would exceed kMaxDatagramBytes, which is a defect of the caller.
   std::string encode(const Message& message);
-  // Other keys from now on; what was heard stays heard. Throws as the constructor does, and changes nothing.
+  // Replaces the keys; the replay windows are kept. Throws like the constructor, and then changes nothing.
   void set_keys(std::vector<std::string> keys);
   bool authenticated() const { return authenticated_; }
-  // The message, or none and `why`.
+  // The message, or nullopt with the reason in `error`.
   std::optional<Message> decode(std::string_view bytes, DecodeError& error);
-  // What is inside a seal: the message and its sender's number for it. For decode(), and for whoever tries
-  // the reader with bytes that no key has sealed.
+  // Decodes an authenticated body to the message and its sender's sequence number. Used by decode(), and by
+  // fuzzing to reach the parser with bytes that no key has authenticated.
   std::optional<Message> decode_body(std::string_view body, std::uint64_t& number, DecodeError& error) const;
 
  private:
-  // What was heard of one life of one member: the highest number, and which of the 64 below it.
+  // The sequence numbers received from one generation of one member: the highest, and a bit for each of the
+  // 64 below it.
   struct ReplayWindow {
     std::uint64_t highest = 0, below = 0;
   };
@@ -71,7 +75,7 @@
   const std::uint32_t cluster_id_;
   bool authenticated_ = false;
   std::uint64_t last_number_ = 0;
-  ReplayWindows recent_, older_;  // those that were heard of late, and those not for longer
+  ReplayWindows recent_, older_;  // windows in recent use, and those not used since the last rotation
 };
 
 }  // namespace nettlestand::peers
--- a/peers/gossip_queue.h
+++ b/peers/gossip_queue.h
@@ -1,5 +1,5 @@
-// What is still to be told: rumours, told some times the logarithm of the fleet and then dropped (Das et al.
-// 2002, section 4.1). Holds, and decides nothing but the order: what was told least often goes first.
+// The queue of updates to disseminate: each is sent a multiple of log(members) times and then dropped (Das et
+// al. 2002, section 4.1); those sent least often go first.
 #pragma once
 
 #include <algorithm>
@@ -12,12 +12,12 @@
 
 class GossipQueue {
  public:
-  static constexpr std::size_t kMaxItems = 512;  // of which the most told goes first
+  static constexpr std::size_t kMaxItems = 512;  // beyond it, the update sent most often is dropped
 
   bool empty() const { return items_.empty(); }
   std::size_t size() const { return items_.size(); }
 
-  // Older news of the same member goes. Suspicions of several accusers stand side by side.
+  // Replaces earlier updates on the same member. Suspicions by different reporters are kept side by side.
   void add(const Update& update) {
     std::erase_if(items_, [&](const Item& n) {
       return n.update.key == update.key &&
@@ -26,11 +26,13 @@
     if (items_.size() >= kMaxItems) items_.pop_back();
     items_.insert(items_.begin(), {update, 0});
   }
+  // Drops all updates on a member.
   void remove(MemberKey key) {
     std::erase_if(items_, [key](const Item& n) { return n.update.key == key; });
   }
 
-  // Adds what fits to a message; `members`: how many there are to tell.
+  // Adds as many updates as fit to a message. `members`: size of the group, which determines how often each
+  // is sent.
   void append_to(Message& m, std::size_t members) {
     const int max_sends = 2 + static_cast<int>(std::ceil(1.5 * std::log2(static_cast<double>(members) + 2)));
     std::size_t bytes = max_encoded_bytes(m);
@@ -58,7 +60,7 @@
     Update update;
     int times_sent = 0;
   };
-  std::vector<Item> items_;  // in the order of `told`
+  std::vector<Item> items_;  // ordered by `times_sent`
 };
 
 }  // namespace nettlestand::peers
--- a/peers/member.cpp
+++ b/peers/member.cpp
@@ -6,7 +6,7 @@
 namespace nettlestand::peers {
 namespace {
 
-// MessagePack's sizes.
+// Sizes in MessagePack.
 std::size_t number(std::uint64_t n) {
   return n < 128 ? 1 : n < 256 ? 2 : n < 65536 ? 3 : n <= 0xFFFFFFFF ? 5 : 9;
 }
@@ -16,7 +16,7 @@
 
 MemberKey member_key(const std::string& name) {
   const MemberKey out = XXH64(name.data(), name.size(), 0);
-  return out == 0 ? 1 : out;  // 0 is nobody
+  return out == 0 ? 1 : out;  // 0 means no member
 }
 
 const char* name_of(MemberState state) {
@@ -46,7 +46,7 @@
 }
 
 std::size_t max_encoded_bytes(const Message& m) {
-  constexpr std::size_t kCounter = 9;  // the datagram's number, which its sender's wire gives it
+  constexpr std::size_t kCounter = 9;  // the sequence number that the sender's codec adds
   std::size_t out = 1 + 1 + 5 + kCounter + 1 + number(m.seq) + number(m.from) + number(m.generation) +
                     number(m.target) + number(m.target_generation) + 1 + 1 + kMacBytes;
   for (const Update& u : m.updates) out += max_encoded_bytes(u);
--- a/peers/member.h
+++ b/peers/member.h
@@ -1,4 +1,4 @@
-// What membership speaks of: members, what is said of them, and the messages that carry it. Values alone.
+// The data types of membership: members, updates about them, and the messages that carry updates.
 #pragma once
 
 #include <cstddef>
@@ -10,101 +10,111 @@
 
 namespace nettlestand::peers {
 
-// Where datagrams go: the host's own numbering, such as IPv4 address and port in 48 bits, or a node's place
-// in a list that all nodes have. 0: nowhere, or not known.
+// Where datagrams go. The host chooses the encoding: IPv4 address and port in 48 bits, or an index from 1
+// into a list that all nodes share. 0: none or unknown.
 using Address = std::uint64_t;
-// A name's digest: what datagrams carry of it.
+// Hash of a member's name, which stands for the name in datagrams.
 using MemberKey = std::uint64_t;
 MemberKey member_key(const std::string& name);
 
+// What is known of a member's current generation, in order of precedence.
 enum class MemberState : std::uint8_t {
   kAlive,
   kSuspect,  // somebody has failed to reach it, twice
-  kLeaving,  // it has said that it is about to go, and finishes what it has
-  kDead,     // several have failed to reach it, and it has not said otherwise
+  kLeaving,  // it has announced that it will leave, and finishes its work
+  kDead,     // several members have failed to reach it, and it has not refuted
   kLeft      // it has said goodbye
 };
 const char* name_of(MemberState state);
-// No life comes back from these.
+// Whether a generation has ended for good in this state.
 inline bool has_ended(MemberState state) {
   return state == MemberState::kDead || state == MemberState::kLeft;
 }
 
-constexpr std::size_t kMaxNameBytes = 32, kMaxLabelBytes = 12;  // bytes
+constexpr std::size_t kMaxNameBytes = 32, kMaxLabelBytes = 12;
 
+// How a member describes itself.
 struct Identity {
   std::string name;          // 1 to 32 bytes, unique in the cluster
   std::string zone, region;  // 0 to 12 bytes
   std::string version;       // 0 to 12 bytes
   std::uint8_t tier = 0;     // of the servers that it sends to
-  std::uint32_t number = 0;  // its place among the nodes of its tier, as its own configuration has it
+  std::uint32_t number = 0;  // its configured position among the nodes of its tier
 
   bool operator==(const Identity&) const = default;
 };
 
-// One member as this node holds it.
+// A member as this node knows it.
 struct Member {
   Identity identity;
-  bool identity_known = false;  // id is known beyond the key
+  bool identity_known = false;  // `identity` is known, not only `key`
   MemberKey key = 0;
   Address address = 0;
-  std::uint64_t generation = 0;  // larger with each life of this name
+  std::uint64_t generation = 0;  // larger for each process start under this name
   std::uint32_t incarnation = 0;
   MemberState state = MemberState::kAlive;
-  double since = 0;              // s by this node's clock, in this state
-  double heard_at = -1e18;       // s; its last datagram to this node
-  std::size_t reached_by = 0;    // others that have said within some periods that they reach it
-  std::size_t suspected_by = 0;  // accusers, where it is suspected
+  double since = 0;         // s by this node's clock; when it entered this state
+  double heard_at = -1e18;  // s; its last datagram to this node
+  // Other members that have recently reported that they reach it.
+  std::size_t reached_by = 0;
+  std::size_t suspected_by = 0;  // members that report failing to reach it, if it is suspected
 };
 
-// A change of one member, told in order and exactly once.
+// A change of one member. Changes are reported in order and exactly once.
 struct Change {
   Member member;
   MemberState before = MemberState::kDead;
-  bool first_seen = false;  // it was not known before
-  MemberKey source = 0;     // who said so; this node's own key where it found out itself
+  bool first_seen = false;  // the member was not known before
+  MemberKey source = 0;     // who reported it; this node's key if it found out itself
 };
 
-// What one node says of another, or of itself.
+// What one node reports of another or of itself.
 struct Update {
   MemberKey key = 0;
   std::uint64_t generation = 0;
   std::uint32_t incarnation = 0;
   MemberState state = MemberState::kAlive;
   Address address = 0;
-  MemberKey reporter = 0;                    // of a suspicion: who failed to reach it
-  std::shared_ptr<const Identity> identity;  // the first times that a life is told of
+  MemberKey reporter = 0;                    // of a suspicion: who failed to reach the member
+  std::shared_ptr<const Identity> identity;  // sent the first times that a generation is gossiped
 };
 
+// The kinds of datagrams.
 enum class MessageKind : std::uint8_t {
-  kPing,             // answer with an ack
-  kAck,              // to a ping, or to a ping that was asked for
-  kPingReq,          // ping `target` for me
-  kGossip,           // updates alone
-  kPageRequest,      // send me a page of your table, from the key `target` on
-  kPage,             // that page, with identities; `target` is where the next one begins, 0: there is none
-  kDigest,           // a part of the sender's table; what the receiver knows better comes back as news
-  kIdentityRequest,  // describe yourself
-  kNack,             // a request to ping was heard: who asked is not deaf (Lifeguard's nack)
-  kNameTaken         // the sender reaches another process under your name, whose life is `target_life`
+  kPing,             // answered by an ack
+  kAck,              // answers a ping, or a ping request on behalf of the target
+  kPingReq,          // asks the receiver to ping `target`
+  kGossip,           // only updates
+  kPageRequest,      // asks for a page of the receiver's table, from key `target` on
+  kPage,             // a page with identities; `target` is where the next one begins, 0 if there is none
+  kDigest,           // a part of the sender's table; newer updates come back as gossip
+  kIdentityRequest,  // asks the receiver to describe itself
+  // Confirms that a ping request arrived, so that the requester knows that it receives messages (Lifeguard's
+  // nack).
+  kNack,
+  // The sender reaches another process under the receiver's name, whose generation is `target_generation`.
+  kNameTaken
 };
 constexpr MessageKind kLastMessageKind = MessageKind::kNameTaken;
 
+// The content of a datagram.
 struct Message {
   MessageKind kind = MessageKind::kGossip;
-  std::uint32_t seq = 0;  // of a ping, and of its ack
+  std::uint32_t seq = 0;  // of a ping and its ack
   MemberKey from = 0;
   std::uint64_t generation = 0;  // of the sender
-  MemberKey target = 0;  // whom a ping is for: it may be somebody else's address by now; of whom an ack tells
+  // Of a ping, the member it is meant for, as the address may be another member's by now; of an ack, the
+  // member that it reports as reached.
+  MemberKey target = 0;
   std::uint64_t target_generation = 0;
-  bool direct_ack = false;  // of an ack: the sender has answered itself
+  bool direct_ack = false;  // of an ack: the sender itself was pinged
   std::vector<Update> updates;
 };
 
-constexpr std::size_t kMaxDatagramBytes = 256;  // of a datagram, as the platform's protocol has it
-constexpr std::size_t kMacBytes = 16;
-constexpr std::size_t kMaxUpdates = 8;  // in a datagram
-// What a datagram and an update take up on the wire, at the most.
+constexpr std::size_t kMaxDatagramBytes = 256;  // as the platform's protocol prescribes
+constexpr std::size_t kMacBytes = 16;           // message authentication code
+constexpr std::size_t kMaxUpdates = 8;          // in a datagram
+// Upper bounds for the encoded size of a datagram and of an update.
 std::size_t max_encoded_bytes(const Message& message);
 std::size_t max_encoded_bytes(const Update& update);
 
--- a/peers/member_table.h
+++ b/peers/member_table.h
@@ -1,5 +1,4 @@
-// The members that a node knows, in little memory: 10,000 of them are an ordinary fleet. Holds, and decides
-// nothing.
+// The table of known members, kept compact as a fleet may well have 10,000 of them.
 #pragma once
 
 #include <algorithm>
@@ -15,15 +14,16 @@
   std::uint64_t generation = 0;
   Address address = 0;
   double since = 0, heard_at = -1e18;        // s
-  std::shared_ptr<const Identity> identity;  // none: not described yet
+  std::shared_ptr<const Identity> identity;  // null: not described yet
   std::uint32_t incarnation = 0;
   MemberState state = MemberState::kAlive;
-  bool address_confirmed = false;  // the address is that of a datagram of this life
+  // The address is the source of a datagram of this generation.
+  bool address_confirmed = false;
 };
 
-static_assert(sizeof(MemberEntry) == 64);  // what the operators' page says of memory
+static_assert(sizeof(MemberEntry) == 64);  // the memory use in the operators' documentation relies on it
 
-// Sorted by key. Pointers hold until the next insert() or sweep().
+// A vector sorted by key. Pointers are valid until the next insert(), merge() or remove_if().
 class MemberTable {
  public:
   MemberEntry* find(MemberKey key) {
@@ -35,7 +35,7 @@
     const MemberKey key = entry.key;
     return *entries_.insert(lower_bound(key), std::move(entry));
   }
-  // Many at once. How many they were.
+  // Inserts many entries at once, one for each key. Returns how many were added.
   std::size_t merge(std::vector<MemberEntry> more) {
     const std::size_t before = entries_.size();
     entries_.insert(entries_.end(), std::make_move_iterator(more.begin()),
@@ -48,7 +48,7 @@
                    entries_.end());
     return entries_.size() - before;
   }
-  // The first entry from a key on; size() where there is none.
+  // The index of the first entry whose key is not below `key`; size() if there is none.
   std::size_t index_from(MemberKey key) const {
     return static_cast<std::size_t>(const_cast<MemberTable*>(this)->lower_bound(key) - entries_.begin());
   }
@@ -70,8 +70,9 @@
   std::vector<MemberEntry> entries_;
 };
 
-// A member's place on one of several rings, in which all nodes order all members alike and each ring
-// differently: whoever is next on a ring is observed (after Rapid's monitoring overlay, Suresh et al. 2018).
+// A member's position on one of several rings. All nodes order the members of a ring alike, and each ring
+// differently; a node observes the next member on each ring (after Rapid's monitoring overlay, Suresh et al.
+// 2018).
 inline std::uint64_t ring_position(MemberKey key, int ring) {
   std::uint64_t z = key + 0x9E3779B97F4A7C15ULL * static_cast<std::uint64_t>(ring + 1);  // splitmix64
   z = (z ^ (z >> 30)) * 0xBF58476D1CE4E5B9ULL;
--- a/peers/membership.cpp
+++ b/peers/membership.cpp
@@ -9,42 +9,48 @@
 namespace nettlestand::peers {
 namespace {
 
-constexpr int kMaxPings = 4;               // of a probe; a further one where an answer is late
-constexpr int kIndirectAfterTimeouts = 3;  // timeouts, until others are asked to try
-constexpr double kProbeTimeouts = 5;       // a probe's length; others have two of them to answer in
-constexpr double kVerifyTimeouts = 4;      // a second look's: others are asked at once
+constexpr int kMaxPings = 4;               // pings in a probe; another one is sent when the ack is late
+constexpr int kIndirectAfterTimeouts = 3;  // ack timeouts until other members are asked to ping
+constexpr double kProbeTimeouts = 5;       // length of a probe; the helpers have two of these to answer
+constexpr double kVerifyTimeouts = 4;      // length of a verifying probe, in which helpers are asked at once
 static_assert(kMinIntervalTimeouts > kProbeTimeouts && kMinSuspicionTimeouts >= kVerifyTimeouts);
-constexpr double kSwimProbeShare = 0.9;  // of a period, in the styles that are for measurements
+constexpr double kSwimProbeShare = 0.9;  // of a probe interval; for the baseline protocols
 constexpr double kSwimIndirectTimeouts = 2;
-constexpr double kSwimSuspicionSeconds = 4;      // s; plain SWIM's suspicion
-constexpr double kIndirectContactIntervals = 4;  // periods for which a reach that was told of counts
-constexpr double kRecentContactIntervals = 2;    // periods for which an own contact speaks for a member
-constexpr double kRecentAckIntervals = 3;        // periods for which an answer tells that this life is known
-constexpr double kMinSuspicionBackoffSeconds =
-    10;  // s without an accusation after a refutation that did not help this node
-constexpr double kMaxSuspicionBackoffSeconds = 60;  // s
-constexpr double kMeanVerifiers = 5;    // members, in the mean, that look for themselves when one is doubted
-constexpr double kVerifyIntervals = 3;  // periods, after which all others look too where a doubt still stands
-constexpr double kMeanNotifiers = 24;   // and so many tell it
-constexpr int kPushFanout = 3;          // others that hear of urgent news at once
-constexpr int kRejoinFanout = 6;        // and of a rebirth
-constexpr std::uint64_t kMaxGenerationStep = std::uint64_t{1}
-                                             << 42;  // of lives: 139 years in ms; more is a lie
-constexpr double kPagesPerSecond = 20;               // a second, while a node learns who is there
-constexpr double kPageTimeoutSeconds = 0.5;          // s for a page to come
-constexpr double kGreetingsPerSecond = 20;           // a second, after the start
+constexpr double kSwimSuspicionSeconds = 4;  // plain SWIM
+// Probe intervals for which an ack that another member relayed counts as a contact.
+constexpr double kIndirectContactIntervals = 4;
+// Probe intervals for which a node's own contact with a member speaks against a suspicion.
+constexpr double kRecentContactIntervals = 2;
+// Probe intervals for which an ack shows that the others know this node's generation.
+constexpr double kRecentAckIntervals = 3;
+// No new suspicion for so long after a refutation by a member that this node still can't reach.
+constexpr double kMinSuspicionBackoffSeconds = 10;
+constexpr double kMaxSuspicionBackoffSeconds = 60;
+// Expected number of members that probe a suspect themselves.
+constexpr double kMeanVerifiers = 5;
+// Probe intervals after which all other members probe a suspect too, if the suspicion still stands.
+constexpr double kVerifyIntervals = 3;
+constexpr double kMeanNotifiers = 24;  // expected number of members that notify the suspect
+constexpr int kPushFanout = 3;         // members that urgent gossip is sent to at once
+constexpr int kRejoinFanout = 6;       // members that a rejoin or a goodbye is sent to at once
+// A larger step between generations is not believed. Generations start as times in ms: 139 years.
+constexpr std::uint64_t kMaxGenerationStep = std::uint64_t{1} << 42;
+constexpr double kPagesPerSecond = 20;  // while a node fetches the member table
+constexpr double kPageTimeoutSeconds = 0.5;
+constexpr double kGreetingsPerSecond = 20;  // after the start
 constexpr std::size_t kMaxGreetings = 600;
-constexpr int kQuickRediscoveries = 3;  // further looks for the dead, at once, for each that is found alive
-constexpr double kQuickRediscoverySeconds = 0.1;  // s
-constexpr double kClaimRejectedSeconds = 2;       // s until a claim is looked at anew
-constexpr double kCleanupIntervalSeconds = 10;    // s
-constexpr double kEndedGenerationMemorySeconds =
-    3600;  // s for which a forgotten member's lives are known at the least
-constexpr double kMinRejoinIntervalSeconds = 0.2;  // s between two
+// Further rediscoveries in quick succession for each dead member that turns out to be alive.
+constexpr int kQuickRediscoveries = 3;
+constexpr double kQuickRediscoverySeconds = 0.1;  // between them
+constexpr double kClaimRejectedSeconds = 2;       // until a rejected claim to a name is checked again
+constexpr double kCleanupIntervalSeconds = 10;
+// How long the ended generations of forgotten members are kept at least.
+constexpr double kEndedGenerationMemorySeconds = 3600;
+constexpr double kMinRejoinIntervalSeconds = 0.2;
 constexpr std::size_t kMaxVerifyProbes = 64, kMaxProbes = 512;
 constexpr double kNever = std::numeric_limits<double>::infinity();
 
-// Of two things said of one life with one incarnation, the worse one holds.
+// If two updates concern the same generation and incarnation, the more severe state holds.
 int severity(MemberState state) { return static_cast<int>(state); }
 
 }  // namespace
@@ -60,36 +66,38 @@
       reply_limit_(settings_.replies_per_s, 4 * settings_.replies_per_s) {
   const auto short_text = [](const std::string& text) { return text.size() <= kMaxLabelBytes; };
   if (settings_.self.name.empty() || settings_.self.name.size() > kMaxNameBytes) {
-    throw std::invalid_argument("name: 1 to 32 bytes");
+    throw std::invalid_argument("name: must be 1 to 32 bytes");
   }
   if (!short_text(settings_.self.zone) || !short_text(settings_.self.region) ||
       !short_text(settings_.self.version)) {
-    throw std::invalid_argument("zone, region and version: 12 bytes at most");
+    throw std::invalid_argument("zone, region and version: must be at most 12 bytes");
   }
-  if (settings_.address == 0) throw std::invalid_argument("address: none");
-  if (settings_.generation == 0) throw std::invalid_argument("life: from 1");
+  if (settings_.address == 0) throw std::invalid_argument("address: missing");
+  if (settings_.generation == 0) throw std::invalid_argument("generation: must be at least 1");
   if (!(settings_.probe_interval > 0) || !(settings_.ack_timeout > 0) ||
       settings_.ack_timeout * kMinIntervalTimeouts > settings_.probe_interval) {
-    throw std::invalid_argument("period and timeout: above 0, and a period holds six timeouts");
+    throw std::invalid_argument(
+        "probe_interval and ack_timeout: must be above 0, and the interval at least six timeouts");
   }
-  if (settings_.rings < 1 || settings_.rings > 8) throw std::invalid_argument("rings: 1 to 8");
+  if (settings_.rings < 1 || settings_.rings > 8) throw std::invalid_argument("rings: must be 1 to 8");
   if (settings_.indirect_probes < 0 || settings_.confirmations < 1)
-    throw std::invalid_argument("indirect from 0, accusers from 1");
+    throw std::invalid_argument("indirect_probes must be at least 0, confirmations at least 1");
   if (!(settings_.min_suspicion >= settings_.ack_timeout * kMinSuspicionTimeouts) ||
       !(settings_.max_suspicion >= settings_.min_suspicion)) {
-    throw std::invalid_argument("least_doubt: four timeouts at least; most_doubt: no less");
+    throw std::invalid_argument("min_suspicion: must be at least four timeouts; max_suspicion: no less");
   }
   if (!(settings_.gossip_per_s >= 1) || !(settings_.replies_per_s >= 1) ||
       !(settings_.rediscovery_interval > 0) || !(settings_.sync_interval > 0)) {
-    throw std::invalid_argument("news_per_s and replies_per_s: from 1; seek_period and sync_period: above 0");
+    throw std::invalid_argument(
+        "gossip_per_s and replies_per_s: at least 1; rediscovery_interval and sync_interval: above 0");
   }
-  if (settings_.max_health < 0) throw std::invalid_argument("most_health: from 0");
+  if (settings_.max_health < 0) throw std::invalid_argument("max_health: must be at least 0");
 }
 
 void Membership::begin_event(double now, std::vector<Outgoing>& out) {
   now_ = now;
   out_ = &out;
-  // Whichever comes first after it, a datagram or the time.
+  // A stall is noticed by whichever comes first after it, a datagram or the timer.
   if (!is_swim() && now - next_tick_ > settings_.probe_interval) recover_from_stall(now - next_tick_);
 }
 
@@ -104,7 +112,7 @@
   gossip_limit_.start(now);
   reply_limit_.start(now);
   set_seed_addresses(addresses);
-  // Nodes that start together must not probe together.
+  // Nodes that start together must not probe at the same moments.
   next_probe_ = now + settings_.probe_interval * random_unit();
   next_gossip_ = next_page_request_ = next_greeting_ = next_tick_ = now;
   next_rediscovery_ = now + settings_.rediscovery_interval * (0.5 + random_unit());
@@ -180,7 +188,7 @@
   out.address = e.address;
   if (with_identity) out.identity = e.identity;
   const auto it = suspicions_.find(e.key);
-  if (it != suspicions_.end()) {  // also of one that is leaving
+  if (it != suspicions_.end()) {  // also for a member that is leaving
     out.state = MemberState::kSuspect;
     out.reporter = it->second.own_failure         ? key_
                    : it->second.reporters.empty() ? 0
@@ -189,10 +197,10 @@
   return out;
 }
 
-// What goes with a datagram: what concerns its receiver first, then what was told least often.
+// Fills a datagram with updates: first the one that concerns its receiver, then those sent least often.
 void Membership::send(Address to, Message message, const MemberEntry* about) {
   if (to == 0 || to == settings_.address || refused_) return;
-  // Who is doubted, or thought dead, has to hear of it.
+  // A member that is suspected or declared dead has to learn of it.
   if (about != nullptr && about->state != MemberState::kAlive && message.updates.size() < kMaxUpdates) {
     const Update u = update_of(*about);
     if (max_encoded_bytes(message) + max_encoded_bytes(u) <= kMaxDatagramBytes) message.updates.push_back(u);
@@ -201,7 +209,7 @@
   out_->push_back({to, std::move(message)});
 }
 
-// What others have asked for: bounded, so that nobody makes this node send without end.
+// Sends a reply within the rate limit, so that nobody can make this node send without bound.
 bool Membership::reply(Address to, Message message, const MemberEntry* about) {
   if (!reply_limit_.take(now_)) {
     ++counters_.rate_limited_replies;
@@ -216,7 +224,8 @@
   gossip_urgent_ = gossip_urgent_ || urgent;
 }
 
-// News that must not wait go to some at once, who do the same: all have heard within some ways' time.
+// Sends urgent gossip to some members at once, who do the same, so that it reaches all within a few network
+// delays.
 void Membership::push_gossip() {
   gossip_urgent_ = false;
   if (!is_default()) return;
@@ -233,7 +242,7 @@
     const MemberEntry& e = table_[random_below(table_.size())];
     if (!has_ended(e.state) && e.address != 0) return &e;
   }
-  // Few among many: the next one from a random place on.
+  // Few live members among many: take the next one after a random position.
   const std::size_t from = random_below(table_.size());
   for (std::size_t i = 0; i < table_.size(); ++i) {
     const MemberEntry& e = table_[(from + i) % table_.size()];
@@ -242,7 +251,7 @@
   return nullptr;
 }
 
-// ------------------------------------------------------------ what is known
+// ------------------------------------------------------------ member table
 
 Member Membership::member_of(const MemberEntry& e) const {
   Member m;
@@ -295,7 +304,7 @@
 
 std::vector<Change> Membership::changes() { return std::exchange(changes_, {}); }
 
-// The latest life of a name that is known to have ended; 0: none.
+// The latest generation under a key that is known to have ended; 0 if there is none.
 std::uint64_t Membership::ended_generation(MemberKey key) const {
   if (const MemberEntry* e = table_.find(key)) return has_ended(e->state) ? e->generation : e->generation - 1;
   const auto it = ended_generations_.find(key);
@@ -322,7 +331,7 @@
   if (lived != lives) update_observed(e);
 }
 
-// Who is observed follows who lives: the next one on each ring.
+// Updates the observed members, which are the next live member on each ring.
 void Membership::update_observed(const MemberEntry& e) {
   if (has_ended(e.state)) {
     if (std::find(observed_.begin(), observed_.end(), e.key) != observed_.end()) select_observed();
@@ -353,7 +362,7 @@
   }
 }
 
-// ------------------------------------------------------------ what is said
+// ------------------------------------------------------------ updates
 
 void Membership::apply_update(const Update& u, MemberKey from) {
   if (u.key == key_) return apply_update_about_self(u, from, 0);
@@ -363,13 +372,13 @@
     ++counters_.implausible_generations;
     return;
   }
-  if (u.generation <= ended_generation(u.key)) return;  // a life that has ended does not come back
+  if (u.generation <= ended_generation(u.key)) return;  // an ended generation does not become alive again
   if (e == nullptr) return add_member(u, from);
-  // What a member says of itself counts for more than what others say.
+  // A member's own description of itself takes precedence over descriptions by others.
   if (u.identity && u.generation == e->generation &&
       (!e->identity || (from == u.key && *e->identity != *u.identity))) {
     e->identity = u.identity;
-    // The rest of the program hears of a member once more where it could not be told who that is.
+    // Reports the member again, as it could not be described before.
     changes_.push_back({member_of(*e), e->state, false, from});
   }
   if (u.generation > e->generation) {
@@ -381,7 +390,7 @@
   }
   switch (u.state) {
     case MemberState::kSuspect:
-      if (u.incarnation < e->incarnation) {  // who says so has missed the refutation
+      if (u.incarnation < e->incarnation) {  // the sender has missed the refutation
         if (u.reporter == from && is_default()) {
           if (const MemberEntry* who = table_.find(from)) {
             Message back = make_message(MessageKind::kGossip);
@@ -402,7 +411,8 @@
       if (!e->address_confirmed && u.address != 0) e->address = u.address;
       const auto suspicion = suspicions_.find(u.key);
       if (suspicion != suspicions_.end()) {
-        // It lives, and this node could not reach it: what it finds next proves nothing new for a while.
+        // The member is alive although this node could not reach it, so further failed probes prove nothing
+        // for a while.
         if (refutes && suspicion->second.own_failure && is_default()) {
           SuspicionBackoff& backoff = suspicion_backoffs_[u.key];
           backoff.length =
@@ -424,7 +434,7 @@
 }
 
 void Membership::add_member(const Update& u, MemberKey from) {
-  if (has_ended(u.state)) {  // nobody that one could count on: its lives alone are remembered
+  if (has_ended(u.state)) {  // of an unknown member that has ended, only the generation is kept
     auto& [generation, at] = ended_generations_[u.key];
     generation = std::max(generation, u.generation);
     at = now_;
@@ -453,12 +463,12 @@
   if (u.state == MemberState::kSuspect) add_suspicion(e, u.reporter, from);
 }
 
-// Guards the memory against lives without end of one that does not say who it is.
+// The bound protects the memory against a member that starts new generations and never describes itself.
 void Membership::queue_identity_request(MemberKey key) {
   if (identity_missing_.size() <= table_.size()) identity_missing_.push_back(key);
 }
 
-// The life that was known is over.
+// The known generation has ended: replaces it by a later one.
 void Membership::start_generation(MemberEntry& e, const Update& u, MemberKey from) {
   if (!has_ended(e.state)) set_state(e, MemberState::kDead, from);
   e.generation = u.generation;
@@ -485,15 +495,15 @@
   if (u.state == MemberState::kSuspect) add_suspicion(e, u.reporter, from);
 }
 
-// What others say of this node. `floor`: lives up to there are taken.
+// Handles an update about this node. `floor`: generations up to it are taken.
 void Membership::apply_update_about_self(const Update& u, MemberKey from, std::uint64_t floor) {
   if (left_ || refused_ || u.generation < generation_) return;
   if (std::max(u.generation, floor) > generation_ + kMaxGenerationStep) {
     ++counters_.implausible_generations;
     return;
   }
-  // A later life, where this one was taken in and is answered: another process uses the name. Who holds it is
-  // for the others to say. Danger: two that outbid each other would do so without end.
+  // A later generation, although this node has joined and is answered: another process uses its name. The
+  // other members decide who holds the name. Outbidding each other's generation would go on without end.
   const bool elsewhere =
       u.generation > generation_ && !has_ended(u.state) && u.address != 0 && u.address != settings_.address;
   const bool answered = established_ && now_ - acked_at_ < kRecentAckIntervals * settings_.probe_interval;
@@ -501,13 +511,13 @@
     ++counters_.name_conflicts;
     return;
   }
-  // A former self that a wrong clock had given a larger life.
+  // An earlier process that had been given a larger generation by a wrong clock.
   if (u.generation > generation_) return rejoin(std::max(u.generation, floor));
   if (has_ended(u.state)) return rejoin(std::max(u.generation, floor));
   if (u.state == MemberState::kSuspect) refute(u, from);
 }
 
-// A new life under its own name: everybody else took the last one for dead.
+// Starts a new generation under the same name, as the other members have declared the last one dead.
 void Membership::rejoin(std::uint64_t floor) {
   if (now_ - rejoined_at_ < kMinRejoinIntervalSeconds) return;
   rejoined_at_ = now_;
@@ -524,7 +534,7 @@
 }
 
 void Membership::refute(const Update& u, MemberKey from) {
-  // Danger: who has refuted this already, and was not heard, has to say so again.
+  // If the refutation has been sent but was missed, it has to be sent again.
   if (u.incarnation >= incarnation_) {
     incarnation_ = u.incarnation + 1;
     ++counters_.refuted;
@@ -533,7 +543,8 @@
   } else {
     gossip(self_update(false), false);
   }
-  // Whoever said so hears it at once, and who has told of it: the way to here works, so may the way back.
+  // Answers the reporter and the sender at once: as there is a path from them to this node, there may be one
+  // back.
   for (const MemberKey key : {from, u.reporter}) {
     const MemberEntry* e = table_.find(key);
     if (e == nullptr) continue;
@@ -544,7 +555,8 @@
   }
 }
 
-// Who is taken for dead and speaks has to hear so, and beyond which lives it has to go.
+// Tells a member that is taken for dead and still sends that it was declared dead, and which generation it
+// has to exceed.
 void Membership::answer_ended_member(const Message& m, Address from) {
   for (const Update& u : m.updates) {
     if (u.key == key_)
@@ -552,7 +564,7 @@
                               m.kind == MessageKind::kGossip && m.target == key_ ? m.target_generation : 0);
   }
   const MemberEntry* e = table_.find(m.from);
-  // What a former self had still sent, from where its next life is now.
+  // A late datagram of an earlier generation, from the address where the next one already runs.
   if (e != nullptr && !has_ended(e->state) && e->address == from) return;
   Message back = make_message(MessageKind::kGossip);
   back.target = m.from;
@@ -562,16 +574,16 @@
   u.generation = m.generation;
   u.state = MemberState::kDead;
   back.updates.push_back(u);
-  // Danger: two that hold each other for dead would tell each other so without end.
+  // Two members that take each other for dead would otherwise answer each other without end.
   if (m.kind != MessageKind::kGossip || random_unit() < 0.5) reply(from, std::move(back));
-  // There may be more where it was found.
+  // Other members may be reachable again at the same place.
   if (e != nullptr && e->state == MemberState::kDead)
     quick_rediscoveries_ = std::min(quick_rediscoveries_ + kQuickRediscoveries, 60);
 }
 
-// ------------------------------------------------------------ names that two use
+// ------------------------------------------------------------ name conflicts
 
-// Whether a datagram is of a process that uses a name which another one holds, as far as is known.
+// Whether a datagram comes from a process that uses a name which another process holds, as far as is known.
 bool Membership::is_name_claim(const Message& m, Address from) {
   MemberEntry* e = table_.find(m.from);
   if (!is_default() || e == nullptr || m.generation <= e->generation || has_ended(e->state) ||
@@ -587,7 +599,7 @@
   }
   const auto it = name_claims_.find(m.from);
   if (it != name_claims_.end() && it->second.rejected && now_ < it->second.until) {
-    // Both are told: who holds the name, and who wants it.
+    // Both processes are told: the one that claims the name and the one that holds it.
     Message back = make_message(MessageKind::kNameTaken);
     back.target = m.from;
     back.target_generation = e->generation;
@@ -602,7 +614,7 @@
   return true;
 }
 
-// Asks who holds a name whether it still does.
+// Probes the holder of a name to find out whether it still runs.
 void Membership::verify_name_holder(MemberEntry& e, const Update& u) {
   NameClaim& claim = name_claims_[e.key];
   if (claim.rejected && now_ < claim.until) return;
@@ -612,9 +624,10 @@
   start_probe(e, ProbeReason::kNameClaim);
 }
 
-// ------------------------------------------------------------ doubt
+// ------------------------------------------------------------ suspicions
 
-// Somebody has failed to reach a member. Who reaches it says so; some look for themselves, some tell it.
+// Records that `reporter` failed to reach a member. Members that reach it notify it; a few others probe it or
+// notify it as well.
 void Membership::add_suspicion(MemberEntry& e, MemberKey reporter, MemberKey by) {
   if (has_ended(e.state)) return;
   const bool known = suspicions_.contains(e.key);
@@ -635,8 +648,8 @@
     if (more) ++counters_.suspicions;
   }
   if (e.state == MemberState::kAlive)
-    set_state(e, MemberState::kSuspect, by);  // who is leaving stays so until it is dead
-  // Each that confirms brings the end nearer (Lifeguard's logarithm).
+    set_state(e, MemberState::kSuspect, by);  // a leaving member stays so until it is dead
+  // Each confirmation shortens the suspicion (Lifeguard's logarithm).
   if (more && !is_swim()) {
     const double needed = std::max(2, needed_confirmations());
     const double part =
@@ -661,14 +674,14 @@
   if (random_unit() * living < kMeanVerifiers) start_probe(e, ProbeReason::kVerify);
 }
 
-// Tells a member that it is doubted: its refutation is worth more than this node's word.
+// Notifies a suspect: its own refutation counts for more than this node's word.
 void Membership::notify_suspect(const MemberEntry& e) {
   reply(e.address, make_message(MessageKind::kGossip), &e);
 }
 
 int Membership::needed_confirmations() const {
   if (!is_default()) return is_swim() ? 1 : settings_.confirmations;
-  // Of three nodes two can say so; of two, one.
+  // Two confirmations are enough among three nodes, one among two.
   return std::max(1, std::min(settings_.confirmations, static_cast<int>(live_count_) - 1));
 }
 
@@ -678,7 +691,7 @@
   gossip(update_of(e));
 }
 
-// When a doubt wants to be seen to: the last look goes before its end, not behind it.
+// When a suspicion needs attention: the final probe ends before the suspicion does, not after it.
 double Membership::suspicion_due(const Suspicion& d) const {
   const bool enough = static_cast<int>(d.reporters.size()) >= needed_confirmations();
   const double final_probe_time = d.own_failure && enough && !d.final_probe_sent && is_default()
@@ -702,16 +715,17 @@
       declare_dead(*e);
       continue;
     }
-    // Where a doubt stands and too few have found out, as on the small side of a cut, all look.
+    // If a suspicion stands and too few members have confirmed it, as on the small side of a partition, all
+    // probe.
     if (!d.own_failure && now_ >= d.probe_at) {
       d.probe_at = now_ + settings_.probe_interval * kVerifyIntervals;
       start_probe(*e, ProbeReason::kVerify);
     }
     const bool enough = static_cast<int>(d.reporters.size()) >= needed_confirmations();
-    // Only who has found out itself says so, and not before it has looked once more.
+    // Only a node that failed to reach the suspect itself declares it dead, and only after a final probe.
     if (!d.own_failure || !enough) {
       if (now_ < d.until) continue;
-      // Where nobody confirms it and nobody refutes it for long, what this node has found has to do.
+      // If nobody confirms or refutes it for long, this node's own failures are enough.
       if (!d.own_failure || now_ < d.since + settings_.max_suspicion * 3) {
         d.until = now_ + settings_.probe_interval;
         start_probe(*e, ProbeReason::kVerify);
@@ -747,7 +761,7 @@
         (p.reason == reason || (p.reason == ProbeReason::kVerify && reason == ProbeReason::kObserved)))
       return;
   }
-  // Guards the memory: more at a time is a flood of doubts.
+  // Bounds the memory; more probes at a time mean a flood of suspicions.
   if (probes_.size() >= (reason == ProbeReason::kVerify ? kMaxVerifyProbes : kMaxProbes)) return;
   Probe p;
   p.key = e.key;
@@ -765,7 +779,7 @@
   advance_probe(probes_.back());
 }
 
-// The next ping of a probe, or its requests to others.
+// Sends the next ping of a probe or its requests to helpers.
 void Membership::advance_probe(Probe& p) {
   const MemberEntry* e = table_.find(p.key);
   if (e == nullptr) return;
@@ -818,7 +832,7 @@
   MemberEntry* e = table_.find(p.key);
   if (e == nullptr || e->generation != p.generation || has_ended(e->state)) return;
   if (p.reason == ProbeReason::kAddressChange) return;
-  if (p.reason == ProbeReason::kNameClaim) {  // who held the name does not answer: it is the other's
+  if (p.reason == ProbeReason::kNameClaim) {  // the holder does not answer, so the name goes to the claimant
     const auto it = name_claims_.find(p.key);
     if (it == name_claims_.end()) return;
     const Update u = it->second.update;
@@ -827,24 +841,24 @@
     return;
   }
   ++counters_.failed_probes;
-  // Nobody has heard it either who was asked to help: it is this node that hears little (Lifeguard).
+  // No helper has answered either, so this node is probably the one that misses messages (Lifeguard).
   if (p.helpers_asked && !p.helper_heard && live_count_ > 2) adjust_health(1);
   if (now_ < no_suspicion_until_) return;
   const auto backoff = suspicion_backoffs_.find(p.key);
   if (is_default() && backoff != suspicion_backoffs_.end() && now_ < backoff->second.until) return;
-  // What one probe finds may be chance: a second look, with others asked at once, comes before any word.
+  // A single failed probe may be chance: a verifying probe, with helpers asked at once, precedes a suspicion.
   if (is_default() && p.reason == ProbeReason::kObserved && !suspicions_.contains(p.key))
     return start_probe(*e, ProbeReason::kVerify);
   add_suspicion(*e, key_, key_);
 }
 
-// The members on the rings, each once in a period.
+// Probes the next observed member; each is probed once in an interval.
 void Membership::probe_next_observed() {
   const std::size_t rings = observed_.size();
   const std::size_t at = next_ring_++ % rings;
   next_probe_ = now_ + scale_by_health(settings_.probe_interval) / static_cast<double>(rings);
-  // Whose doubts nobody confirms may be on the small side of a cut: it looks beyond those that it observes,
-  // so that it does not find out about one after another.
+  // A node whose suspicions nobody confirms may be on the small side of a partition. It also probes members
+  // that it does not observe, so that it doesn't find the unreachable ones only one after another.
   if (std::any_of(suspicions_.begin(), suspicions_.end(), [this](const auto& d) {
         return d.second.own_failure && static_cast<int>(d.second.reporters.size()) < needed_confirmations();
       })) {
@@ -853,7 +867,7 @@
       start_probe(*table_.find(other->key), ProbeReason::kVerify);
   }
   const MemberKey key = observed_[at];
-  // Two rings that name one member observe it once.
+  // If two rings name the same member, it is probed once.
   if (key == 0 || std::find(observed_.begin(), observed_.begin() + static_cast<std::ptrdiff_t>(at), key) !=
                       observed_.begin() + static_cast<std::ptrdiff_t>(at)) {
     return;
@@ -862,7 +876,7 @@
   if (e != nullptr && !has_ended(e->state)) start_probe(*e, ProbeReason::kObserved);
 }
 
-// All members in turn, in a new order each time (SWIM, section 4.3).
+// Probes all members in turn, in a new random order each round (SWIM, section 4.3).
 void Membership::probe_next_in_round() {
   next_probe_ = now_ + scale_by_health(settings_.probe_interval);
   for (std::size_t i = 0; i <= table_.size(); ++i) {
@@ -889,7 +903,7 @@
     e.address = from;
     e.address_confirmed = true;
     e.heard_at = now_;
-  } else {  // from elsewhere: it may have moved, or somebody repeats what it said
+  } else {  // the member has moved, or somebody replays its datagrams
     start_probe(e, ProbeReason::kAddressChange, from);
   }
 }
@@ -912,18 +926,18 @@
   if (reached != it->key || e == nullptr) return;
   const Probe p = *it;
   if (p.reason == ProbeReason::kAddressChange && (!m.direct_ack || from != p.to)) return;
-  // An answer of another life says nothing of the one that was asked for.
+  // An ack of another generation says nothing about the one that was probed.
   if (p.reason == ProbeReason::kNameClaim && (!m.direct_ack || m.generation != p.generation)) return;
   established_ = true;
   acked_at_ = now_;
-  if (!m.direct_ack) {  // by way of another
+  if (!m.direct_ack) {  // relayed by another member
     auto& by = indirect_contacts_[reached];
     std::erase_if(by, [&](const auto& r) {
       return r.first == m.from || r.second < now_ - kIndirectContactIntervals * settings_.probe_interval;
     });
     if (by.size() < 16) by.emplace_back(m.from, now_);
   }
-  // Late answers tell of this node more than of the other (Lifeguard).
+  // Late acks say more about this node than about the other one (Lifeguard).
   if (now_ - p.started_at < scale_by_health(settings_.ack_timeout)) adjust_health(-1);
   probes_.erase(it);
   if (p.reason == ProbeReason::kAddressChange) {
@@ -958,7 +972,8 @@
       if (name_taken_at_ < now - settings_.name_conflict_timeout / 2) name_taken_since_ = now;
       name_taken_at_ = now;
       ++counters_.name_conflicts;
-      // Of two that have both been taken in, on two sides of a cut, the later life goes.
+      // If both processes have joined, on two sides of a partition, the one with the later generation gives
+      // way.
       if ((!established_ || m.target_generation < generation_) &&
           now - name_taken_since_ >= settings_.name_conflict_timeout)
         refused_ = true;
@@ -979,20 +994,21 @@
     e = table_.find(m.from);
   }
   if (e == nullptr || e->generation != m.generation)
-    return end_event();  // there is no room for it, or it is not believed
+    return end_event();  // the table is full, or the generation is not plausible
   record_contact(*e, from);
   const std::uint64_t floor = m.kind == MessageKind::kGossip && m.target == key_ ? m.target_generation : 0;
   for (const Update& u : m.updates) {
     if (u.key == key_) {
       apply_update_about_self(u, m.from, floor);
-    } else if (m.kind != MessageKind::kPingReq) {  // there it only says where the target is
+    } else if (m.kind !=
+               MessageKind::kPingReq) {  // in a ping request an update only gives the target's address
       apply_update(u, m.from);
     }
     if (left_ || refused_) return end_event();
   }
   switch (m.kind) {
     case MessageKind::kPing: {
-      if (m.target != 0 && m.target != key_) break;  // for who had this address before
+      if (m.target != 0 && m.target != key_) break;  // meant for a node that had this address before
       Message ack = make_message(MessageKind::kAck);
       ack.seq = m.seq;
       ack.target = key_;
@@ -1012,7 +1028,8 @@
       heard_it.seq = m.seq;
       if (target != nullptr && !m.updates.empty() && target->generation == m.target_generation &&
           target->incarnation > m.updates.front().incarnation) {
-        heard_it.updates.push_back(update_of(*target));  // it has refuted what the asker may believe
+        heard_it.updates.push_back(
+            update_of(*target));  // the target has refuted what the requester may believe
       }
       if (!reply(from, std::move(heard_it)) || to == 0) break;
       if (relayed_probes_.size() >= 256) relayed_probes_.erase(relayed_probes_.begin());
@@ -1046,13 +1063,13 @@
   end_event();
 }
 
-// ------------------------------------------------------------ tables
+// ------------------------------------------------------------ table exchange
 
 void Membership::send_page(const Message& m, Address from) {
   Message page = make_message(MessageKind::kPage);
   page.seq = m.seq;
   if (m.target <= 1) page.updates.push_back(self_update(true));
-  std::size_t bytes = max_encoded_bytes(page) + 8;  // `target` may get longer
+  std::size_t bytes = max_encoded_bytes(page) + 8;  // `target` may become longer
   std::size_t i = table_.index_from(m.target);
   for (; i < table_.size(); ++i) {
     const MemberEntry& e = table_[i];
@@ -1068,14 +1085,14 @@
   reply(from, std::move(page));
 }
 
-// Its members have been learned like any news.
+// The page's members have already been applied like any other updates.
 void Membership::on_page(const Message& m) {
   if (!page_pending_ || m.seq != page_seq_) return;
   page_pending_ = false;
   next_page_request_ = now_ + 1 / kPagesPerSecond;
   page_cursor_ = m.target;
   if (m.target != 0) return;
-  // Where a whole pass has told of somebody new there may be more: another one is asked.
+  // If a full pass has found a new member there may be more, so another pass follows.
   page_cursor_ = 1;
   fetching_table_ = std::exchange(found_new_member_, false);
   next_page_request_ = now_ + (fetching_table_ ? kPageTimeoutSeconds * (0.5 + random_unit()) : 0);
@@ -1105,8 +1122,8 @@
   send(e->address, std::move(ask));
 }
 
-// A part of the table without identities, one after another: what two hold differently is found out, whatever
-// was lost.
+// Sends the next part of the table without identities, so that differences between two tables are found
+// whatever was lost.
 void Membership::send_digest() {
   next_sync_ = now_ + settings_.sync_interval * (0.75 + random_unit() / 2);
   const MemberEntry* to = random_live_member();
@@ -1126,7 +1143,7 @@
   send(to->address, std::move(m));
 }
 
-// What this node knows better of those that a part of a table names.
+// Sends newer updates on the members that a digest lists.
 void Membership::answer_digest(const Message& m, Address from) {
   Message back = make_message(MessageKind::kGossip);
   std::size_t bytes = max_encoded_bytes(back);
@@ -1148,8 +1165,8 @@
 
 // ------------------------------------------------------------ time
 
-// Guards the others against a process that stood: what it was waiting for has come meanwhile, and lies
-// unread.
+// After a stall, awaited acks may have arrived and lie unread in the socket: discards what this node was
+// about to report of others.
 void Membership::recover_from_stall(double gap) {
   ++counters_.stalls;
   probes_.clear();
@@ -1162,7 +1179,7 @@
     suspicion.since += gap;
     suspicion.final_probe_sent = false;
   }
-  // Whether it is still taken for alive: several are asked at once.
+  // Probes several members at once to learn whether this node is still taken for alive.
   for (int i = 0; i < 3; ++i) {
     const MemberEntry* e = random_live_member();
     if (e != nullptr) start_probe(*table_.find(e->key), ProbeReason::kObserved);
@@ -1176,7 +1193,8 @@
   send(to, hello());
 }
 
-// The dead, and addresses nobody is known at: halves of a cut find each other so.
+// Contacts a dead member and a seed address at which no member is known, so that the sides of a healed
+// partition find each other.
 void Membership::rediscover() {
   if (quick_rediscoveries_ > 0) --quick_rediscoveries_;
   next_rediscovery_ =
@@ -1200,7 +1218,7 @@
   }
 }
 
-// Asks those who they are of whom nothing but the key is known.
+// Asks members of which only the key is known to describe themselves.
 void Membership::request_identities() {
   for (int i = 0; i < 3 && !identity_missing_.empty(); ++i) {
     const std::size_t at = random_below(identity_missing_.size());
--- a/peers/membership.h
+++ b/peers/membership.h
@@ -1,14 +1,15 @@
-// Who is there: membership among the nodes, decided. Datagrams and time in, datagrams and events out; no
-// sockets, no clock, no files. Spreading after SWIM (Das, Gupta, Motivala 2002), self-awareness after
-// Lifeguard (Dadgar, Phillips, Currey 2017), observers on rings after Rapid (Suresh et al. 2018). What is
-// added to them, and why, stands in docs/design/peers.md:
-//   - a life number with each start, and a new one for who learns that it was thought dead: no life comes
-//     back
-//   - each member is observed by the same few others in every period, so that a death is noticed in the first
-//   - a death is declared by somebody who has failed to reach the member itself, once enough others have too
-//   - who hears of a doubt tells the doubted one: one-sided cuts do not make it dead
-//   - a process that notices that it stood forgets what it was about to say of others
-//   - what is sent is bounded, whatever the fleet's size and whatever comes in
+// Group membership among the nodes: a state machine that takes datagrams and the time and produces datagrams
+// and membership changes. It has no sockets, clock or files. Dissemination follows SWIM (Das, Gupta, Motivala
+// 2002), local health follows Lifeguard (Dadgar, Phillips, Currey 2017), observers on rings follow Rapid
+// (Suresh et al. 2018). Additions, explained in docs/design/peers.md:
+//   - Each process start has a new generation number, and so has a node that learns that it was declared
+//     dead. An ended generation never becomes alive again.
+//   - Each member is probed by the same few observers in every interval, so that a death is noticed in the
+//     first.
+//   - Only a node that failed to reach the member itself declares it dead, once enough others failed as well.
+//   - Whoever hears of a suspicion notifies the suspect, so that one-way partitions don't make it dead.
+//   - A process that notices that it was stalled discards its pending findings about others.
+//   - The number of datagrams sent is bounded, whatever the size of the fleet and whatever is received.
 #pragma once
 
 #include <cstdint>
@@ -25,114 +26,127 @@
 
 namespace nettlestand::peers {
 
-// What of it is in use: the first two are for measurements beside the third.
+// Which failure detector runs. The first two are baselines for measurements.
 enum class Protocol {
-  kSwim,       // random probes, one ping each, a suspicion of fixed length, whoever's time is up declares
-  kLifeguard,  // the same, with self-awareness, shorter suspicions as others confirm, and telling the suspect
+  // Random probes with one ping each, suspicions of fixed length; the node whose suspicion expires declares
+  // the death.
+  kSwim,
+  // SWIM with local health, suspicions that shorten as others confirm, and notification of the suspect.
+  kLifeguard,
+  // SWIM and Lifeguard with the additions listed above.
   kDefault
 };
 
-constexpr double kMinIntervalTimeouts = 6;   // timeouts that a period holds at the least,
-constexpr double kMinSuspicionTimeouts = 4;  // and a doubt
+constexpr double kMinIntervalTimeouts = 6;   // a probe interval is at least so many ack timeouts
+constexpr double kMinSuspicionTimeouts = 4;  // a suspicion is at least so many ack timeouts
 
+// Settings of one node.
 struct MembershipSettings {
   Identity self;
   Address address = 0;
-  std::uint64_t generation =
-      1;  // larger than any before under this name, where that is known: else it is told so
+  // Larger than any earlier generation under this name, if that is known; otherwise the others tell the node.
+  std::uint64_t generation = 1;
   std::uint64_t seed = 1;
   Protocol protocol = Protocol::kDefault;
-  double probe_interval = 1;  // s in which each observed member is probed once
+  double probe_interval = 1;  // s; each observed member is probed once in it
   double ack_timeout = 0.15;  // s until an unanswered ping is sent again
-  int rings = 2;              // members that a node observes, and nodes that observe it
-  int indirect_probes = 3;    // others that are asked to try
-  int confirmations =
-      3;  // that have failed to reach a member themselves, before it is dead; fewer in small fleets
-  double min_suspicion = 1.2;       // s from suspicion to death at the least,
-  double max_suspicion = 6;         // s where too few confirm it
-  double gossip_per_s = 8;          // datagrams that spread news, a second
-  double replies_per_s = 50;        // datagrams that answer others, a second
-  double rediscovery_interval = 3;  // s between looks for the dead
-  double sync_interval = 2;         // s between parts of the table that go to somebody at random
-  double forget_after = 600;        // s after which the dead and the left are forgotten, but for their lives
-  double name_conflict_timeout = 10;  // s for which a process waits for its name to be free
-  int max_health = 4;                 // Lifeguard: times grow up to so many times more
-  std::size_t max_members = 16384;
+  int rings = 2;              // members that a node observes, and nodes that observe each member
+  int indirect_probes = 3;    // other members that are asked to ping
+  // Members that must have failed to reach a member themselves before it is dead; fewer in small fleets.
+  int confirmations = 3;
+  double min_suspicion = 1.2;       // s from suspicion to death at least, when enough members confirm it
+  double max_suspicion = 6;         // s when too few confirm it
+  double gossip_per_s = 8;          // gossip datagrams a second
+  double replies_per_s = 50;        // datagrams in answer to others, a second
+  double rediscovery_interval = 3;  // s between attempts to contact dead members
+  double sync_interval = 2;         // s between digests, each sent to a random member
+  // Seconds after which members that died or left are forgotten, except for their generations.
+  double forget_after = 600;
+  double name_conflict_timeout = 10;  // s for which a process waits for its name to become free
+  int max_health = 4;  // largest local health score (Lifeguard): timeouts grow up to (1 + this) times
+  std::size_t max_members = 16384;  // in the table
 };
 
+// One node's view of the group. Each call appends the datagrams to send to `out`. Not thread-safe.
 class Membership {
  public:
+  // A message to send.
   struct Outgoing {
     Address to = 0;
     Message message;
   };
 
-  // Throws std::invalid_argument for settings that can't be used.
+  // Throws std::invalid_argument for unusable settings.
   explicit Membership(MembershipSettings settings);
 
-  // Begins, with addresses to ask first; its own among them does no harm.
+  // Starts with the addresses of some members to contact; the node's own address among them is ignored.
   void start(double now, const std::vector<Address>& join, std::vector<Outgoing>& out);
-  // Other addresses to ask, from now on.
+  // Replaces the addresses of members to contact.
   void set_seed_addresses(const std::vector<Address>& addresses);
-  // A datagram from an address. What is not for this cluster or does not verify never comes here.
+  // Handles a datagram. The caller drops datagrams of other clusters and those that fail authentication.
   void on_message(double now, Address from, const Message& message, std::vector<Outgoing>& out);
-  // Time has come to next().
+  // Called when the time next_tick() has come.
   void tick(double now, std::vector<Outgoing>& out);
-  // When tick() wants to be called. Called later, by more than a period, it takes itself to have stood.
+  // When tick() should be called. If it is called later by more than a probe interval, the node takes its
+  // process to have been stalled.
   double next_tick() const { return next_tick_; }
-  // Says that it is about to go: it still answers, and nobody need count on it.
+  // Announces that this node is about to leave: it still answers, but others should not rely on it.
   void announce_leaving(double now, std::vector<Outgoing>& out);
-  // Says goodbye to some: the rest hears it from these. Nothing is sent or answered after it.
+  // Says goodbye to some members, who tell the rest. Nothing is sent or answered afterwards.
   void leave(double now, std::vector<Outgoing>& out);
-  // Takes members for known and alive that were not heard of: what a former life knew, or a measurement
-  // wants.
+  // Takes members as known and alive without having heard from them: those that an earlier process knew, or
+  // those that a measurement starts with.
   void preload(double now, const std::vector<Member>& members);
 
-  // What has changed since it was asked last, in order.
+  // Returns and clears the changes since the last call, in order.
   std::vector<Change> changes();
-  // All that are known, this node too, by name's key.
+  // All known members and this node, ordered by key.
   std::vector<Member> members() const;
   std::optional<Member> find(MemberKey key) const;
   std::uint64_t generation() const { return generation_; }
   MemberKey key() const { return key_; }
-  // Alive, suspected and leaving, this node too.
+  // Members that are alive, suspected or leaving, including this node.
   std::size_t live_count() const { return live_count_; }
-  // 0: well; more: this node is slow, or hears little.
+  // Lifeguard's local health score. 0 is healthy; more means that this node is slow or misses messages.
   int health() const { return health_; }
-  // What this node says of itself: a host that can reach all at once sends it to them at its start.
+  // A message in which this node describes itself; a host with a broadcast address sends it there at its
+  // start.
   Message hello(MessageKind kind = MessageKind::kGossip) const;
 
   struct Counters {
     std::uint64_t probes = 0, failed_probes = 0;
-    std::uint64_t suspicions = 0;  // of its own
+    std::uint64_t suspicions = 0;  // raised by this node
     std::uint64_t refuted = 0, deaths_declared = 0, rejoins = 0;
-    std::uint64_t stalls = 0;                // times that this process noticed that it had stood
-    std::uint64_t name_conflicts = 0;        // times that it was told of another process under its own name
-    std::uint64_t contested_names = 0;       // names of others that were found to be used by two
-    std::uint64_t overflow = 0;              // members that there was no room for
-    std::uint64_t rate_limited_replies = 0;  // replies that the bound on them held back
-    std::uint64_t implausible_generations = 0;  // lives far beyond those that are known
+    std::uint64_t stalls = 0;           // times that this process noticed that it had been stalled
+    std::uint64_t name_conflicts = 0;   // times that this node was told of another process under its own name
+    std::uint64_t contested_names = 0;  // names of other members that two processes were found to use
+    std::uint64_t overflow = 0;         // members that didn't fit into the table
+    std::uint64_t rate_limited_replies = 0;     // replies that the rate limit suppressed
+    std::uint64_t implausible_generations = 0;  // generations far beyond the known ones
   };
   const Counters& counters() const { return counters_; }
-  // Another process holds this name: this one has to stay out, and says nothing any more.
+  // Whether another process holds this node's name; this node then stays out of the cluster and sends
+  // nothing.
   bool refused() const { return refused_; }
 
  private:
   struct Suspicion {
     double since = 0, until = 0;
-    double probe_at = 0;  // s; who has not looked itself does so then
+    double probe_at = 0;  // s; a node that has not probed the suspect itself does so then
     std::vector<MemberKey> reporters;
-    bool own_failure = false;       // this node has failed to reach it itself
-    bool final_probe_sent = false;  // and tries once more before it says so
+    bool own_failure = false;       // this node failed to reach the suspect itself
+    bool final_probe_sent = false;  // the last probe before the death is declared
   };
-  struct SuspicionBackoff {  // after a refutation while this node still can't reach it
+  // After a refutation by a member that this node still can't reach: no new suspicion for a while.
+  struct SuspicionBackoff {
     double length = 0, until = 0;
   };
   enum class ProbeReason : std::uint8_t {
-    kObserved,       // its turn
-    kVerify,         // a second look, or one at whom others doubt
-    kAddressChange,  // it was heard from another address
-    kNameClaim       // somebody else uses its name
+    kObserved,  // periodic probe
+    // Second probe before a suspicion is raised, or a check of a suspicion that others raised.
+    kVerify,
+    kAddressChange,  // the member was heard from another address
+    kNameClaim       // another process uses the member's name
   };
   struct Probe {
     MemberKey key = 0;
@@ -144,15 +158,15 @@
     int sent = 0;
     bool helpers_asked = false, helper_heard = false;
   };
-  struct RelayedProbe {  // a ping that was asked for
+  struct RelayedProbe {  // a ping on behalf of another member
     std::uint32_t seq = 0, requester_seq = 0;
     Address requester = 0;
     double until = 0;
   };
-  struct NameClaim {  // a name that is held, and that a process elsewhere uses
+  struct NameClaim {  // a name that has a holder and is used by a process elsewhere
     Update update;
     bool rejected = false;
-    double until = 0;  // s; then it is looked at anew
+    double until = 0;  // s; the claim is checked again afterwards
   };
   class TokenBucket {
    public:
@@ -237,22 +251,22 @@
   const std::shared_ptr<const Identity> self_;
   std::uint64_t generation_ = 0;
   std::uint32_t incarnation_ = 0;
-  MemberState state_ = MemberState::kAlive;  // this node's own
+  MemberState state_ = MemberState::kAlive;  // of this node
   pcg64 random_;
   double now_ = 0;
   std::vector<Outgoing>* out_ = nullptr;
 
-  MemberTable table_;  // all but this node
-  std::unordered_map<MemberKey, std::pair<std::uint64_t, double>>
-      ended_generations_;  // lives that have ended, and when
+  MemberTable table_;  // all members except this node
+  // The latest ended generation of each forgotten member, and when it was recorded.
+  std::unordered_map<MemberKey, std::pair<std::uint64_t, double>> ended_generations_;
   std::map<MemberKey, Suspicion> suspicions_;
   std::map<MemberKey, SuspicionBackoff> suspicion_backoffs_;
   std::map<MemberKey, NameClaim> name_claims_;
   std::map<MemberKey, std::vector<std::pair<MemberKey, double>>> indirect_contacts_;  // by whom, when
   std::vector<MemberKey> dead_, identity_missing_;
-  std::vector<MemberKey> observed_;  // by ring; 0: nobody
+  std::vector<MemberKey> observed_;  // one for each ring; 0: none
   std::size_t next_ring_ = 0;
-  std::vector<MemberKey> probe_round_;  // of the styles that probe at random
+  std::vector<MemberKey> probe_round_;  // for the baselines, which probe in random order
   std::size_t probe_round_index_ = 0;
   std::vector<Probe> probes_;
   std::vector<RelayedProbe> relayed_probes_;
--- a/peers/service.cpp
+++ b/peers/service.cpp
@@ -20,16 +20,17 @@
 using asio::ip::udp;
 using boost::system::error_code;
 
-constexpr int kMaxReadsPerTurn = 64;  // datagrams that are read before others on the loop have their turn
-constexpr double kMaxDatagramsPerSecond =
-    1000;  // datagrams a second that are looked at; what is over is dropped
-constexpr std::size_t kMaxUnlistedEndpoints = 4096;  // endpoints beyond the list that are remembered
-constexpr double kDropLogIntervalSeconds = 10;       // s between lines on what was dropped
-constexpr int kStartBroadcasts = 3;                  // times that `all` hears of a start,
-constexpr double kBroadcastIntervalSeconds = 1;      // s apart
+// Datagrams that are read before other work on the loop has its turn.
+constexpr int kMaxReadsPerTurn = 64;
+// Datagrams above this rate are dropped.
+constexpr double kMaxDatagramsPerSecond = 1000;
+constexpr std::size_t kMaxUnlistedEndpoints = 4096;  // remembered endpoints beyond the list
+constexpr double kDropLogIntervalSeconds = 10;       // between log lines on dropped datagrams
+constexpr int kStartBroadcasts = 3;              // times that a start is announced to the broadcast address
+constexpr double kBroadcastIntervalSeconds = 1;  // between them
 constexpr int kReceiveBufferBytes = 256 * 1024;
 
-// A hint alone: a process whose clock is wrong is told which lives are taken.
+// Only a hint: a process whose clock is wrong is told which generations are taken.
 std::uint64_t generation_hint() {
   const auto since = std::chrono::system_clock::now().time_since_epoch();
   return static_cast<std::uint64_t>(
@@ -50,7 +51,7 @@
   return out;
 }
 
-// In a list of all its own place, else its address.
+// The address is this node's index if there is a list of members, else its endpoint.
 MembershipSettings settings_of(const ServiceOptions& o, const udp::endpoint& at) {
   MembershipSettings out = o.settings;
   out.generation = generation_hint();
@@ -69,11 +70,11 @@
   for (const auto* list : {&o.members, &o.join}) {
     for (const udp::endpoint& e : *list) {
       if (!e.address().is_v4() || e.port() == 0)
-        throw std::invalid_argument("peers: an address is not IPv4 with a port");
+        throw std::invalid_argument("peers: an address must be IPv4 with a port");
     }
   }
   if (!o.members.empty() && static_cast<std::size_t>(o.balancers.index) >= o.members.size()) {
-    throw std::invalid_argument("peers: this node's number is not a place in the list of members");
+    throw std::invalid_argument("peers: this node's number is not an index into the list of members");
   }
 }
 
@@ -119,9 +120,9 @@
       key.push_back(static_cast<char>(byte));
     }
     out.push_back(std::move(key));
-    if (out.size() > 2) wrong("a third key; two at the most");
+    if (out.size() > 2) wrong("more than two keys");
   }
-  if (out.empty()) throw std::runtime_error("the file of keys holds none");
+  if (out.empty()) throw std::runtime_error("no key is given");
   return out;
 }
 
@@ -172,13 +173,13 @@
   check(next);
   if (next.members.empty() != options_.members.empty() || next.balancers.index != options_.balancers.index) {
     throw std::invalid_argument(
-        "peers: how nodes are named, and which of them this is, holds until the next start");
+        "peers: the kind of addresses and this node's index can't change without a restart");
   }
   codec_.set_keys(next.cluster.keys);
   for (std::size_t i = 0; i < next.members.size(); ++i) {
     if (i < options_.members.size() && endpoints_[i] == next.members[i]) continue;
     if (i >= options_.members.size()) {
-      throw std::invalid_argument("peers: more members than at the start");
+      throw std::invalid_argument("peers: members can't be added without a restart");
     }
     if (addresses_[endpoints_[i]] == i + 1) addresses_.erase(endpoints_[i]);
     endpoints_[i] = next.members[i];
@@ -223,9 +224,9 @@
   return Endpoint(asio::ip::address_v4(static_cast<std::uint32_t>(ip)), port);
 }
 
-// ------------------------------------------------------------ sending and taking
+// ------------------------------------------------------------ sending and receiving
 
-// Places beyond the list are one node's own numbers, and mean nothing to another.
+// Addresses beyond the list are local to one node and mean nothing to another.
 void Service::clear_unlisted_addresses(Message& message) const {
   if (!addresses_by_index()) return;
   for (Update& u : message.updates) {
@@ -238,7 +239,7 @@
   const std::string bytes = codec_.encode(message);
   error_code error;
   socket_.send_to(asio::buffer(bytes), to, 0, error);
-  if (error) {  // as lost on the way
+  if (error) {  // treated like a datagram lost on the way
     ++counters_.send_failures;
     return;
   }
@@ -267,7 +268,8 @@
   });
 }
 
-// Guards the node's other work: so many at a time, and so many a second, whatever comes.
+// Protects the node's other work: reads a bounded number of datagrams at a time and handles a bounded number
+// a second.
 void Service::read_datagrams() {
   std::array<char, 2048> buffer;
   std::vector<Membership::Outgoing> out;
@@ -276,7 +278,7 @@
     error_code error;
     const std::size_t size = socket_.receive_from(asio::buffer(buffer), from, 0, error);
     if (error == asio::error::would_block || error == asio::error::try_again) break;
-    if (error) continue;  // what an earlier datagram of this node has met: port unreachable
+    if (error) continue;  // error reported for an earlier datagram of this node, such as port unreachable
     ++counters_.received;
     counters_.bytes_received += size;
     const double at = now();
@@ -332,7 +334,7 @@
   });
 }
 
-// ------------------------------------------------------------ what is told
+// ------------------------------------------------------------ reporting
 
 std::string Service::display_name(const Member& m) const {
   return m.identity_known ? m.identity.name : hex(m.key);
@@ -355,18 +357,22 @@
     log_({LogLevel::kWarning,
           "peers",
           "reborn",
-          "others had taken this node for dead: it goes on as life " +
+          "other members declared this node dead; it rejoins with generation " +
               std::to_string(membership_.generation()),
           {{"life", static_cast<std::int64_t>(membership_.generation())}}});
   }
   if (c.stalls > std::exchange(logged_stalls_, c.stalls)) {
-    log_({LogLevel::kWarning, "peers", "stood", "this process stood: it accuses nobody for a while", {}});
+    log_({LogLevel::kWarning,
+          "peers",
+          "stood",
+          "this process was stalled; it raises no suspicions for a while",
+          {}});
   }
   if (c.name_conflicts > std::exchange(logged_name_conflicts_, c.name_conflicts)) {
     log_({LogLevel::kError,
           "peers",
           "namesake",
-          "another process is there under the name " + options_.settings.self.name,
+          "another process uses the name " + options_.settings.self.name,
           {{"name", options_.settings.self.name}}});
   }
   if (membership_.refused() && !std::exchange(logged_refused_, true)) {
@@ -374,7 +380,7 @@
           "peers",
           "refused",
           "the name " + options_.settings.self.name +
-              " is another process's: this one stays out of membership",
+              " is held by another process; this node stays out of the cluster",
           {{"name", options_.settings.self.name}}});
   }
   if (balancers_.next_tick() > at) return;
@@ -382,7 +388,8 @@
     log_({LogLevel::kInfo,
           "peers",
           "copies",
-          "this is copy " + std::to_string(assignment->index) + " of " + std::to_string(assignment->count),
+          "this node is balancer " + std::to_string(assignment->index) + " of " +
+              std::to_string(assignment->count),
           {{"index", std::int64_t{assignment->index}},
            {"count", std::int64_t{assignment->count}},
            {"sharers", assignment->rate_limit_divisor}}});
@@ -410,7 +417,8 @@
   log_({level,
         "peers",
         event,
-        display_name(m) + " is " + name_of(m.state) + (change.first_seen ? ", new" : "") + ", told by " + by,
+        display_name(m) + " is " + name_of(m.state) + (change.first_seen ? ", new" : "") + ", reported by " +
+            by,
         {{"member", display_name(m)},
          {"key", hex(m.key)},
          {"life", static_cast<std::int64_t>(m.generation)},
@@ -430,13 +438,13 @@
                                                             "other_cluster", "seal",      "replay"};
   for (std::size_t i = 1; i < kDecodeErrorCount; ++i) {
     const std::uint64_t more = counters_.decode_errors[i] - logged_.decode_errors[i];
-    // A repeat now and then is the network's.
+    // A few duplicates are normal in a network.
     if (i != static_cast<std::size_t>(DecodeError::kReplay) || more > 10) dropped += more;
     fields.push_back({kNames[i], static_cast<std::int64_t>(more)});
   }
   logged_ = counters_;
   if (dropped == 0) return;
-  log_({LogLevel::kWarning, "peers", "dropped", std::to_string(dropped) + " datagrams were dropped",
+  log_({LogLevel::kWarning, "peers", "dropped", std::to_string(dropped) + " datagrams dropped",
         std::move(fields)});
 }
 
--- a/peers/service.h
+++ b/peers/service.h
@@ -1,5 +1,5 @@
-// Membership on sockets: the deciding half on a node's or an application's loop, with one UDP socket.
-// Everything on the loop's thread. Off means not made: nothing of it then runs, listens or sends.
+// Runs membership on a UDP socket in the event loop of a node or an application, on the loop's thread. If
+// membership is off no Service is created, and nothing of it runs, listens or sends.
 #pragma once
 
 #include <array>
@@ -21,68 +21,72 @@
 
 namespace nettlestand::peers {
 
+// Settings of the service; a reload may change the addresses of other nodes and the keys.
 struct ServiceOptions {
   boost::asio::ip::udp::endpoint listen;  // IPv4
-  // All nodes of the tier in the order of their numbers, this one too, as this node reaches them: datagrams
-  // then name nodes by their place. Empty: they name them by IPv4 address and port, and `join` says whom to
-  // ask first.
+  // All nodes of the tier in the order of their numbers, including this one, at the addresses where this node
+  // reaches them; datagrams then name nodes by their index. If empty, datagrams name nodes by IPv4 address
+  // and port, and `join` lists the nodes to contact first.
   std::vector<boost::asio::ip::udp::endpoint> members;
   std::vector<boost::asio::ip::udp::endpoint> join;
   std::optional<boost::asio::ip::udp::endpoint> broadcast;  // reaches every node of the tier at once
   Cluster cluster;
-  MembershipSettings settings;        // `self`, times; address, life and seed are the service's
-  BalancerTrackerSettings balancers;  // likewise
-  bool follow_balancers = true;       // tell of the copies that are there
+  MembershipSettings settings;        // `address`, `generation` and `seed` are set by the service
+  BalancerTrackerSettings balancers;  // `self` is set by the service
+  bool follow_balancers = true;       // report the balancer's assignment
   std::uint64_t seed = 1;
 };
 
-// Who this node is among others and which copy it is, where its configuration says so elsewhere. What is
-// longer than datagrams hold is cut.
+// A node's identity and its position among the balancers, as its configuration has them outside of
+// membership. Texts that are too long for datagrams are cut.
 struct NodePlacement {
   std::string name, zone;
   int tier = 0, position = 0, count = 1;
   std::uint64_t seed = 1;
 };
+// Sets the identity, the configured assignment and the seed in `options`.
 void set_identity(ServiceOptions& options, const NodePlacement& place);
 
-// Throws std::runtime_error, with the line, for a file that is none: one or two keys, 64 hexadecimal digits
-// each, a line each; the first seals, both are taken. Lines that begin with # are comments.
+// Parses a key file: one or two keys, each on a line of 64 hexadecimal digits. The first authenticates
+// outgoing datagrams, both are accepted. Lines that begin with # are comments. Throws std::runtime_error with
+// the line number for any other content.
 std::vector<std::string> parse_keys(const std::string& text);
 
+// Membership on a socket, with the balancer's assignment that follows from it.
 class Service {
  public:
   struct Listeners {
-    std::function<void(const BalancerAssignment&)> assignment;  // other copies than before
+    std::function<void(const BalancerAssignment&)> assignment;  // a new assignment
     std::function<void(const Change&)> changed;                 // each change of a member, in order, once
   };
 
-  // Throws boost::system::system_error where the address can't be had, std::invalid_argument for settings
-  // that can't be used.
+  // Throws boost::system::system_error if the address can't be bound, std::invalid_argument for unusable
+  // settings.
   Service(boost::asio::io_context& io, ServiceOptions options, Listeners listeners, Log log);
   ~Service();
   Service(const Service&) = delete;
   Service& operator=(const Service&) = delete;
 
   void start();
-  // Other addresses and keys, from now on; the own address stays. Throws as the constructor, and changes
-  // nothing.
+  // Replaces the other nodes' addresses and the keys; this node's address stays. Throws like the constructor,
+  // and then changes nothing.
   void reload(const ServiceOptions& options);
-  // This node is about to go: nobody is to count on it.
+  // Announces that this node is about to leave: others should not rely on it.
   void announce_leaving();
-  // Goodbye. Nothing is sent or heard after it.
+  // Says goodbye. Nothing is sent or received afterwards.
   void leave();
 
   boost::asio::ip::udp::endpoint address() const { return socket_.local_endpoint(); }
   const Membership& membership() const { return membership_; }
   const BalancerAssignment& assignment() const { return balancers_.assignment(); }
-  // All that an operator wants to see, as a JSON object.
+  // A JSON object for operators.
   std::string report() const;
 
   struct Counters {
     std::uint64_t sent = 0, bytes_sent = 0, received = 0, bytes_received = 0, send_failures = 0;
-    std::uint64_t unknown_senders = 0,
-                  rate_limited = 0;  // from addresses there is no room for; over the bound
-    std::array<std::uint64_t, kDecodeErrorCount> decode_errors{};  // by why
+    // Datagrams from addresses that there is no room for, and datagrams over the rate limit.
+    std::uint64_t unknown_senders = 0, rate_limited = 0;
+    std::array<std::uint64_t, kDecodeErrorCount> decode_errors{};  // by DecodeError
   };
   const Counters& counters() const { return counters_; }
 
@@ -116,8 +120,8 @@
   DatagramCodec codec_;
   Membership membership_;
   BalancerTracker balancers_;
-  std::map<Endpoint, Address> addresses_;  // of the list, and of who was heard from elsewhere
-  std::vector<Endpoint> endpoints_;        // by place, from 1
+  std::map<Endpoint, Address> addresses_;  // of the listed nodes and of other senders
+  std::vector<Endpoint> endpoints_;        // by index from 1
   Counters counters_, logged_;
   double tokens_ = 0, tokens_at_ = 0, next_drop_log_ = 0, next_broadcast_ = 0;
   int broadcasts_sent_ = 0;
