--- a/tests/zones/planner_test.cpp
+++ b/tests/zones/planner_test.cpp
@@ -423,7 +423,7 @@
     EXPECT_EQ(s.came[2], 10'000);
     EXPECT_EQ(sum(p.refused[0]), 60'000);
     ASSERT_EQ(p.explanations.size(), 1U);
-    EXPECT_EQ(p.explanations[0], "a: asked for 80/s, can take 0, of which 0 count; moves 20, refuses 60");
+    EXPECT_EQ(p.explanations[0], "a (calls/s): demand 80, capacity 0, trusted 0; moved 20, refused 60");
   }
 }
 
--- a/zones/min_cost_flow.cpp
+++ b/zones/min_cost_flow.cpp
@@ -16,9 +16,8 @@
   return edge_index;
 }
 
-// By successive shortest paths (Ahuja, Magnanti and Orlin, Network Flows, 9.7): what is sent so far is always
-// the cheapest of its size. Each path is found anew by Bellman and Ford's method, as ways back cost less than
-// nothing.
+// By successive shortest paths (Ahuja, Magnanti and Orlin, Network Flows, 9.7): the flow so far is always the
+// cheapest of its size. Each path is found by the Bellman-Ford method, as reverse edges have negative costs.
 void MinCostFlow::solve(std::size_t from, std::size_t to) {
   constexpr std::int64_t kInfinite = std::numeric_limits<std::int64_t>::max();
   while (true) {
--- a/zones/min_cost_flow.h
+++ b/zones/min_cost_flow.h
@@ -1,4 +1,4 @@
-// The cheapest largest flow through a small network, in whole units.
+// Minimum-cost maximum flow through a small network, in whole units.
 #pragma once
 
 #include <cstddef>
@@ -7,15 +7,16 @@
 
 namespace nettlestand::zones {
 
+// A flow network; nodes are numbered from 0.
 class MinCostFlow {
  public:
   explicit MinCostFlow(std::size_t nodes) : edges_of_(nodes) {}
 
-  // A way for up to `room` units at `cost` each; both at least 0. Returns its number.
+  // Adds an edge for up to `capacity` units at `cost` each; both at least 0. Returns its index.
   std::size_t add_edge(std::size_t from, std::size_t to, std::int64_t capacity, std::int64_t cost);
-  // Sends as much as can be sent from one node to the other, as cheaply as that much can be; once.
+  // Sends as much as possible from one node to the other, at the lowest cost for that amount. Call it once.
   void solve(std::size_t from, std::size_t to);
-  // What goes over a way.
+  // The flow over an edge, by the index that add_edge() returned.
   std::int64_t flow_on(std::size_t edge_index) const { return edges_[edge_index + 1].capacity; }
 
  private:
@@ -23,7 +24,7 @@
     std::size_t to;
     std::int64_t capacity, cost;
   };
-  std::vector<Edge> edges_;                         // each way, and behind it the way back
+  std::vector<Edge> edges_;                         // each edge, followed by its reverse edge
   std::vector<std::vector<std::size_t>> edges_of_;  // by node
 };
 
--- a/zones/plan_follower.cpp
+++ b/zones/plan_follower.cpp
@@ -34,7 +34,8 @@
 
 PlanFollower::PlanFollower(PlanFollowerSettings settings) : settings_(std::move(settings)) {
   if (settings_.zone.empty()) throw std::invalid_argument("zones: a node without a zone can't follow plans");
-  if (!(settings_.fallback_half_life > 0)) throw std::invalid_argument("zones: the half-life is not above 0");
+  if (!(settings_.fallback_half_life > 0))
+    throw std::invalid_argument("zones: the half-life must be above 0");
 }
 
 bool PlanFollower::offer(const Plan& plan, double age, double now) {
@@ -81,9 +82,9 @@
       const double part = static_cast<double>(load[b]) / all;
       const double kept = b == zone_index_ ? part : part / growth;
       to[b] += kept;
-      to[zone_index_] += part - kept;  // whether there is room for it is the module's to say
+      to[zone_index_] += part - kept;  // the decision module decides whether there is capacity for it
     }
-    if (all == 0) to[zone_index_] = 1;  // nobody had asked for it
+    if (all == 0) to[zone_index_] = 1;  // there was no demand in this class
   }
 }
 
@@ -98,13 +99,15 @@
   std::sort(order.begin(), order.end(), [&](std::size_t x, std::size_t y) {
     return std::pair(distance[x], x) < std::pair(distance[y], y);
   });
-  std::vector<double> remaining(n);  // of each target, for this zone
+  // Remaining fallback limit of each target, for this zone.
+  std::vector<double> remaining(n);
   const double decay = std::exp2(-(now - lease_end_) / settings_.fallback_half_life);
   for (std::size_t b = 0; b < n; ++b)
     remaining[b] = decay * static_cast<double>(plan_->fallback_limits[zone_index_][b]);
   out.fractions.assign(settings_.classes.size(), std::vector<double>(n));
   for (const Affinity affinity :
-       {Affinity::kZone, Affinity::kRegion, Affinity::kNone}) {  // who has the least choice goes first
+       // The classes with the least choice go first.
+       {Affinity::kZone, Affinity::kRegion, Affinity::kNone}) {
     for (std::size_t c = 0; c < settings_.classes.size(); ++c) {
       if (settings_.classes[c] != affinity) continue;
       out.fractions[c][zone_index_] = local_fraction;
@@ -123,7 +126,7 @@
   }
 }
 
-// What this zone was asked for in a class when the plan was made.
+// This zone's demand of a class when the plan was made.
 Load PlanFollower::demand(std::size_t c) const {
   const std::vector<Load>& to = plan_->load[zone_index_][c];
   return std::accumulate(to.begin(), to.end(), plan_->refused[zone_index_][c]);
--- a/zones/planner.cpp
+++ b/zones/planner.cpp
@@ -11,10 +11,13 @@
 namespace nettlestand::zones {
 namespace {
 
-constexpr double kFirstStepSeconds = 1;  // s; what the first plan may move at once is what one second allows
-constexpr double kMaxStepSeconds = 10;   // s; a planner that stood does not catch up
-constexpr double kCostPerMs = 256'000;  // so that no way is kept for its own sake where a nearer one has room
-constexpr double kMaxDistanceMs = 1e6;  // ms
+// The first plan may move at once what max_move_rate allows in this time.
+constexpr double kFirstStepSeconds = 1;
+// A stalled planner does not catch up on the missed time.
+constexpr double kMaxStepSeconds = 10;
+// Large enough that keeping an earlier route never outweighs a nearer zone with capacity.
+constexpr double kCostPerMs = 256'000;
+constexpr double kMaxDistanceMs = 1e6;
 constexpr double kNever = std::numeric_limits<double>::infinity();
 constexpr Load kMaxLoad = Load{1} << 50;
 
@@ -26,7 +29,7 @@
   return static_cast<Load>(std::floor(static_cast<double>(whole) * share + 1e-9));
 }
 
-// `whole` split like `demand`, to the last one.
+// Splits `whole` in proportion to `demand`, exactly.
 std::vector<Load> split_in_proportion(const std::vector<Load>& demand, Load whole) {
   std::vector<Load> out(demand.size());
   const Load all = sum(demand);
@@ -47,44 +50,46 @@
 Planner::Planner(PlannerSettings settings) : settings_(std::move(settings)) {
   const auto is_fraction = [](double x) { return x >= 0 && x <= 1; };
   if (!is_fraction(settings_.headroom) || !is_fraction(settings_.relapse_threshold))
-    throw std::invalid_argument("zones: a part is not from 0 to 1");
+    throw std::invalid_argument("zones: headroom and relapse threshold must be from 0 to 1");
   if (!(settings_.max_move_rate > 0) || !(settings_.recovery_rate > 0))
-    throw std::invalid_argument("zones: a rate is not above 0");
+    throw std::invalid_argument("zones: rates must be above 0");
   if (!(settings_.recovery_hold >= 0) || !(settings_.max_recovery_hold >= settings_.recovery_hold) ||
       !(settings_.relapse_memory >= 0) || !std::isfinite(settings_.max_recovery_hold)) {
-    throw std::invalid_argument("zones: holds have to go from 0 up to the longest");
+    throw std::invalid_argument("zones: recovery holds must be from 0 to the maximum");
   }
 }
 
 void Planner::check(const PlanInput& input) const {
   const std::size_t n = input.zones.size();
   if (!std::isfinite(input.now) || input.now < planned_at_)
-    throw std::invalid_argument("zones: time runs backwards");
-  if (input.distance.size() != n) throw std::invalid_argument("zones: distances are not those of the zones");
+    throw std::invalid_argument("zones: the time is before that of the last plan");
+  if (input.distance.size() != n) throw std::invalid_argument("zones: the distances don't match the zones");
   std::map<std::string, int> names;
   for (std::size_t a = 0; a < n; ++a) {
     const ZoneInput& z = input.zones[a];
-    if (++names[z.zone] > 1) throw std::invalid_argument("zones: " + z.zone + " is named twice");
+    if (++names[z.zone] > 1) throw std::invalid_argument("zones: " + z.zone + " is listed twice");
     if (z.capacity < 0 || z.capacity > kMaxLoad || !(z.available >= 0 && z.available <= 1)) {
-      throw std::invalid_argument("zones: the capacity of " + z.zone + " can't be");
+      throw std::invalid_argument("zones: the capacity of " + z.zone + " is invalid");
     }
     if (z.demand.size() != settings_.classes.size()) {
-      throw std::invalid_argument("zones: the demand of " + z.zone + " is not by class");
+      throw std::invalid_argument("zones: the demand of " + z.zone + " does not match the classes");
     }
     for (const Load d : z.demand) {
-      if (d < 0 || d > kMaxLoad) throw std::invalid_argument("zones: the demand of " + z.zone + " can't be");
+      if (d < 0 || d > kMaxLoad)
+        throw std::invalid_argument("zones: the demand of " + z.zone + " is invalid");
     }
     if (input.distance[a].size() != n)
-      throw std::invalid_argument("zones: distances are not those of the zones");
+      throw std::invalid_argument("zones: the distances don't match the zones");
     for (const double d : input.distance[a]) {
       if (!(d >= 0) || (std::isfinite(d) && d > kMaxDistanceMs)) {
-        throw std::invalid_argument("zones: a distance from " + z.zone + " can't be");
+        throw std::invalid_argument("zones: a distance from " + z.zone + " is invalid");
       }
     }
   }
 }
 
-// Guards against a zone that looks well and is not: what it loses counts at once, what it gets back later.
+// Protects against a zone that only seems healthy: lost capacity counts as lost at once, regained capacity
+// counts later.
 Load Planner::trusted_capacity(const std::string& zone, Load capacity, double now, double step) {
   const auto [it, fresh] = recovery_.try_emplace(zone);
   Recovery& t = it->second;
@@ -94,7 +99,7 @@
   }
   t.seen_at = now;
   if (capacity <= t.trusted) {
-    // What goes on falling is one relapse; the next one comes once it has begun to be back.
+    // A continued fall is one relapse; the next one can come only after the zone has begun to recover.
     if (t.recovered && t.trusted - capacity > fraction_of(t.trusted, settings_.relapse_threshold)) {
       t.hold = now - t.relapsed_at < settings_.relapse_memory
                    ? std::min(settings_.max_recovery_hold, t.hold * 2)
@@ -122,7 +127,7 @@
   const double step = first ? kFirstStepSeconds : std::min(input.now - planned_at_, kMaxStepSeconds);
   planned_at_ = input.now;
 
-  // A zone of which nothing is told any more has lost all it had.
+  // A zone that is no longer in the input has lost all its capacity.
   for (auto it = recovery_.begin(); it != recovery_.end();) {
     const bool told = std::any_of(input.zones.begin(), input.zones.end(),
                                   [&](const ZoneInput& z) { return z.zone == it->first; });
@@ -133,7 +138,8 @@
   }
 
   Plan out;
-  std::vector<Load> usable(n), trusted(n), spare(n);  // left: of what counts, beside a zone's own demand
+  // spare: trusted capacity beyond the zone's own demand.
+  std::vector<Load> usable(n), trusted(n), spare(n);
   for (std::size_t a = 0; a < n; ++a) {
     const ZoneInput& z = input.zones[a];
     out.zones.push_back(z.zone);
@@ -141,9 +147,10 @@
     usable[a] = fraction_of(z.capacity, z.available);
     spare[a] = trusted[a] = trusted_capacity(z.zone, usable[a], input.now, step);
     out.load.emplace_back(classes, std::vector<Load>(n));
-    out.refused.push_back(z.demand);  // what finds no place stays here
+    out.refused.push_back(z.demand);  // what is not assigned stays here
   }
-  // Of what still has no place in its class, `load` of a kind of classes goes to a zone.
+  // Assigns up to `load` of a zone's unassigned demand with this affinity to a zone; returns the assigned
+  // amount.
   const auto assign = [&](std::size_t a, Affinity affinity, std::size_t b, Load load) {
     std::vector<Load> waiting(classes);
     for (std::size_t c = 0; c < classes; ++c)
@@ -162,13 +169,14 @@
     return all;
   };
 
-  // Near first; what may not move goes before what may, or room elsewhere would be of no use.
+  // Own zone first. Demand that may not move goes before demand that may, or capacity elsewhere would be of
+  // no use.
   for (std::size_t a = 0; a < n; ++a) {
     for (const Affinity affinity : {Affinity::kZone, Affinity::kRegion, Affinity::kNone})
       spare[a] -= assign(a, affinity, a, spare[a]);
   }
 
-  // What is over moves. Its way so far is a little cheaper, so that equals do not swap.
+  // The excess moves. Its former routes are slightly cheaper, so that equal alternatives don't alternate.
   MinCostFlow flow(3 * n + 2);
   const std::size_t source = 3 * n, sink = 3 * n + 1;
   struct Edge {
@@ -215,8 +223,9 @@
     moved_out[e.from] += load;
   }
 
-  // What nobody takes may use all that is really there, also what does not count yet. From then on it counts:
-  // what is served near must not leave because others come back quicker.
+  // Demand that no zone takes may use all capacity that is really there, also what is not trusted yet. That
+  // capacity is trusted from then on: demand served in its own zone must not leave because other zones
+  // recover faster.
   for (std::size_t a = 0; a < n; ++a) {
     Load own = 0;
     for (std::size_t c = 0; c < classes; ++c) own += out.load[a][c][a];
@@ -228,7 +237,7 @@
     trusted[a] = recovery.trusted = std::max(recovery.trusted, own);
   }
 
-  // Alone: each zone's part of a target's room goes by its demand.
+  // Fallback: a target's spare capacity is divided among the other zones by their demand.
   std::vector<Load> demand(n);
   for (std::size_t a = 0; a < n; ++a) demand[a] = sum(input.zones[a].demand);
   out.fallback_limits.assign(n, std::vector<Load>(n));
@@ -244,21 +253,21 @@
   for (std::size_t a = 0; a < n; ++a) {
     const Load refused = sum(out.refused[a]);
     if (moved_out[a] == 0 && refused == 0 && trusted[a] == usable[a]) continue;
-    out.explanations.push_back(out.zones[a] + ": asked for " + per_second(demand[a]) + "/s, can take " +
-                               per_second(usable[a]) + ", of which " + per_second(trusted[a]) +
-                               " count; moves " + per_second(moved_out[a]) + ", refuses " +
-                               per_second(refused));
+    out.explanations.push_back(out.zones[a] + " (calls/s): demand " + per_second(demand[a]) + ", capacity " +
+                               per_second(usable[a]) + ", trusted " + per_second(trusted[a]) + "; moved " +
+                               per_second(moved_out[a]) + ", refused " + per_second(refused));
   }
   return out;
 }
 
-// Water-filling: who asks for less than its part of what is left has all of it, and the rest is shared anew.
+// Water-filling: a tenant whose demand is below its part of the remaining capacity gets all of it, and the
+// rest is divided anew.
 std::vector<Load> max_min_fair_shares(const std::vector<Load>& demand, const std::vector<double>& shares,
                                       Load capacity) {
-  if (demand.size() != shares.size()) throw std::invalid_argument("zones: a share for each tenant is wanted");
+  if (demand.size() != shares.size()) throw std::invalid_argument("zones: each tenant needs a share");
   capacity = std::clamp<Load>(capacity, 0, sum(demand));
   std::vector<Load> out(demand.size());
-  // Those without a share come last, alike among themselves.
+  // Tenants without a share come last, with equal parts.
   for (const bool with_share : {true, false}) {
     std::vector<std::size_t> unserved;
     for (std::size_t i = 0; i < demand.size(); ++i) {
@@ -271,14 +280,14 @@
     });
     double all = 0;
     for (const std::size_t i : unserved) all += share(i);
-    for (const std::size_t i : unserved) {  // from who wants the least for its share
+    for (const std::size_t i : unserved) {  // by increasing demand relative to the share
       const Load mine = std::min(demand[i], fraction_of(capacity, share(i) / all));
       out[i] = mine;
       capacity -= mine;
       all -= share(i);
     }
     for (auto it = unserved.rbegin(); it != unserved.rend() && capacity > 0;
-         ++it) {  // what rounding has left
+         ++it) {  // the remainder of rounding
       const Load more = std::min(capacity, demand[*it] - out[*it]);
       out[*it] += more;
       capacity -= more;
--- a/zones/report_aggregator.cpp
+++ b/zones/report_aggregator.cpp
@@ -14,7 +14,7 @@
 constexpr std::size_t kUnknownZone = std::numeric_limits<std::size_t>::max();
 constexpr double kMaxWeight = 1e9;
 
-// The lower of the two in the middle: in doubt a zone bears less.
+// The lower of the two middle values, as the lower capacity is the safe one.
 std::optional<double> median(std::vector<double> all) {
   if (all.empty()) return std::nullopt;
   const auto middle = all.begin() + static_cast<std::ptrdiff_t>((all.size() - 1) / 2);
@@ -28,17 +28,18 @@
   const std::size_t n = settings_.zones.size();
   std::set<std::string> names;
   for (const auto& z : settings_.zones) {
-    if (!names.insert(z.zone).second) throw std::invalid_argument("zones: " + z.zone + " is named twice");
+    if (!names.insert(z.zone).second) throw std::invalid_argument("zones: " + z.zone + " is listed twice");
   }
   if (settings_.distance.size() != n || std::any_of(settings_.distance.begin(), settings_.distance.end(),
                                                     [n](const auto& row) { return row.size() != n; })) {
-    throw std::invalid_argument("zones: distances are not those of the zones");
+    throw std::invalid_argument("zones: the distances don't match the zones");
   }
   if (settings_.load_per_weight <= 0)
-    throw std::invalid_argument("zones: what a server bears is not above 0");
+    throw std::invalid_argument("zones: the load per weight must be above 0");
   if (!(settings_.report_ttl > 0) ||
       !(settings_.partition_threshold >= 0 && settings_.partition_threshold < 1)) {
-    throw std::invalid_argument("zones: reports have to count for a while, and a cut is a part of 1");
+    throw std::invalid_argument(
+        "zones: the report lifetime must be above 0, the partition threshold from 0 to below 1");
   }
 }
 
@@ -81,7 +82,7 @@
 PlanInput ReportAggregator::plan_input(double now) {
   std::erase_if(reports_, [&](const auto& entry) { return now - entry.second.at >= settings_.report_ttl; });
   const std::size_t n = settings_.zones.size();
-  // [from][to]: what the nodes of a zone say of another, or of their own.
+  // [from][to]: what the nodes of one zone report of another, or of their own.
   std::vector<std::vector<std::vector<double>>> weights(n, std::vector<std::vector<double>>(n)),
       success = weights;
   PlanInput out;
--- a/zones/report_aggregator.h
+++ b/zones/report_aggregator.h
@@ -1,12 +1,11 @@
-// What the zones can take and are asked for, out of what the nodes report: the facts that a plan is made of.
-// No I/O, no clock.
-//   - A zone's own nodes know best what its servers bear: the median of what they see. Where none of them is
-//   heard
-//     any more the other zones' views stand in, one a zone, and again the median: a zone that only looks bad
-//     from one other is not bad.
-//   - What one zone's nodes can't reach, while others do, is a way that is cut and no zone that is lost.
-//   - Demand is the sum of what each node is asked for, by zone. A node that is not heard any more asks for
-//   nothing.
+// Aggregates the nodes' reports into the planner's input: the capacity and demand of each zone. No I/O, no
+// clock.
+//   - A zone's own nodes know its servers' capacity best: it is the median of what they see. If none of them
+//     is heard any more, the median of the other zones' views is used, one view for each zone: a zone that
+//     looks bad only from one other zone is not taken as bad.
+//   - If one zone's nodes can't reach a zone while others can, the path between the two is cut; the zone is
+//     not lost.
+//   - Demand is the sum over the reporting nodes, by zone. A node that is not heard any more has no demand.
 #pragma once
 
 #include <cstddef>
@@ -20,16 +19,18 @@
 
 // How one node sees the servers of one zone.
 struct ZoneView {
-  double weight =
-      0;  // of those that it is told of, may use and has not left out, starting ones by their ramp
-  double success_ratio = 1;   // of its calls there, the part that was answered; 1 where it has made none
-  double latency_factor = 1;  // answer times there as a multiple of the usual ones; at least 1
+  // Total weight of the servers that discovery lists, that may be used and that are not ejected; starting
+  // servers count by their ramp.
+  double weight = 0;
+  double success_ratio = 1;   // answered part of its calls there; 1 if it has made none
+  double latency_factor = 1;  // response times there as a multiple of the usual ones; at least 1
 };
 
+// What one node reports periodically.
 struct NodeReport {
   std::string node, zone;
-  std::vector<Load> demand;               // by class: what it was asked for, admitted or not
-  std::map<std::string, ZoneView> views;  // by zone; a zone that it can't say anything of is left out
+  std::vector<Load> demand;               // by class: requests, admitted or not
+  std::map<std::string, ZoneView> views;  // by zone; a zone of which the node knows nothing is missing
 };
 
 struct ReportAggregatorSettings {
@@ -39,28 +40,32 @@
   };
   std::vector<ZoneName> zones;
   std::vector<std::vector<double>> distance;  // [from][to], ms
-  Load load_per_weight = 0;          // thousandths of a call a second that a server of weight 1 bears
-  double report_ttl = 3;             // s for which a report counts
-  double partition_threshold = 0.1;  // of the calls on a way: where less gets through it is cut
+  // Thousandths of a call a second that a server of weight 1 can take.
+  Load load_per_weight = 0;
+  double report_ttl = 3;  // s for which a report counts
+  // A path on which this fraction of the calls or less succeeds counts as cut.
+  double partition_threshold = 0.1;
 };
 
+// Keeps the last report of each node and the zones that operators drain.
 class ReportAggregator {
  public:
-  // Throws std::invalid_argument for settings that can't be used.
+  // Throws std::invalid_argument for unusable settings.
   explicit ReportAggregator(ReportAggregatorSettings settings);
 
-  // Takes the place of the node's last one. False for one that can't be so, which changes nothing.
+  // Replaces the node's last report. Returns false for an invalid report, which changes nothing.
   bool add_report(const NodeReport& report, double now);
 
-  // By hand: what of a zone's capacity may be used goes down to nothing within `over` s, or is free again at
-  // once (how fast it counts again is the planner's). False for a zone that there is not.
+  // Operator commands: drain() reduces the usable part of a zone's capacity to nothing within `duration` s,
+  // undrain() makes it usable at once (the planner decides how fast it counts again). They return false for
+  // an unknown zone; undrain() also for one that is not drained.
   bool drain(const std::string& zone, double duration, double now);
   bool undrain(const std::string& zone);
 
-  // Forgets what is not fresh any more. Zones are in the order of the settings.
+  // Drops expired reports. The zones are in the order of the settings.
   PlanInput plan_input(double now);
 
-  // Nodes that are heard of, by zone.
+  // The number of nodes with a current report, by zone.
   std::vector<std::size_t> reporting_nodes(double now) const;
 
  private:
