--- a/tests/peers/balancer_tracker_test.cpp
+++ b/tests/peers/balancer_tracker_test.cpp
@@ -1,4 +1,4 @@
-// How many copies there are, damped: what the decision module is told.
+// The number of balancers with hysteresis, as the decision module is told of it.
 #include "peers/balancer_tracker.h"
 
 #include <gtest/gtest.h>
@@ -29,7 +29,7 @@
   return m;
 }
 
-// Lets time pass, and gives what was told last in it.
+// Lets time pass and returns the last assignment reported in it.
 std::optional<BalancerAssignment> advance(BalancerTracker& tracker, double& now, double seconds) {
   std::optional<BalancerAssignment> last;
   const double until = now + seconds;
@@ -61,11 +61,12 @@
   BalancerTracker tracker = ten(now);
   advance(tracker, now, 10);
   for (const int i : {1, 2, 7}) tracker.on_member_changed(now, member(i, MemberState::kDead));
-  EXPECT_FALSE(advance(tracker, now, 2.9)) << "not before it is sure";
+  EXPECT_FALSE(advance(tracker, now, 2.9)) << "not before the delay";
   EXPECT_EQ(advance(tracker, now, 1), (BalancerAssignment{2, 7, 7}));
   for (const int i : {0, 3, 5, 6, 8}) tracker.on_member_changed(now, member(i, MemberState::kDead));
-  EXPECT_EQ(advance(tracker, now, 5), (BalancerAssignment{0, 2, 5})) << "the lost may be a cut's other side";
-  EXPECT_EQ(advance(tracker, now, 700), (BalancerAssignment{0, 2, 2})) << "not for ever";
+  EXPECT_EQ(advance(tracker, now, 5), (BalancerAssignment{0, 2, 5}))
+      << "the lost ones may be on the other side of a partition";
+  EXPECT_EQ(advance(tracker, now, 700), (BalancerAssignment{0, 2, 2})) << "not forever";
 }
 
 TEST(PeersCopies, GoodbyesTakeTheirAllowancesAlong) {
@@ -114,7 +115,7 @@
   }
   EXPECT_FALSE(advance(tracker, now, 300));
   BalancerTracker never(settings(2, 5), now);
-  EXPECT_FALSE(advance(never, now, 1000)) << "nor does who has never heard of anybody";
+  EXPECT_FALSE(advance(never, now, 1000)) << "the same if no other balancer was ever heard of";
 }
 
 TEST(PeersCopies, OthersTiersDoNotCountAndMoreThanConfiguredDo) {
@@ -136,7 +137,8 @@
   EXPECT_NE(tracker.assignment().count, 4);
 }
 
-// Whatever is told: a place within the count, sharers that are no fewer, and all who see the same agree.
+// Random state changes: the index is always below the count, the divisor is never below it, and nodes that
+// see the same members agree.
 TEST(PeersCopies, RandomWalksKeepTheRules) {
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     std::mt19937_64 random(seed);
@@ -161,7 +163,7 @@
       }
       now += seconds;
     }
-    // All are there and stay: everybody has an own place.
+    // All are present and stay: each gets an index of its own.
     for (int who = 0; who < 6; ++who) {
       for (int i = 0; i < 6; ++i) {
         if (i != who)
--- a/tests/peers/fleet.h
+++ b/tests/peers/fleet.h
@@ -1,4 +1,4 @@
-// A fleet of memberships in the emulator, with their datagrams as they go over the wire.
+// A fleet of memberships in the emulator; their datagrams are encoded and decoded.
 #pragma once
 
 #include <algorithm>
@@ -13,7 +13,7 @@
 
 namespace nettlestand::peers::testing {
 
-// Everything that a member has said in its lives, for rules over all of it.
+// A change that a member has reported, kept for checks of the whole history.
 struct RecordedChange {
   double at = 0;
   emulator::ActorId observer = 0;
@@ -43,7 +43,7 @@
     flush(c, out);
   }
   void timer(emulator::Context& c, std::uint64_t token) override {
-    if (token != timers) return;  // an earlier one
+    if (token != timers) return;  // a superseded timer
     std::vector<Membership::Outgoing> out;
     if (announces_leaving) membership.announce_leaving(c.now(), out);
     membership.tick(c.now(), out);
@@ -65,7 +65,7 @@
   std::vector<RecordedChange>* changes;
   const std::vector<Member>* known;
   std::uint64_t timers = 0, refused = 0;
-  bool announces_leaving = false;  // it says that it is about to go, at its next timer
+  bool announces_leaving = false;  // calls announce_leaving() at its next timer
 };
 
 struct Fleet {
@@ -98,12 +98,12 @@
   }
   SimulatedNode& at(emulator::ActorId i) { return *static_cast<SimulatedNode*>(sim.actor(i)); }
 
-  // How one node holds another.
+  // The state that one node holds another in.
   MemberState view(emulator::ActorId of, emulator::ActorId whom) {
     const auto m = at(of).membership.find(member_key(name(whom)));
     return m ? m->state : MemberState::kLeft;
   }
-  // Whether all that run hold exactly those for alive that run.
+  // Whether each running node holds exactly the running nodes alive.
   bool converged() {
     for (emulator::ActorId i = 0; i < sim.size(); ++i) {
       if (!sim.alive(i)) continue;
@@ -120,7 +120,7 @@
     }
     return true;
   }
-  // Runs until all agree; false after `most` s.
+  // Runs until all nodes agree; false after `most` seconds.
   bool converge(double most) {
     const double until = sim.now() + most;
     while (sim.now() < until) {
@@ -141,7 +141,7 @@
   const std::uint64_t seed;
   MembershipSettings base;
   bool record = true;
-  std::vector<Member> known;  // by all, from their start
+  std::vector<Member> known;  // members that all know from the start
   std::vector<RecordedChange> changes;
 };
 
--- a/tests/peers/membership_rules_test.cpp
+++ b/tests/peers/membership_rules_test.cpp
@@ -1,5 +1,5 @@
-// The rules over what nodes say of each other, on timelines made by hand: each finds what it is for, and
-// nothing in what is allowed.
+// The rules over membership timelines, on timelines made by hand: each rule finds what it is for, and nothing
+// in what is allowed.
 #include "standins/world/membership_rules.h"
 
 #include <gtest/gtest.h>
@@ -7,7 +7,7 @@
 namespace nettlestand::standins {
 namespace {
 
-// Four nodes that hold each other for alive from the first second on.
+// Four nodes that hold each other alive from the first second on.
 struct Story {
   Story() {
     t.began = 100;
@@ -108,7 +108,7 @@
   anew.kill(1, 115);
   anew.t.evidence.lives.push_back({"n1", 116, 0, 0, false});
   for (const int i : {0, 2, 3}) anew.says(117, 1, i, "alive");
-  EXPECT_EQ(anew.broken(), "") << "a process that starts anew knows nothing of it";
+  EXPECT_EQ(anew.broken(), "") << "a new process knows nothing of it";
 }
 
 }  // namespace
--- a/tests/peers/membership_test.cpp
+++ b/tests/peers/membership_test.cpp
@@ -1,5 +1,4 @@
-// Membership's deciding half, in the emulator: what must hold in small fleets and large ones, whatever
-// happens.
+// The membership state machine in the emulator: what must hold in small and large fleets under any faults.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -24,7 +23,8 @@
   return out;
 }
 
-// Over everything that was said: no life comes back from the dead, incarnations only grow within a life.
+// Checks the whole history: no ended generation becomes alive again, and incarnations only grow within a
+// generation.
 void check_history(const Fleet& fleet) {
   struct Known {
     std::uint64_t generation = 0;
@@ -37,11 +37,11 @@
     const Member& m = s.change.member;
     Known& h = known_by[{s.observer, m.key}];
     if (s.change.first_seen) h = {};
-    ASSERT_GE(m.generation, h.generation) << "an earlier life came after a later one";
+    ASSERT_GE(m.generation, h.generation) << "an earlier generation came after a later one";
     if (m.generation == h.generation) {
       EXPECT_GE(m.incarnation, h.incarnation);
       const bool over = m.state == MemberState::kDead || m.state == MemberState::kLeft;
-      EXPECT_TRUE(!h.ended || over) << "a life that had ended came back";
+      EXPECT_TRUE(!h.ended || over) << "an ended generation became alive again";
     }
     const bool over = m.state == MemberState::kDead || m.state == MemberState::kLeft;
     h = {m.generation, m.incarnation, m.state, over};
@@ -76,7 +76,7 @@
     }
   }
   fleet.sim.start(7);
-  EXPECT_TRUE(fleet.converge(10)) << "under its name, with another life";
+  EXPECT_TRUE(fleet.converge(10)) << "under its name, with another generation";
   check_history(fleet);
 }
 
@@ -101,7 +101,7 @@
   for (std::size_t i = before; i < fleet.changes.size(); ++i) {
     const RecordedChange& s = fleet.changes[i];
     EXPECT_FALSE(s.observer == 4 && s.change.member.state == MemberState::kDead)
-        << "it accused somebody in its old belief";
+        << "it declared somebody dead from outdated findings";
   }
   EXPECT_TRUE(fleet.converge(10));
   check_history(fleet);
@@ -124,10 +124,10 @@
   for (emulator::ActorId i = 0; i < 10; ++i) {
     if (i != 4 && i != 7) {
       EXPECT_EQ(fleet.view(i, 4), MemberState::kDead) << i;
-      EXPECT_EQ(fleet.view(i, 7), MemberState::kLeaving) << "who only takes its time is not, " << i;
+      EXPECT_EQ(fleet.view(i, 7), MemberState::kLeaving) << "one that is slow to leave is not dead, " << i;
     }
   }
-  // Nor is it where nobody doubts it rightly: what is doubted says that it still leaves.
+  // Nor is it declared dead because of wrong suspicions: a suspect answers that it is still leaving.
   fleet.sim.set_network(loss(0.3));
   fleet.sim.run_until(fleet.sim.now() + 300);
   for (emulator::ActorId i = 0; i < 10; ++i) {
@@ -138,7 +138,7 @@
   check_history(fleet);
 }
 
-// Which of a socket and a timer is seen to first after a pause is the loop's to say.
+// After a pause the event loop may handle the socket or the timer first.
 TEST(Peers, WhoStoodNoticesItAlsoWhenADatagramComesBeforeItsTimer) {
   MembershipSettings s;
   s.self.name = "a";
@@ -159,7 +159,7 @@
   a.on_message(now += 30, 2, hello, out);
   EXPECT_EQ(a.counters().stalls, 1U);
   a.tick(now, out);
-  EXPECT_EQ(a.counters().stalls, 1U) << "once";
+  EXPECT_EQ(a.counters().stalls, 1U) << "counted once";
   EXPECT_EQ(a.counters().suspicions, accused);
 }
 
@@ -203,7 +203,7 @@
   ASSERT_TRUE(fleet.converge(120));
   fleet.sim.kill(3);
   fleet.sim.run_until(fleet.sim.now() + 0.3);
-  fleet.sim.start(3);  // what was sent to and by its former self is still under way
+  fleet.sim.start(3);  // datagrams to and from the earlier process are still in flight
   EXPECT_TRUE(fleet.converge(60));
   std::uint64_t refused = 0;
   for (emulator::ActorId i = 0; i < 20; ++i) refused += fleet.at(i).refused;
@@ -274,7 +274,8 @@
   check_history(fleet);
 }
 
-// All orders of some faults on three nodes, to a depth, against the rules; and all agree once it is quiet.
+// All sequences of some faults on three nodes up to a length: the rules hold, and all nodes agree once the
+// faults are over.
 TEST(Peers, ThreeNodesBearEveryOrderOfFaults) {
   constexpr int kVerbs = 7, kDepth = 4;
   int total = 1;
@@ -372,7 +373,7 @@
 }
 INSTANTIATE_TEST_SUITE_P(Peers, Walks, ::testing::Range<std::uint64_t>(1, 31));
 
-// ------------------------------------------------------------ the wire
+// ------------------------------------------------------------ datagram codec
 
 Message sample() {
   Message m;
@@ -434,7 +435,7 @@
     forged[i] = static_cast<char>(forged[i] ^ 0x10);
     EXPECT_FALSE(b.decode(forged, error)) << i;
   }
-  // In any order, each once.
+  // Accepted in any order, each once.
   std::vector<std::string> many;
   for (int i = 0; i < 60; ++i) many.push_back(a.encode(sample()));
   std::mt19937_64 random(3);
--- a/tests/peers/processes_test.cpp
+++ b/tests/peers/processes_test.cpp
@@ -1,5 +1,4 @@
-// Membership by processes of the program, with faults on the ways between them and on the processes
-// themselves.
+// Membership among processes of the program, with faults on the links between them and in the processes.
 #include <arpa/inet.h>
 #include <gtest/gtest.h>
 #include <netinet/in.h>
@@ -22,7 +21,7 @@
 namespace nettlestand::standins::testing {
 namespace {
 
-// A world in which nodes can be asked what they know.
+// A world whose nodes answer queries on a control socket.
 WorldSettings world_with_control(std::size_t nodes, std::size_t servers = 4, std::size_t zones = 1) {
   WorldSettings s = peers_world(nodes, servers, zones);
   s.process.operator_file = peers_file("[control]\nsocket = \"{state}/control\"\n");
@@ -55,7 +54,7 @@
 
 std::string n(std::size_t i) { return "n" + std::to_string(i); }
 
-// Whether each of some nodes holds each other one for alive.
+// Whether each of the given nodes holds all of them, and nobody else, alive.
 bool all_see_alive(ProcessWorld& w, const std::vector<std::size_t>& who) {
   for (const std::size_t i : who) {
     try {
@@ -89,7 +88,7 @@
   return w.network().begin(w.machine(from), w.machine(to), f);
 }
 
-// ------------------------------------------------------------ who is there
+// ------------------------------------------------------------ joining and leaving
 
 TEST(PeersProcesses, FindEachOtherAndHearOfDeathsAndGoodbyes) {
   ProcessWorld w(world_with_control(5));
@@ -128,13 +127,13 @@
   w.start();
   UNTIL(all_see_alive(w, up_to(3)));
   w.end_node(0, SIGKILL);
-  UNTIL(view(w, 2).copies() == 2);  // it knows how many they are,
-  EXPECT_EQ(count_events(w.node(2).log(), "copies"), 0U) << "and tells nobody";
+  UNTIL(view(w, 2).copies() == 2);  // it knows the count,
+  EXPECT_EQ(count_events(w.node(2).log(), "copies"), 0U) << "and reports it to nobody";
   EXPECT_FALSE(view(w, 2).report["copies"]["followed"].GetBool());
   w.finish();
 }
 
-// Lists that lead nowhere, and then ones that lead to each other.
+// The lists of members first lead nowhere, and after a reload to each other.
 TEST(PeersProcesses, TakeOverAddressesAfterSighup) {
   ProcessWorld w(world_with_control(2));
   w.start();
@@ -147,7 +146,7 @@
     nodes.push_back(std::make_unique<NodeProcess>(NODE, config, w.options_of(i)));
     nodes.back()->await_ready();
   }
-  UNTIL(view(w, 0).counter("sent") >= 4);  // asked, and nobody was there
+  UNTIL(view(w, 0).counter("sent") >= 4);  // it sent requests, and nobody answered
   EXPECT_EQ(view(w, 0).report["living"].GetInt(), 1);
   for (std::size_t i = 0; i < 2; ++i) nodes[i]->reload(w.config_of(i));
   UNTIL(all_see_alive(w, up_to(2)));
@@ -165,7 +164,7 @@
   w.finish();
 }
 
-// Their lists lead nowhere; what reaches all at once does.
+// The lists of members lead nowhere; only the broadcast address reaches the other node.
 TEST(PeersProcesses, AreFoundByWhatReachesAllAtOnceAndTakeTheirLeaveByIt) {
   ProcessWorld w(world_with_control(2));
   w.start();
@@ -189,14 +188,14 @@
   w.finish();
 }
 
-// ------------------------------------------------------------ processes that stand
+// ------------------------------------------------------------ stalled processes
 
 TEST(PeersProcesses, AShortPauseIsForgivenAndALongOneEndsInANewLife) {
   ProcessWorld w(world_with_control(6));
   w.start();
   UNTIL(all_see_alive(w, up_to(6)));
   w.node(2).pause();
-  std::this_thread::sleep_for(std::chrono::milliseconds(200));  // half a period
+  std::this_thread::sleep_for(std::chrono::milliseconds(200));  // half a probe interval
   w.node(2).resume();
   UNTIL(all_see_alive(w, up_to(6)));
   EXPECT_EQ(view(w, 2).counter("rebirths"), 0);
@@ -207,10 +206,10 @@
   const double woke = now();
   w.node(2).resume();
   UNTIL(view(w, 2).counter("rebirths") >= 1);
-  EXPECT_LT(now() - woke, 5) << "bounds only what would hang; see the measurement";
+  EXPECT_LT(now() - woke, 5) << "only a bound for a hanging test; the time is measured by the bench";
   UNTIL(all_see_alive(w, up_to(6)));
   EXPECT_GT(view(w, 0).generation("n2"), generation);
-  // What it did on waking: it accused nobody in its old belief.
+  // After the stall it must not declare others dead from outdated findings.
   EXPECT_EQ(count_events(w.node(2).log(), "member_dead"), 0U) << w.node(2).log();
   const Timeline t = w.finish();
   EXPECT_EQ(broken_rules(membership_rules(bounds()), t), "");
@@ -224,14 +223,15 @@
   for (std::size_t i = 0; i < 8; ++i) {
     for (std::size_t j = 0; j < 8; ++j) {
       if (i != j) {
-        EXPECT_EQ(count_events(w.node(i).log(), "member_dead", n(j)), 0U) << i << " called " << j << " dead";
+        EXPECT_EQ(count_events(w.node(i).log(), "member_dead", n(j)), 0U)
+            << i << " declared " << j << " dead";
       }
     }
   }
   w.finish();
 }
 
-// ------------------------------------------------------------ ways that fail
+// ------------------------------------------------------------ link faults
 
 TEST(PeersProcesses, OneSidedCutsMakeNobodyDead) {
   const std::vector<std::pair<const char*, std::function<void(ProcessWorld&)>>> cases = {
@@ -256,13 +256,13 @@
                    ProcessWorld w(world_with_control(9));
                    w.start();
                    if (!ProcessWorld::until([&] { return all_see_alive(w, up_to(9)); }))
-                     return std::string(what) + ": apart\n";
+                     return std::string(what) + ": the nodes do not find each other\n";
                    set(w);
-                   w.play("", 10);  // 25 periods
+                   w.play("", 10);  // 25 probe intervals
                    std::string out;
                    for (std::size_t i = 0; i < 9; ++i) {
                      if (count_events(w.node(i).log(), "member_dead") > 0)
-                       out += std::string(what) + ": said by " + n(i) + "\n";
+                       out += std::string(what) + ": declared by " + n(i) + "\n";
                    }
                    w.finish();
                    return out;
@@ -293,20 +293,21 @@
       "for 6\nnodes -> nodes: corrupt 0.1 for 6\nat 2 n2: restart\nat 3 n4: restart",
       7);
   UNTIL(all_see_alive(w, up_to(6)));
-  EXPECT_GT(view(w, 0).counter("refused_seal"), 0) << "what was corrupted is counted";
-  EXPECT_GT(view(w, 0).counter("refused_replay"), 0) << "so are repeats";
+  EXPECT_GT(view(w, 0).counter("refused_seal"), 0) << "corrupted datagrams are counted";
+  EXPECT_GT(view(w, 0).counter("refused_replay"), 0) << "so are duplicates";
   const Timeline t = w.finish();
   EXPECT_EQ(broken_rules(all_rules(w), t), "");
 }
 
-// Two sides, of which each loses and gains nodes meanwhile.
+// A partition whose sides lose and gain nodes meanwhile.
 TEST(PeersProcesses, HalvesAndThirdsOfACutFindEachOtherAgain) {
   EXPECT_EQ(each(2, 2,
                  [&](int c) -> std::string {
                    const std::size_t zones = static_cast<std::size_t>(c) + 2;
                    ProcessWorld w(world_with_control(9, 4, zones));
                    w.start();
-                   if (!ProcessWorld::until([&] { return all_see_alive(w, up_to(9)); })) return "apart\n";
+                   if (!ProcessWorld::until([&] { return all_see_alive(w, up_to(9)); }))
+                     return "the nodes do not find each other\n";
                    w.end_node(8, SIGKILL);
                    std::vector<std::uint64_t> faults;
                    for (std::size_t i = 0; i < 9; ++i) {
@@ -324,10 +325,10 @@
                    };
                    if (!ProcessWorld::until(
                            [&] { return others_dead(0) && others_dead(1) && others_dead(5); }, 40)) {
-                     return "the sides are not told apart\n";
+                     return "the sides of the partition do not take each other for dead\n";
                    }
                    w.end_node(3, SIGKILL);  // dies on one side,
-                   w.start_node(8);         // comes on another,
+                   w.start_node(8);         // joins on another,
                    w.end_node(4, SIGKILL);  // and restarts
                    w.start_node(4);
                    w.node(4).await_ready();
@@ -335,14 +336,14 @@
                    const std::vector<std::size_t> living = {0, 1, 2, 4, 5, 6, 7, 8};
                    std::string out;
                    if (!ProcessWorld::until([&] { return all_see_alive(w, living); }, 30))
-                     out = "they do not find each other\n";
+                     out = "the sides do not find each other again\n";
                    w.finish();
                    return out;
                  }),
             "");
 }
 
-// ------------------------------------------------------------ many at once
+// ------------------------------------------------------------ mass failures
 
 TEST(PeersProcesses, SevenInTenKilledAtOnceAndAllRestartedAtOnce) {
   ProcessWorld w(world_with_control(10));
@@ -380,7 +381,7 @@
 
 // ------------------------------------------------------------ names, clocks, addresses
 
-// A further process beside those of a world, on a machine of its own that all nodes reach.
+// A process outside the world, on a machine of its own that all nodes reach.
 struct ExtraNode {
   ExtraNode(ProcessWorld& w, std::size_t nodes, std::size_t as) {
     machine = w.network().machine();
@@ -409,7 +410,7 @@
   ProcessWorld w(world_with_control(5));
   w.start();
   UNTIL(all_see_alive(w, up_to(5)));
-  UNTIL(view(w, 2).counter("probes") >= 4);  // it is at home
+  UNTIL(view(w, 2).counter("probes") >= 4);  // it has joined
   const std::int64_t generation = view(w, 0).generation("n2");
   ExtraNode twin(w, 5, 2);
   ASSERT_TRUE(ProcessWorld::until([&] { return count_events(twin.process->log(), "refused") == 1; }))
@@ -417,8 +418,8 @@
   EXPECT_GE(count_events(twin.process->log(), "namesake"), 1U);
   UNTIL(count_events(w.node(2).log(), "namesake") >= 1);
   EXPECT_EQ(count_events(w.node(2).log(), "refused"), 0U);
-  EXPECT_EQ(view(w, 0).generation("n2"), generation) << "who was there stayed";
-  EXPECT_EQ(twin.process->health(), 200) << "the one that was refused serves on";
+  EXPECT_EQ(view(w, 0).generation("n2"), generation) << "the holder of the name stays";
+  EXPECT_EQ(twin.process->health(), 200) << "the refused one goes on serving";
   UNTIL(all_see_alive(w, up_to(5)));
   w.finish();
 }
@@ -439,7 +440,7 @@
   w.finish();
 }
 
-#ifdef SEAMS  // which are loaded before the program, where a sanitizer's library wants to be
+#ifdef SEAMS  // a preloaded library; a sanitizer's library would have to be loaded before it
 TEST(PeersProcesses, NothingDependsOnWallClocks) {
   WorldSettings s = world_with_control(5);
   s.seams = std::string("LD_PRELOAD=") + SEAMS;
@@ -453,15 +454,15 @@
   UNTIL(all_see_alive(w, up_to(5)));
   w.end_node(2, SIGKILL);
   UNTIL(hold(w, {0, 1, 3, 4}, "n2", "dead"));
-  w.start_node(2);  // with a life far below the one that has ended
+  w.start_node(2);  // with a generation far below the one that has ended
   UNTIL(all_see_alive(w, up_to(5)));
   w.finish();
 }
 #endif
 
-// ------------------------------------------------------------ who lies, floods or repeats
+// ------------------------------------------------------------ forged, flooded and replayed datagrams
 
-// A socket that sends to a node from where another one's datagrams come.
+// A socket whose datagrams reach a node from the same address as another member's.
 struct ForgedSender {
   ForgedSender(ProcessWorld& w, std::size_t target) : network(w.network()), machine(network.machine()) {
     fd = Fd(::socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
@@ -520,7 +521,7 @@
     forger.send(wire.encode(m));
     if (i % 100 == 0) forger.send(std::string(200 + random() % 200, static_cast<char>(random())));
   }
-  // The node that was told all this serves on, its view heals, and the others' too.
+  // The attacked node goes on serving, and its view and those of the others recover.
   const auto serving = [&] { return w.node(1).health() == 200; };
   UNTIL(serving());
   const auto all_see_all = [&] {
@@ -562,7 +563,8 @@
   UNTIL(view(w, 1).counter("refused_seal") >= 40);
   EXPECT_EQ(view(w, 1).report["living"].GetInt(), 4);
   UNTIL(count_events(w.node(1).log(), "dropped") >= 1);
-  // The second key is taken by all before the first of them seals with it, and then the first one goes.
+  // All nodes accept the second key before the first of them authenticates with it; then the first key is
+  // dropped.
   for (const std::string& text : {one + "\n" + two + "\n", two + "\n" + one + "\n", two + "\n"}) {
     std::ofstream(keys, std::ios::trunc) << text;
     for (std::size_t i = 0; i < 4; ++i) {
@@ -580,7 +582,7 @@
   std::remove(keys.c_str());
 }
 
-// ------------------------------------------------------------ planted faults
+// ------------------------------------------------------------ programs with built-in faults
 
 #ifdef PLANTED
 struct Planted {
@@ -594,8 +596,8 @@
     {"ghosts", "no life comes back from the dead", "at 3 n2: pause for 4"}};
 constexpr int kPlantedCount = 3;
 
-// What a fault does in one play hangs on which datagrams are lost: the first one showed in 7 plays of 8. So
-// each is played until its rule has seen it, six times at the most.
+// Whether a fault shows in one run depends on which datagrams are lost: the first one showed in 7 runs of 8.
+// So each runs until its rule has found it, at most six times.
 TEST(PeersPlanted, EachFaultIsCaughtByItsRule) {
   const auto play = [](const Planted& planted) -> std::string {
     WorldSettings s = peers_world(6, 3);
@@ -637,7 +639,7 @@
 }
 #endif
 
-// ------------------------------------------------------------ many worlds under seeded scripts
+// ------------------------------------------------------------ seeded fault scripts
 
 std::string random_script(std::uint64_t seed, std::size_t nodes) {
   std::mt19937_64 random(seed);
@@ -726,7 +728,7 @@
 }
 
 class PeersScripts : public ::testing::TestWithParam<int> {};
-// Ten worlds a test, all at a time: they mostly wait.
+// Ten worlds a test, all at the same time, as they mostly wait.
 TEST_P(PeersScripts, BreakNoRule) {
   constexpr int kWorlds = 10;
   std::atomic<int> voids = 0;
@@ -736,7 +738,7 @@
                  }),
             "");
   if (voids == kWorlds)
-    GTEST_SKIP() << "each of them void three times: the machine is too busy for a verdict";
+    GTEST_SKIP() << "each world was void three times: the machine is too busy for a result";
 }
 INSTANTIATE_TEST_SUITE_P(Peers, PeersScripts, ::testing::Range(0, 10));
 
--- a/tests/peers/world.h
+++ b/tests/peers/world.h
@@ -1,5 +1,4 @@
-// Worlds of processes whose nodes know of each other, with times so short that a test of many worlds ends
-// soon.
+// Process worlds with membership, whose intervals are so short that a test of many worlds ends soon.
 #pragma once
 
 #include <algorithm>
@@ -13,7 +12,7 @@
 
 namespace nettlestand::standins::testing {
 
-inline constexpr double kPeriod = 0.4;  // s; of membership here, 1 s as shipped
+inline constexpr double kPeriod = 0.4;  // s; membership's probe interval here, 1 s by default
 
 inline std::string peers_file(const std::string& more = "") {
   return "[log]\nformat = \"json\"\nrepeats = 0\n[log.levels]\npeers = \"debug\"\n"
@@ -48,7 +47,7 @@
   return out;
 }
 
-// A node's log so far says so: an event of the component peers, with a field that has a value.
+// Counts a component peers' events of one kind in a node's log, optionally only those of one member.
 inline std::size_t count_events(const std::string& log, const std::string& event,
                                 const std::string& member = "") {
   std::size_t count = 0;
--- a/tests/tcp_peer.h
+++ b/tests/tcp_peer.h
@@ -1,4 +1,4 @@
-// Scripted peers on loopback. Everything waits for events; kPatience only ends a test that would hang.
+// Scripted TCP peers on loopback. Everything waits for events; kTimeoutMs only ends a test that would hang.
 #pragma once
 
 #include <arpa/inet.h>
@@ -25,17 +25,18 @@
 
 namespace nettlestand::testing {
 
-constexpr int kTimeoutMs = 15000;  // ms
+constexpr int kTimeoutMs = 15000;
 
 inline double seconds() {
   return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
 }
 
-// For what only shows when it is asked about.
+// Polls a condition for which there is no event.
 template <class Condition>
 void until(Condition holds) {
   for (const double from = seconds(); !holds();) {
-    if (seconds() - from > kTimeoutMs / 1000.0) throw std::runtime_error("it did not come about");
+    if (seconds() - from > kTimeoutMs / 1000.0)
+      throw std::runtime_error("timeout: the condition did not become true");
   }
 }
 
@@ -47,7 +48,7 @@
 // Whether a connection to this port is being opened.
 inline bool connecting_to(int port) {
   char end[16];
-  std::snprintf(end, sizeof end, ":%04X 02 ", static_cast<unsigned>(port));  // SYN_SENT
+  std::snprintf(end, sizeof end, ":%04X 02 ", static_cast<unsigned>(port));  // state SYN_SENT
   std::ifstream table("/proc/net/tcp");
   for (std::string line; std::getline(table, line);) {
     if (line.find(end) != std::string::npos) return true;
@@ -55,7 +56,7 @@
   return false;
 }
 
-// A connection of a peer or a client.
+// A TCP connection of a scripted client or server.
 class TcpConnection {
  public:
   explicit TcpConnection(int fd = -1) : fd_(fd) {
@@ -91,7 +92,7 @@
     return ntohs(at.sin_port);
   }
   void send(const std::string& text) const { ::send(fd_, text.data(), text.size(), MSG_NOSIGNAL); }
-  // As much as the other side's machine takes without reading.
+  // Sends as much as the other host accepts without its program reading.
   void send_some(const std::string& text) const {
     ::send(fd_, text.data(), text.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
   }
@@ -104,7 +105,7 @@
     setsockopt(fd_, SOL_SOCKET, SO_LINGER, &now, sizeof now);
     close();
   }
-  // Waits until the other side's machine has all that was sent.
+  // Waits until the other host has received everything that was sent.
   void wait_until_delivered() const {
     until([&] {
       int left = 0;
@@ -112,7 +113,7 @@
       return left == 0;
     });
   }
-  // Waits until the other side's program has read what has come, or has closed.
+  // Waits until the other program has read everything that was received, or has closed.
   void wait_until_read() const {
     sockaddr_in to{};
     socklen_t size = sizeof to;
@@ -123,7 +124,7 @@
       std::ifstream table("/proc/net/tcp");
       for (std::string line; std::getline(table, line);) {
         const std::size_t at = line.find(ends);
-        if (at != std::string::npos) return line.substr(at + 32, 8) == "00000000";  // what is not read
+        if (at != std::string::npos) return line.substr(at + 32, 8) == "00000000";  // receive queue
       }
       return true;
     });
@@ -131,21 +132,21 @@
   bool closed() const { return fd_ < 0; }
   bool no_data(int wait_ms = 0) const { return buffered_.empty() && !readable(fd_, wait_ms); }
 
-  // Whether the other side has ended the connection, after no further bytes.
+  // Whether the other side closes or resets the connection without sending more bytes.
   bool ended() {
     if (!buffered_.empty() || !readable(fd_, kTimeoutMs)) return false;
     char byte = 0;
     return recv(fd_, &byte, 1, 0) <= 0;
   }
 
-  // Whether the other side has ended the connection in order, not by a reset, after no further bytes.
+  // Whether the other side closes the connection in order, without a reset and without sending more bytes.
   bool ended_in_order() {
     if (!buffered_.empty() || !readable(fd_, kTimeoutMs)) return false;
     char byte = 0;
     return recv(fd_, &byte, 1, 0) == 0;
   }
 
-  // One message: its head, and a body of Content-Length. Short where the connection ends first.
+  // Reads one message: its head, and a body of Content-Length. Shorter if the connection ends first.
   std::string message() {
     std::size_t whole = std::string::npos;
     while (true) {
@@ -172,7 +173,7 @@
   std::string buffered_;
 };
 
-// Something that listens.
+// A listening socket on a free port.
 class TcpListener {
  public:
   explicit TcpListener(int backlog = 64) : fd_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
@@ -195,7 +196,7 @@
     fd_ = -1;
   }
   bool no_data(int wait_ms = 0) const { return !readable(fd_, wait_ms); }
-  // Connections from now on take little before they are read: large writes to them have to wait.
+  // Makes connections accepted from now on buffer little, so that large writes to them block.
   void shrink_receive_buffer() const {
     const int segment = 536, buffer = 2048;
     setsockopt(fd_, IPPROTO_TCP, TCP_MAXSEG, &segment, sizeof segment);
--- a/tests/zones/failover_test.cpp
+++ b/tests/zones/failover_test.cpp
@@ -1,5 +1,5 @@
-// Evidence, planner and followers together: zones as fluids, news that come late, get lost and grow old, and
-// the courses of faults. What is checked holds in every course: no zone is pushed over by moved traffic.
+// Report aggregation, planner and followers together: zones as fluids, reports and plans that are late, lost
+// or outdated, and sequences of faults. In every sequence no zone may be overloaded by moved traffic.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -15,10 +15,10 @@
 namespace nettlestand::zones {
 namespace {
 
-constexpr double kStep = 0.1, kEvery = 0.2;  // s: of the course; between a node's reports, and between plans
+constexpr double kStep = 0.1, kEvery = 0.2;  // s; of the simulation, and of reports and plans
 constexpr double kLease = 3;                 // s
-constexpr double kBears = 100;               // calls/s: a zone's servers, warm
-constexpr std::size_t kNodes = 3;            // a zone
+constexpr double kBears = 100;               // calls/s that a zone's warm servers can take
+constexpr std::size_t kNodes = 3;            // in a zone
 
 struct ZoneSimulation {
   explicit ZoneSimulation(std::size_t zones, unsigned seed)
@@ -38,7 +38,7 @@
     elect();
   }
 
-  // Another node holds the duty from now on: it knows nothing of what was decided before.
+  // Another node becomes the planner; it knows nothing of earlier plans.
   void elect() {
     ++token;
     epoch = 0;
@@ -57,7 +57,7 @@
   std::size_t zones() const { return s.zones.size(); }
   double draw(double most) { return std::uniform_real_distribution<>(0, most)(random); }
 
-  // From now until `until`; `change` is asked at each step.
+  // Runs until `until`; `change` is called at each step.
   void run(double until, const std::function<void(ZoneSimulation&)>& change = {}) {
     for (; at < until - 1e-9; at += kStep) {
       if (change) change(*this);
@@ -117,7 +117,8 @@
     }
     moved = served = 0;
     for (std::size_t b = 0; b < n; ++b) {
-      const double kept = std::min(near[b], capacity[b]);  // the module admits no more near
+      // The decision module admits no more in its own zone.
+      const double kept = std::min(near[b], capacity[b]);
       moved += came[b];
       served += std::min(capacity[b], kept + came[b]);
       const double over = kept + came[b] - 1.05 * capacity[b];
@@ -128,7 +129,7 @@
       if (over_since[b] >= 0) longest_over = std::max(longest_over, at - over_since[b] + kStep);
     }
     refused = asked - served;
-    // A turn counts once it is a tenth of what a zone bears.
+    // A reversal counts if it exceeds a tenth of a zone's capacity.
     if (rising ? moved > extreme : moved < extreme) extreme = moved;
     if (std::abs(moved - extreme) > 0.1 * kBears) {
       if (turned) ++reversals;
@@ -168,7 +169,7 @@
   int reversals = 0;
 };
 
-// Cold at a third, warm 9 s later.
+// A third of the capacity at first, all of it after 9 s.
 double ramp(double since) { return kBears * std::min(1.0, 0.33 + 0.67 * since / 9); }
 
 class Courses : public ::testing::TestWithParam<unsigned> {
@@ -194,7 +195,7 @@
 TEST_P(Courses, ALostZonesTrafficIsHomeTwoSecondsAfterItIsSeen) {
   ZoneSimulation w = three();
   w.run(10);
-  w.run(12.5, [](ZoneSimulation& x) { x.capacity[1] = 0; });  // 0.5 s for news of it
+  w.run(12.5, [](ZoneSimulation& x) { x.capacity[1] = 0; });  // 0.5 s for the reports
   EXPECT_NEAR(w.refused, 0, 0.5);
   EXPECT_LE(w.longest_over, 1);
   w.run(310, [](ZoneSimulation& x) { x.capacity[1] = 0; });
@@ -205,11 +206,11 @@
   ZoneSimulation w = three();
   w.run(10);
   w.nodes_gone[0] = true;
-  w.demand[1] += 25;  // its clients go to the others' nodes
+  w.demand[1] += 25;  // its clients go to the other zones' nodes
   w.demand[2] += 25;
   w.run(30);
   EXPECT_NEAR(w.refused, 0, 0.5);
-  EXPECT_GT(w.last.fallback_limits[1][0], 0) << "its servers are still room for the others";
+  EXPECT_GT(w.last.fallback_limits[1][0], 0) << "its servers are still capacity for the other zones";
   w.demand[1] = 180;
   w.run(40);
   EXPECT_NEAR(w.refused, 0, 0.5);
@@ -224,7 +225,7 @@
       if (b == 0) (slow ? v.latency_factor : v.success_ratio) = slow ? 3 : 0.5;
     };
     w.run(30);
-    EXPECT_NEAR(w.moved, slow ? 50 - 100.0 / 3 : 0, 0.5) << "what is over, and no more";
+    EXPECT_NEAR(w.moved, slow ? 50 - 100.0 / 3 : 0, 0.5) << "the excess, and no more";
     EXPECT_LE(w.longest_over, 1);
     EXPECT_EQ(w.reversals, 0);
   }
@@ -241,7 +242,8 @@
   }
 }
 
-// It stops in the middle of a change, another one decides, and it wakes with plans of its own.
+// The planner stalls in the middle of a failover, another one takes over, and the first one resumes with its
+// old plans.
 TEST_P(Courses, TheDeciderStopsAndWakesAfterTheNextOneHasDecided) {
   ZoneSimulation w = three();
   w.run(10);
@@ -250,7 +252,7 @@
   const Plan old = w.last;
   w.run(16, [](ZoneSimulation& x) { x.capacity[0] = 0; });
   EXPECT_LE(w.longest_over, 1);
-  for (const auto& f : w.followers) EXPECT_EQ(f->plan(w.at), nullptr) << "it has lapsed";
+  for (const auto& f : w.followers) EXPECT_EQ(f->plan(w.at), nullptr) << "it has expired";
   w.elect();
   w.decides = true;
   w.run(20, [](ZoneSimulation& x) { x.capacity[0] = 0; });
@@ -274,7 +276,7 @@
     x.capacity[0] = 0;
     x.capacity[1] = 70;
     if (x.at < 14) return;
-    EXPECT_LE(x.moved, sent + 1e-6) << "never more as time goes by";
+    EXPECT_LE(x.moved, sent + 1e-6) << "it never grows over time";
     sent = x.moved;
   });
   EXPECT_LE(w.longest_over, 1);
@@ -285,7 +287,7 @@
   std::fill(w.demand.begin(), w.demand.end(), 80);
   w.run(10);
   w.run(60, [](ZoneSimulation& x) { x.capacity[2] = 0; });
-  EXPECT_NEAR(w.refused, 60, 0.5) << "the others serve theirs, and a half of their head-room";
+  EXPECT_NEAR(w.refused, 60, 0.5) << "the others serve their own demand, and half of the rest is headroom";
   EXPECT_LE(w.longest_over, 1);
   EXPECT_EQ(w.reversals, 0);
 }
@@ -321,7 +323,7 @@
   w.demand[1] = 200;
   w.run(40);
   EXPECT_LE(w.longest_over, 1);
-  EXPECT_NEAR(w.refused, 0, 0.5) << "280 asked for, 300 there, less 20 of head-room";
+  EXPECT_NEAR(w.refused, 0, 0.5) << "demand 280, capacity 300 less 20 of headroom";
   EXPECT_LE(w.reversals, 1);
 }
 
--- a/tests/zones/min_cost_flow_test.cpp
+++ b/tests/zones/min_cost_flow_test.cpp
@@ -1,4 +1,4 @@
-// The cheapest largest flow, against every flow that there is.
+// The minimum-cost flow against all possible flows.
 #include "zones/min_cost_flow.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 namespace nettlestand::zones {
 namespace {
 
-// Two sources of supply, two sinks, four ways: all that can be sent, tried one by one.
+// Two sources, two sinks and four edges between them, compared with an exhaustive search.
 TEST(Flow, SendsTheMostAtTheLeastCost) {
   std::mt19937_64 random(1);
   for (int round = 0; round < 3000; ++round) {
@@ -61,7 +61,7 @@
 }
 
 TEST(Flow, TakesBackWhatStandsInTheWay) {
-  // The cheap way of the first would shut out the second altogether.
+  // The first unit's cheap path would block the second unit's only path.
   MinCostFlow flow(6);
   flow.add_edge(4, 0, 1, 0);
   flow.add_edge(4, 1, 1, 0);
--- a/tests/zones/plan_follower_test.cpp
+++ b/tests/zones/plan_follower_test.cpp
@@ -1,4 +1,4 @@
-// What a node does with plans, and without one.
+// How a node splits its demand with a plan and without one.
 #include "zones/plan_follower.h"
 
 #include <gtest/gtest.h>
@@ -29,7 +29,7 @@
   return out;
 }
 
-// What a holder of the duty makes of zones of which the first is lost.
+// A plan for three zones of which the first is lost.
 Plan plan_of(std::uint64_t token, std::uint64_t epoch, double lease = 3) {
   Planner planner(planner_settings());
   Plan out;
@@ -53,7 +53,7 @@
       const bool newer = std::pair(token, epoch) > newest;
       ASSERT_EQ(follower.offer(plan_of(token, epoch), 0, 10), newer);
       if (newer) newest = {token, epoch};
-      ASSERT_FALSE(follower.offer(plan_of(token, epoch), 0, 10)) << "twice the same";
+      ASSERT_FALSE(follower.offer(plan_of(token, epoch), 0, 10)) << "the same plan twice";
       ASSERT_EQ(follower.plan(10)->token, newest.first);
       ASSERT_EQ(follower.plan(10)->epoch, newest.second);
     }
@@ -70,7 +70,7 @@
   EXPECT_EQ(follower.age(11), 2) << "to be handed on with it";
   EXPECT_EQ(follower.plan(12), nullptr);
   EXPECT_FALSE(follower.split(1, 1, kDistance, 12).from_plan);
-  // One that has lapsed on its way is known, and not followed.
+  // A plan that has expired on its way is remembered and not followed.
   ASSERT_TRUE(follower.offer(plan_of(1, 2, 3), 5, 13));
   EXPECT_EQ(follower.plan(13), nullptr);
   EXPECT_FALSE(follower.offer(plan_of(1, 1, 3), 0, 13));
@@ -83,16 +83,16 @@
   EXPECT_TRUE(s.from_plan);
   EXPECT_EQ(s.zones, (std::vector<std::string>{"a", "b", "c"}));
   EXPECT_EQ(s.fractions[0], (std::vector<double>{0, 0.75, 0.25}))
-      << "30 of 40 to b, up to its head-room, 10 to c";
-  EXPECT_EQ(s.fractions[1], (std::vector<double>{0, 0, 0})) << "held to its zone: refused rather than moved";
+      << "30 of 40 to b, up to its headroom, 10 to c";
+  EXPECT_EQ(s.fractions[1], (std::vector<double>{0, 0, 0})) << "bound to its zone: refused rather than moved";
   PlanFollower other(in("b"));
   ASSERT_TRUE(other.offer(plan_of(1, 1), 0, 10));
   EXPECT_EQ(other.split(1, 1, {1, 0, 7}, 10).fractions[0], (std::vector<double>{0, 1, 0}));
   EXPECT_EQ(other.split(1, 1, {1, 0, 7}, 10).fractions[1], (std::vector<double>{0, 1, 0}))
-      << "nobody asked for it: near";
+      << "no demand: stays in its zone";
 }
 
-// Ten times the demand, and no new plan yet: others get what they were to get, and no more.
+// Ten times the demand and no new plan yet: other zones get what was planned, and no more.
 TEST(Follower, WhatGoesToOthersDoesNotGrowWithTheDemand) {
   PlanFollower follower(in("a"));
   ASSERT_TRUE(follower.offer(plan_of(1, 1), 0, 10));
@@ -112,7 +112,7 @@
   EXPECT_EQ(s.fractions, (std::vector<std::vector<double>>{{1}, {1}}));
 }
 
-// Whatever each of them sees, however many of them lost their plan, and however long ago.
+// Whatever each zone sees, however many have lost their plan and however long ago.
 TEST(Follower, AllAloneTogetherStayWithinWhatTargetsWereLastKnownToBear) {
   for (unsigned seed = 1; seed <= 300; ++seed) {
     std::mt19937_64 random(seed);
@@ -150,7 +150,8 @@
           }
           ASSERT_LE(all, 1 + 1e-9);
         }
-        // All of what is near fails: the most that it may send, and never more as time goes by.
+        // All of the zone's own servers fail: the largest amount that it may send, which never grows over
+        // time.
         const TrafficSplit most = follower.split(0, 1, f.distance[a], at);
         double away = 0;
         for (std::size_t b = 0; b < 3; ++b) away += b == a ? 0 : most.fractions[0][b];
@@ -174,7 +175,7 @@
   EXPECT_NEAR(half.fractions[0][1], 0.1, 1e-9);
   EXPECT_EQ(half.fractions[0][2], 0);
   EXPECT_EQ(follower.split(0, 1, {0, kUnreachable, 8}, 3).fractions[0][1], 0)
-      << "where nothing gets through nothing goes";
+      << "nothing is sent to an unreachable zone";
 }
 
 TEST(Follower, WhatIsHeldStaysWhereItIsHeldAlsoWithoutAPlan) {
@@ -188,7 +189,7 @@
   plan.lease = 3;
   PlanFollower follower({"a", settings.classes, 10});
   ASSERT_TRUE(follower.offer(plan, 0, 0));
-  // The nearest target is the one in the other region, and has room.
+  // The nearest target is in the other region, and has capacity.
   const TrafficSplit s = follower.split(0, 1, {0, 8, 1}, 3);
   EXPECT_EQ(s.fractions[0], (std::vector<double>{0, 0, 1}));
   EXPECT_EQ(s.fractions[1], (std::vector<double>{0, 1, 0}));
--- a/tests/zones/planner_test.cpp
+++ b/tests/zones/planner_test.cpp
@@ -1,4 +1,4 @@
-// Plans: exhaustive over small worlds, by random walks over large ones, and the courses that zones take.
+// Plans: exhaustive over small worlds, random walks over large ones, and typical sequences of failures.
 #include "zones/planner.h"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
 
 Load sum(const std::vector<Load>& all) { return std::accumulate(all.begin(), all.end(), Load{0}); }
 
-// Zones a, b and c: the first two are in one region and near each other.
+// Zones a, b and c; the first two are in one region and close to each other.
 PlanInput three(double at, const std::vector<Load>& capacity, const std::vector<std::vector<Load>>& demand) {
   PlanInput out;
   out.now = at;
@@ -40,7 +40,7 @@
 }
 
 struct Sums {
-  std::vector<Load> own, came, went;  // by zone: kept near, moved there, moved away
+  std::vector<Load> own, came, went;  // by zone: kept in the zone, moved in, moved out
   Load moved = 0, refused = 0;
 };
 Sums sums(const Plan& p) {
@@ -59,7 +59,7 @@
   return out;
 }
 
-// What has to hold of every plan, whatever came before it. Empty where it does.
+// The invariants of every plan, whatever came before it. Empty if they hold.
 std::string broken(const PlannerSettings& s, const PlanInput& f, const Plan& p) {
   const std::size_t n = f.zones.size();
   const Sums all = sums(p);
@@ -67,41 +67,42 @@
     const ZoneInput& z = f.zones[a];
     for (std::size_t c = 0; c < s.classes.size(); ++c) {
       Load kept = p.refused[a][c];
-      if (kept < 0) return z.zone + ": refuses less than nothing";
+      if (kept < 0) return z.zone + ": refuses a negative amount";
       for (std::size_t b = 0; b < n; ++b) {
         const Load to = p.load[a][c][b];
-        if (to < 0) return z.zone + ": sends less than nothing";
+        if (to < 0) return z.zone + ": sends a negative amount";
         kept += to;
         if (to == 0 || a == b) continue;
-        if (s.classes[c] == Affinity::kZone) return z.zone + ": moves what is held to it";
+        if (s.classes[c] == Affinity::kZone) return z.zone + ": moves demand bound to it";
         if (s.classes[c] == Affinity::kRegion && z.region != f.zones[b].region)
-          return z.zone + ": moves what is held to its region";
-        if (!std::isfinite(f.distance[a][b])) return z.zone + ": sends where nothing gets through";
+          return z.zone + ": moves demand bound to its region";
+        if (!std::isfinite(f.distance[a][b])) return z.zone + ": sends to an unreachable zone";
       }
-      if (kept != z.demand[c]) return z.zone + ": demand is lost or made up";
+      if (kept != z.demand[c]) return z.zone + ": demand is lost or invented";
     }
     const Load can = capacity_of(z);
-    if (all.own[a] + all.came[a] > can) return z.zone + ": gets more than it can take";
+    if (all.own[a] + all.came[a] > can) return z.zone + ": gets more than its capacity";
     if (all.came[a] > 0 &&
         static_cast<double>(all.own[a] + all.came[a]) > (1 - s.headroom) * static_cast<double>(can) + 1)
-      return z.zone + ": moved traffic takes its head-room";
+      return z.zone + ": moved traffic uses its headroom";
     if (sum(p.refused[a]) > 0 && all.own[a] + all.came[a] < can)
-      return z.zone + ": refuses what it could serve itself";
+      return z.zone + ": refuses demand that it could serve itself";
     Load together = 0;
     for (std::size_t b = 0; b < n; ++b) together += p.fallback_limits[b][a];
     const double beside = (1 - s.headroom) * static_cast<double>(can) - static_cast<double>(all.own[a]);
     if (static_cast<double>(together) > std::max(0.0, beside) + 1)
-      return z.zone + ": all alone together send it more than there is room for";
+      return z.zone + ": the fallback limits together exceed its spare capacity";
   }
   return "";
 }
 
-// Where all that zones can take counts and rates bind nothing: no unit more could be served, moved less, or
-// moved a shorter way. Found by looking for a way to better it, through any number of zones.
+// Where all capacity is trusted and the rates don't limit: no further unit could be served, kept in its zone
+// or moved over a shorter distance. Searches for an improvement through any number of zones.
 std::string could_be_better(const PlannerSettings& s, const PlanInput& f, const Plan& p) {
   const std::size_t n = f.zones.size();
   const Sums all = sums(p);
-  // Nodes: each zone's demand by hold, then each zone as a target. What goes over a way can be taken back.
+  // Nodes: each zone's demand by affinity, then each zone as a target. The flow over an edge can be taken
+  // back.
   const std::vector<Affinity> holds = {Affinity::kZone, Affinity::kRegion, Affinity::kNone};
   const std::size_t nodes = 4 * n;
   std::vector<std::vector<Load>> flow(3 * n, std::vector<Load>(n));
@@ -120,13 +121,14 @@
     if (!std::isfinite(f.distance[a][b]) || holds[from % 3] == Affinity::kZone) return false;
     return holds[from % 3] == Affinity::kNone || f.zones[a].region == f.zones[b].region;
   };
-  // Moved traffic keeps off the head-room; own demand does not.
+  // Moved traffic leaves the headroom free; a zone's own demand does not.
   const auto room = [&](std::size_t b, bool moved) {
     const double part = moved ? 1 - s.headroom : 1;
     return static_cast<Load>(std::floor(static_cast<double>(capacity_of(f.zones[b])) * part + 1e-9)) -
            all.own[b] - all.came[b];
   };
-  // Distances from each demand, over ways that could be used (cost) or taken back (cost off).
+  // Distances from each demand, over edges that could be used (adding the cost) or taken back (subtracting
+  // it).
   constexpr double kFar = 1e18;
   for (std::size_t from = 0; from < 3 * n; ++from) {
     std::vector<double> cost(nodes, kFar);
@@ -137,14 +139,14 @@
       for (std::size_t x = 0; x < 3 * n; ++x) {
         for (std::size_t b = 0; b < n; ++b) {
           if (!may(x, b)) continue;
-          // Near is always better than any way away.
+          // The own zone is always better than any other.
           const double way = x / 3 == b ? 0 : 1e6 + f.distance[x / 3][b];
           if (cost[x] < kFar && cost[x] + way < cost[3 * n + b] - 1e-6) {
             cost[3 * n + b] = cost[x] + way;
             last[3 * n + b] = x;
             changed = true;
           }
-          // What is served near stays there.
+          // Demand that is served in its own zone stays there.
           if (x / 3 != b && flow[x][b] > 0 && cost[3 * n + b] < kFar &&
               cost[3 * n + b] - way < cost[x] - 1e-6) {
             cost[x] = cost[3 * n + b] - way;
@@ -154,7 +156,7 @@
         }
       }
       if (!changed) break;
-      if (round == nodes) return "a circle of moves would be shorter";
+      if (round == nodes) return "a cycle of moves would be shorter";
     }
     for (std::size_t b = 0; b < n; ++b) {
       if (cost[3 * n + b] >= kFar) continue;
@@ -198,8 +200,8 @@
   EXPECT_EQ(worlds, 7 * 7 * 7 * 4 * 4 * 4);
 }
 
-// From each small world to each other one, at any step: the rules hold on the way, and what comes to rest is
-// the best there is, and stays.
+// From each small world to each other one: the invariants hold at each step, and the plan settles on the
+// optimum and stays there.
 TEST(Plan, ComesToRestAfterEveryChange) {
   PlannerSettings s;
   s.classes = kClasses;
@@ -228,7 +230,8 @@
         const PlanInput f = world(to, i);
         now = planner.make_plan(f);
         ASSERT_EQ(broken(s, f, now), "") << from << " to " << to << " at " << i;
-        // What goes over a way rises, and may fall once others have room again: it never turns a second time.
+        // The flow over an edge rises, and may fall once other zones have capacity again; it never rises a
+        // second time.
         for (std::size_t w = 0; w < 9; ++w) {
           Load over = 0;
           for (const auto& to : now.load[w / 3]) over += w / 3 == w % 3 ? 0 : to[w % 3];
@@ -294,7 +297,7 @@
       }
       const Plan p = planner.make_plan(f);
       ASSERT_EQ(broken(s, f, p), "") << "seed " << seed << " step " << step;
-      // By so much a second at most does what is moved to a zone grow.
+      // The traffic moved to a zone grows at no more than the maximum rate.
       const Sums all = sums(p);
       for (std::size_t b = 0; b < n && !into.empty(); ++b) {
         const double most = static_cast<double>(into[b]) +
@@ -313,11 +316,11 @@
   Sums s;
   for (int i = 1; i <= 4; ++i) s = sums(planner.make_plan(three(i * 0.5, {0, 100'000, 100'000}, demand)));
   EXPECT_EQ(s.refused, 0);
-  EXPECT_EQ(s.came[1], 40'000) << "the nearest first, up to its head-room";
+  EXPECT_EQ(s.came[1], 40'000) << "the nearest first, up to its headroom";
   EXPECT_EQ(s.came[2], 10'000);
 }
 
-// It is not sent back at once, nor all together, and the others go on serving it meanwhile.
+// The traffic does not go back at once or all together, and the other zones go on serving it meanwhile.
 TEST(Plan, GoesBackAfterAHoldAndStepByStep) {
   PlannerSettings settings = free_to_move();
   Planner planner(settings);
@@ -340,8 +343,8 @@
   EXPECT_EQ(ended, began + 2);
 }
 
-// All were lost, and come back at once: what a zone serves of its own stays there, however much sooner others
-// count.
+// All zones were lost and come back together: what a zone serves of its own demand stays there, even if other
+// zones recover faster.
 TEST(Plan, WhatIsServedNearDoesNotLeaveBecauseOthersAreBackSooner) {
   PlannerSettings settings;
   settings.classes = kClasses;
@@ -361,8 +364,8 @@
   for (int i = 0; i < 3; ++i)
     p = planner.make_plan(three(i, {20, 100, 100}, {{20, 20, 20}, {40, 0, 0}, {0, 0, 0}}));
   EXPECT_EQ(sums(p).refused, 0);
-  EXPECT_EQ(p.load[0][2][0], 20) << "held to its zone";
-  EXPECT_EQ(p.load[0][1][1], 20) << "held to its region";
+  EXPECT_EQ(p.load[0][2][0], 20) << "bound to its zone";
+  EXPECT_EQ(p.load[0][1][1], 20) << "bound to its region";
   EXPECT_EQ(p.load[0][0][0], 0);
 }
 
@@ -390,7 +393,7 @@
   EXPECT_EQ(seconds_until_back(), 6);
 }
 
-// Every 4 s it is there for 2 s: within the hold, so nobody follows it.
+// The zone is up for 2 s in every 4 s, which is shorter than the hold: traffic does not follow it.
 TEST(Plan, DoesNotFollowAZoneThatFlaps) {
   Planner planner(free_to_move());
   const std::vector<std::vector<Load>> demand = {{40'000}, {40'000}, {40'000}};
@@ -409,7 +412,8 @@
   EXPECT_EQ(turns, 0);
 }
 
-// All at four fifths, one is lost: what can't be borne stays where it came from, and nobody is pushed over.
+// All zones at four fifths of their capacity, one is lost: the demand that no zone can take stays in its
+// zone, and no other zone is overloaded.
 TEST(Plan, DoesNotCarryOnWhatNobodyCanBear) {
   Planner planner(free_to_move());
   const std::vector<std::vector<Load>> demand = {{80'000}, {80'000}, {80'000}};
@@ -459,7 +463,7 @@
   EXPECT_EQ(later.refused, 0);
 }
 
-// A way that one zone alone can't use is no loss of the zone at its end.
+// A path that only one zone can't use does not mean that the zone at its end is lost.
 TEST(Plan, GoesRoundAWayThatIsCut) {
   Planner planner(free_to_move());
   PlanInput f = three(0, {0, 100'000, 100'000}, {{30'000}, {20'000}, {20'000}});
@@ -480,7 +484,7 @@
   two.distance = {{0, 7}, {7, 0}};
   planner.make_plan(two);
   EXPECT_EQ(sums(planner.make_plan(three(2, {100'000, 100'000, 100'000}, demand))).own[0], 0)
-      << "it does not count yet";
+      << "it is not trusted yet";
 }
 
 TEST(Plan, TurnsAwayWhatCantBe) {
@@ -504,7 +508,7 @@
         facts([](PlanInput& f) { f.now = std::nan(""); })}) {
     EXPECT_THROW(planner.make_plan(f), std::invalid_argument);
   }
-  EXPECT_EQ(planner.make_plan(facts([](PlanInput&) {})).load, same) << "and remembers nothing of it";
+  EXPECT_EQ(planner.make_plan(facts([](PlanInput&) {})).load, same) << "invalid input leaves no trace";
   for (const auto& change : std::vector<void (*)(PlannerSettings&)>{
            [](PlannerSettings& s) { s.headroom = 1.5; }, [](PlannerSettings& s) { s.max_move_rate = 0; },
            [](PlannerSettings& s) { s.recovery_rate = -1; },
@@ -528,7 +532,8 @@
             for (std::size_t i = 0; i < 3; ++i) {
               ASSERT_GE(got[i], 0);
               ASSERT_LE(got[i], demand[i]);
-              // Who wants more has no less for its share than anybody has, but for one that rounding gives.
+              // A tenant that wants more gets no less for its share than any other, except for one unit of
+              // rounding.
               for (std::size_t j = 0; j < 3; ++j) {
                 if (got[i] == demand[i] || (share[i] > 0) != (share[j] > 0)) continue;
                 const double mine = share[i] > 0 ? share[i] : 1, other = share[j] > 0 ? share[j] : 1;
--- a/tests/zones/report_aggregator_test.cpp
+++ b/tests/zones/report_aggregator_test.cpp
@@ -1,4 +1,4 @@
-// What is made of nodes' reports: exhaustive over who says what of three zones, and the cases it exists for.
+// Aggregation of the nodes' reports: exhaustive over the zones' views of each other, and the typical cases.
 #include "zones/report_aggregator.h"
 
 #include <gtest/gtest.h>
@@ -36,14 +36,14 @@
   EXPECT_EQ(f.zones[0].demand[0], 20'000);
   EXPECT_EQ(f.zones[1].demand[0], 10'000);
   EXPECT_EQ(f.zones[0].capacity, 100'000);
-  EXPECT_EQ(f.zones[1].capacity, 100'000) << "slow for others alone";
+  EXPECT_EQ(f.zones[1].capacity, 100'000) << "slow only for other zones";
   EXPECT_EQ(f.zones[2].capacity, 25'000) << "its own nodes find it slow";
   EXPECT_EQ(f.distance, settings().distance);
   EXPECT_EQ(e.reporting_nodes(1), (std::vector<std::size_t>{2, 1, 1}));
 }
 
-// Every zone's view of every zone, out of five: nobody's view of another zone changes that zone's capacity
-// while its own nodes are heard, and one view alone never does while two others agree.
+// Each zone's view of each zone, out of five: no view from another zone changes a zone's capacity while its
+// own nodes are heard, and a single view never does while two others agree.
 TEST(Evidence, OneZonesViewOfAnotherDecidesNothing) {
   const std::vector<ZoneView> views = {kWell, kSlow, kFailing, kDark, kLost};
   const auto bears = [](const ZoneView& v) {
@@ -59,11 +59,11 @@
         const PlanInput f = e.plan_input(0);
         ASSERT_EQ(f.zones[0].capacity, bears(views[own]));
         ASSERT_EQ(f.zones[1].capacity, 100'000);
-        // A way is cut for whom nothing gets through on it, and for nobody else.
+        // A path counts as cut only for the zone for which nothing gets through.
         ASSERT_EQ(std::isfinite(f.distance[1][0]), !(from_b == 3 && f.zones[0].capacity > 0));
         ASSERT_EQ(std::isfinite(f.distance[2][0]), !(from_c == 3 && f.zones[0].capacity > 0));
         ASSERT_EQ(f.distance[0][1], 1);
-        // Its own nodes fall silent: of two views the worse one counts.
+        // Its own nodes fall silent: the worse of two views counts.
         ReportAggregator alone(settings());
         alone.add_report(report("n1", "b", views[from_b], kWell, kWell), 0);
         alone.add_report(report("n2", "c", views[from_c], kWell, kWell), 0);
@@ -77,7 +77,7 @@
 TEST(Evidence, AMinorityOfAZonesNodesDecidesNothing) {
   ReportAggregator e(settings());
   e.add_report(report("n0", "a", kWell, kWell, kWell), 0);
-  e.add_report(report("n1", "a", kDark, kDark, kDark), 0);  // its own link is bad
+  e.add_report(report("n1", "a", kDark, kDark, kDark), 0);  // its own link is faulty
   e.add_report(report("n2", "a", kWell, kWell, kWell), 0);
   const PlanInput f = e.plan_input(0);
   EXPECT_EQ(f.zones[0].capacity, 100'000);
@@ -94,7 +94,7 @@
   EXPECT_EQ(f.zones[0].demand[0], 0);
   EXPECT_EQ(f.zones[0].capacity, 50'000);
   EXPECT_EQ(e.reporting_nodes(3)[0], 0U);
-  EXPECT_EQ(e.plan_input(100).zones[0].capacity, 0) << "nobody is heard of at all";
+  EXPECT_EQ(e.plan_input(100).zones[0].capacity, 0) << "no node reports";
 }
 
 TEST(Evidence, DrainsByHandStepByStep) {
@@ -124,7 +124,7 @@
         NodeReport{"n0", "a", {-1}, {}}, NodeReport{"n0", "a", {1}, {{"x", kWell}}}}) {
     EXPECT_FALSE(e.add_report(bad, 0));
   }
-  EXPECT_EQ(e.plan_input(0).zones[0].capacity, 100'000) << "what was told before stays";
+  EXPECT_EQ(e.plan_input(0).zones[0].capacity, 100'000) << "the earlier report stays";
   for (const auto& spoil : std::vector<void (*)(ReportAggregatorSettings&)>{
            [](ReportAggregatorSettings& s) { s.zones[1].zone = "a"; },
            [](ReportAggregatorSettings& s) { s.distance.pop_back(); },
