--- a/duties/client.cpp
+++ b/duties/client.cpp
@@ -22,10 +22,10 @@
   if (s_.voters.empty()) throw std::invalid_argument("voters: none is named");
 }
 
-void Client::acquire(double now, const Duty& duty, Actions& out, bool slowly) {
+void Client::acquire(double now, const Duty& duty, Actions& out, bool stops_slowly) {
   duty_settings_[duty.name] = duty;
   LeaseHolder::Actions actions;
-  lease_holder_.acquire(now, duty.name, actions, slowly);
+  lease_holder_.acquire(now, duty.name, actions, stops_slowly);
   forward_actions(now, actions, out);
 }
 
@@ -92,10 +92,10 @@
   lease_holder_.on_leader_changed(now, actions);
   forward_actions(now, actions, out);
   std::vector<Request> again;
-  for (auto& [seq, asked] : pending_requests_) {
-    asked.replies.clear();
-    asked.resend_at = now + kResendAfter;
-    again.push_back(asked.request);
+  for (auto& [seq, pending] : pending_requests_) {
+    pending.replies.clear();
+    pending.resend_at = now + kResendAfter;
+    again.push_back(pending.request);
   }
   send(now, std::move(again), out);
 }
@@ -204,7 +204,8 @@
 
 double Client::next_deadline() const {
   double out = std::min(lease_holder_.next_deadline(), voter_selector_.next_deadline());
-  for (const auto& [seq, asked] : pending_requests_) out = std::min({out, asked.deadline, asked.resend_at});
+  for (const auto& [seq, pending] : pending_requests_)
+    out = std::min({out, pending.deadline, pending.resend_at});
   return out;
 }
 
--- a/duties/client.h
+++ b/duties/client.h
@@ -37,7 +37,7 @@
   explicit Client(ClientSettings settings);
 
   // Wants a duty, and defines it where the voters don't know it.
-  void acquire(double now, const Duty& duty, Actions& out, bool slowly = false);
+  void acquire(double now, const Duty& duty, Actions& out, bool stops_slowly = false);
   void confirm_stopped(double now, const std::string& duty, Actions& out);
   void release(double now, const std::string& duty, Actions& out);
   void report_failure(double now, const std::string& duty, Actions& out);
--- a/duties/client_service.cpp
+++ b/duties/client_service.cpp
@@ -40,10 +40,10 @@
   schedule_timer();
 }
 
-void ClientService::acquire(const Duty& duty, ChangeListener changed, bool slowly) {
+void ClientService::acquire(const Duty& duty, ChangeListener changed, bool stops_slowly) {
   listeners_[duty.name] = std::move(changed);
   Client::Actions out;
-  client_.acquire(now(), duty, out, slowly);
+  client_.acquire(now(), duty, out, stops_slowly);
   apply_actions(out);
 }
 
--- a/duties/client_service.h
+++ b/duties/client_service.h
@@ -43,7 +43,7 @@
   // Asks for a duty from now on; `changed` is told of each change, in order.
   using ChangeListener = std::function<void(const LeaseHolder::Change&)>;
   // `slowly`: what carries it out takes time to stop; stopped() says that it has.
-  void acquire(const Duty& duty, ChangeListener changed, bool slowly = false);
+  void acquire(const Duty& duty, ChangeListener changed, bool stops_slowly = false);
   void confirm_stopped(const std::string& duty);
   void release(const std::string& duty);
   // It could not be done here: somebody else is to try.
--- a/duties/frame_connection.h
+++ b/duties/frame_connection.h
@@ -18,7 +18,7 @@
   using Tcp = boost::asio::ip::tcp;
   struct Handlers {
     std::function<void(const Frame& hello)> on_handshake;   // the other side's hello is good
-    std::function<void(const Frame& on_frame)> on_frame;    // each one behind it
+    std::function<void(const Frame& frame)> on_frame;       // each one behind it
     std::function<void(const std::string& why)> on_closed;  // once, at the end; not after close()
   };
   struct Options {
--- a/duties/lease_holder.cpp
+++ b/duties/lease_holder.cpp
@@ -32,11 +32,11 @@
   }
 }
 
-void LeaseHolder::acquire(double now, const std::string& duty, Actions& out, bool slowly) {
+void LeaseHolder::acquire(double now, const std::string& duty, Actions& out, bool stops_slowly) {
   if (leaving_) return;
   const auto [it, fresh] = duties_.try_emplace(duty);
   it->second.wanted = true;
-  it->second.stops_slowly = slowly;
+  it->second.stops_slowly = stops_slowly;
   if (fresh) send_request(now, duty, it->second, out);
 }
 
@@ -54,16 +54,16 @@
 void LeaseHolder::report_failure(double now, const std::string& duty, Actions& out) {
   const auto it = duties_.find(duty);
   if (it == duties_.end() || it->second.state != State::kHeld) return;
-  Acquisition& one = it->second;
-  one.backoff = std::clamp(one.backoff * 2, s_.min_backoff, s_.max_backoff);
-  one.failed_here = true;
-  start_release(now, duty, one, LossReason::kFailed, out);
+  Acquisition& entry = it->second;
+  entry.backoff = std::clamp(entry.backoff * 2, s_.min_backoff, s_.max_backoff);
+  entry.failed_here = true;
+  start_release(now, duty, entry, LossReason::kFailed, out);
 }
 
 void LeaseHolder::release_all(double now, Actions& out) {
   leaving_ = true;
   std::vector<std::string> all;
-  for (const auto& [duty, one] : duties_) all.push_back(duty);
+  for (const auto& [duty, entry] : duties_) all.push_back(duty);
   for (const std::string& duty : all) release(now, duty, out);
 }
 
@@ -89,26 +89,26 @@
     it->second.next_send_at = std::min(it->second.next_send_at, now + s_.request_interval / 10);
 }
 
-void LeaseHolder::end_lease(const std::string& duty, Acquisition& one, LossReason why, Actions& out) {
-  if (one.state == State::kHeld) {
-    one.last_lost_token = one.token;
-    out.changes.push_back({duty, one.token, false, why});
+void LeaseHolder::end_lease(const std::string& duty, Acquisition& entry, LossReason why, Actions& out) {
+  if (entry.state == State::kHeld) {
+    entry.last_lost_token = entry.token;
+    out.changes.push_back({duty, entry.token, false, why});
   }
-  one.held_until = -1e18;
-  one.unconfirmed_renewals.clear();
+  entry.held_until = -1e18;
+  entry.unconfirmed_renewals.clear();
 }
 
-void LeaseHolder::start_release(double now, const std::string& duty, Acquisition& one, LossReason why,
+void LeaseHolder::start_release(double now, const std::string& duty, Acquisition& entry, LossReason why,
                                 Actions& out) {
-  const bool had = one.state == State::kHeld;
-  end_lease(duty, one, why, out);
-  if (had && one.stops_slowly) {
-    one.state = State::kStopping;
-    one.next_send_at = kNever;
+  const bool had = entry.state == State::kHeld;
+  end_lease(duty, entry, why, out);
+  if (had && entry.stops_slowly) {
+    entry.state = State::kStopping;
+    entry.next_send_at = kNever;
     return;
   }
-  one.state = State::kReleasing;
-  send_request(now, duty, one, out);
+  entry.state = State::kReleasing;
+  send_request(now, duty, entry, out);
 }
 
 void LeaseHolder::confirm_stopped(double now, const std::string& duty, Actions& out) {
@@ -124,33 +124,33 @@
 }
 
 // What is to be said of a duty now.
-void LeaseHolder::send_request(double now, const std::string& duty, Acquisition& one, Actions& out) {
+void LeaseHolder::send_request(double now, const std::string& duty, Acquisition& entry, Actions& out) {
   Request r;
   r.seq = ++seq_;
   r.node = s_.self;
   r.duty = duty;
-  r.token = one.token;
-  switch (one.state) {
+  r.token = entry.token;
+  switch (entry.state) {
     case State::kBackingOff:
     case State::kRequesting:
-      one.state = State::kRequesting;
+      entry.state = State::kRequesting;
       r.kind = Request::Kind::kAcquire;
-      one.next_send_at = now + s_.request_interval;
+      entry.next_send_at = now + s_.request_interval;
       break;
     case State::kConfirming:
     case State::kHeld:
       r.kind = Request::Kind::kRenew;
-      if (one.unconfirmed_renewals.size() >= kMaxUnconfirmedRenewals)
-        one.unconfirmed_renewals.erase(one.unconfirmed_renewals.begin());
-      one.unconfirmed_renewals[r.seq] = now;
-      one.next_send_at = now + s_.reply_timeout;
+      if (entry.unconfirmed_renewals.size() >= kMaxUnconfirmedRenewals)
+        entry.unconfirmed_renewals.erase(entry.unconfirmed_renewals.begin());
+      entry.unconfirmed_renewals[r.seq] = now;
+      entry.next_send_at = now + s_.reply_timeout;
       break;
     case State::kStopping:
       return;
     case State::kReleasing:
       r.kind = Request::Kind::kRelease;
-      r.failed = one.failed_here;
-      one.next_send_at = now + s_.reply_timeout;
+      r.failed = entry.failed_here;
+      entry.next_send_at = now + s_.reply_timeout;
       break;
   }
   out.requests.push_back(std::move(r));
@@ -164,79 +164,81 @@
     it->second.wanted = false;
     it->second.state = State::kReleasing;
   }
-  Acquisition& one = it->second;
+  Acquisition& entry = it->second;
   switch (reply.kind) {
     case Reply::Kind::kGranted:
-      if (reply.token <= one.token) return;  // heard before
-      one.token = reply.token;
+      if (reply.token <= entry.token) return;  // heard before
+      entry.token = reply.token;
       // Told that it was lost, by a leader whose word did not last: what was done under it is over all the
       // same.
-      if (reply.token <= one.last_lost_token && one.state != State::kStopping) {
-        one.state = State::kReleasing;
-        one.reacquire_at_once = true;
-        return send_request(now, reply.duty, one, out);
+      if (reply.token <= entry.last_lost_token && entry.state != State::kStopping) {
+        entry.state = State::kReleasing;
+        entry.reacquire_at_once = true;
+        return send_request(now, reply.duty, entry, out);
       }
       // Danger: a grant that was on its way when this node wanted the duty no more would stay with it for a
       // lease.
-      if (one.state == State::kStopping) return;  // a later grant: it is given back with the rest
-      if (one.state == State::kReleasing || one.state == State::kBackingOff) {
-        one.state = State::kReleasing;
-        return send_request(now, reply.duty, one, out);
+      if (entry.state == State::kStopping) return;  // a later grant: it is given back with the rest
+      if (entry.state == State::kReleasing || entry.state == State::kBackingOff) {
+        entry.state = State::kReleasing;
+        return send_request(now, reply.duty, entry, out);
       }
-      if (one.state == State::kHeld) end_lease(reply.duty, one, LossReason::kRevoked, out);
-      one.state = State::kConfirming;
-      one.unconfirmed_renewals.clear();
-      return send_request(now, reply.duty, one, out);
+      if (entry.state == State::kHeld) end_lease(reply.duty, entry, LossReason::kRevoked, out);
+      entry.state = State::kConfirming;
+      entry.unconfirmed_renewals.clear();
+      return send_request(now, reply.duty, entry, out);
     case Reply::Kind::kRenewed: {
-      const auto sent = one.unconfirmed_renewals.find(reply.seq);
-      if (reply.token != one.token || sent == one.unconfirmed_renewals.end())
+      const auto sent = entry.unconfirmed_renewals.find(reply.seq);
+      if (reply.token != entry.token || sent == entry.unconfirmed_renewals.end())
         return;  // of an earlier lease, or heard before
       const double until = sent->second + reply.lease_seconds * (1 - s_.drift);
-      one.unconfirmed_renewals.erase(one.unconfirmed_renewals.begin(), std::next(sent));
-      one.lease_seconds = reply.lease_seconds;
+      entry.unconfirmed_renewals.erase(entry.unconfirmed_renewals.begin(), std::next(sent));
+      entry.lease_seconds = reply.lease_seconds;
       if (until <= now) return;  // too late to count: the next one may not be
-      one.held_until = std::max(one.held_until, until);
-      one.last_held_until = one.held_until;
-      if (one.state == State::kConfirming) {
-        one.state = State::kHeld;
-        one.failed_here = false;
-        out.changes.push_back({reply.duty, one.token, true, LossReason::kNone});
+      entry.held_until = std::max(entry.held_until, until);
+      entry.last_held_until = entry.held_until;
+      if (entry.state == State::kConfirming) {
+        entry.state = State::kHeld;
+        entry.failed_here = false;
+        out.changes.push_back({reply.duty, entry.token, true, LossReason::kNone});
       }
-      one.next_send_at = now + reply.lease_seconds * s_.renew_fraction;
+      entry.next_send_at = now + reply.lease_seconds * s_.renew_fraction;
       return;
     }
     case Reply::Kind::kLost:
-      if (reply.token != one.token || (one.state != State::kHeld && one.state != State::kConfirming)) return;
-      end_lease(reply.duty, one, LossReason::kRevoked, out);
-      one.state = State::kRequesting;
-      one.token = 0;
-      one.next_send_at = now;
+      if (reply.token != entry.token || (entry.state != State::kHeld && entry.state != State::kConfirming))
+        return;
+      end_lease(reply.duty, entry, LossReason::kRevoked, out);
+      entry.state = State::kRequesting;
+      entry.token = 0;
+      entry.next_send_at = now;
       return;
     case Reply::Kind::kHandOver:
-      if (reply.token != one.token || (one.state != State::kHeld && one.state != State::kConfirming)) return;
-      return start_release(now, reply.duty, one, LossReason::kHandOver, out);
+      if (reply.token != entry.token || (entry.state != State::kHeld && entry.state != State::kConfirming))
+        return;
+      return start_release(now, reply.duty, entry, LossReason::kHandOver, out);
     case Reply::Kind::kDone:
-      if (one.state != State::kReleasing) return;
-      one.token = 0;
-      if (!one.wanted) {
+      if (entry.state != State::kReleasing) return;
+      entry.token = 0;
+      if (!entry.wanted) {
         duties_.erase(it);
         return;
       }
-      one.state = State::kBackingOff;
-      one.next_send_at =
+      entry.state = State::kBackingOff;
+      entry.next_send_at =
           now +
-          (std::exchange(one.reacquire_at_once, false) ? 0 : std::max(one.backoff, s_.request_interval));
+          (std::exchange(entry.reacquire_at_once, false) ? 0 : std::max(entry.backoff, s_.request_interval));
       return;
     case Reply::Kind::kRefused:
-      if (one.state == State::kStopping) return;
-      end_lease(reply.duty, one, LossReason::kRemoved, out);
-      one.token = 0;
-      if (!one.wanted) {
+      if (entry.state == State::kStopping) return;
+      end_lease(reply.duty, entry, LossReason::kRemoved, out);
+      entry.token = 0;
+      if (!entry.wanted) {
         duties_.erase(it);
         return;
       }
-      one.state = State::kBackingOff;
-      one.next_send_at = now + s_.max_backoff / 6;  // it may be defined, or allowed, one day
+      entry.state = State::kBackingOff;
+      entry.next_send_at = now + s_.max_backoff / 6;  // it may be defined, or allowed, one day
       return;
     default:  // waiting, no leader, busy: it is said again in time
       return;
@@ -244,42 +246,43 @@
 }
 
 void LeaseHolder::on_leader_changed(double now, Actions& out) {
-  for (auto& [duty, one] : duties_) {
-    if (one.state != State::kBackingOff && one.state != State::kStopping) send_request(now, duty, one, out);
+  for (auto& [duty, entry] : duties_) {
+    if (entry.state != State::kBackingOff && entry.state != State::kStopping)
+      send_request(now, duty, entry, out);
   }
 }
 
 void LeaseHolder::tick(double now, Actions& out) {
-  for (auto& [duty, one] : duties_) {
-    if (one.state == State::kHeld && now >= one.held_until) {
+  for (auto& [duty, entry] : duties_) {
+    if (entry.state == State::kHeld && now >= entry.held_until) {
       // Perhaps the voters have not given it away. All the same it is given back, and asked for anew: what
       // was done under this token is over, and whatever of it comes late is told from what is done then.
-      one.reacquire_at_once = true;
-      start_release(now, duty, one, LossReason::kExpired, out);
+      entry.reacquire_at_once = true;
+      start_release(now, duty, entry, LossReason::kExpired, out);
     }
-    if (now >= one.next_send_at) send_request(now, duty, one, out);
+    if (now >= entry.next_send_at) send_request(now, duty, entry, out);
   }
 }
 
 void LeaseHolder::describe(double now, std::string& out) const {
   const auto put = [&out](double value) { out += std::to_string(std::llround(value * 1e4)) + ","; };
-  for (const auto& [duty, one] : duties_) {
-    out += duty + ":" + std::to_string(static_cast<int>(one.state)) + (one.wanted ? "w" : "-") +
-           (one.failed_here ? "f" : "-") + (one.reacquire_at_once ? "s" : "-") + std::to_string(one.token) +
-           "," + std::to_string(one.last_lost_token) + ";";
-    put(std::max(one.held_until - now, -1.0));
-    put(std::max(one.next_send_at - now, -1.0));
-    put(one.backoff);
-    for (const auto& [seq, sent] : one.unconfirmed_renewals) put(now - sent);
+  for (const auto& [duty, entry] : duties_) {
+    out += duty + ":" + std::to_string(static_cast<int>(entry.state)) + (entry.wanted ? "w" : "-") +
+           (entry.failed_here ? "f" : "-") + (entry.reacquire_at_once ? "s" : "-") +
+           std::to_string(entry.token) + "," + std::to_string(entry.last_lost_token) + ";";
+    put(std::max(entry.held_until - now, -1.0));
+    put(std::max(entry.next_send_at - now, -1.0));
+    put(entry.backoff);
+    for (const auto& [seq, sent] : entry.unconfirmed_renewals) put(now - sent);
   }
   out += leaving_ ? "l" : "-";
 }
 
 double LeaseHolder::next_deadline() const {
   double out = kNever;
-  for (const auto& [duty, one] : duties_) {
-    out = std::min(out, one.next_send_at);
-    if (one.state == State::kHeld) out = std::min(out, one.held_until);
+  for (const auto& [duty, entry] : duties_) {
+    out = std::min(out, entry.next_send_at);
+    if (entry.state == State::kHeld) out = std::min(out, entry.held_until);
   }
   return out;
 }
--- a/duties/lease_holder.h
+++ b/duties/lease_holder.h
@@ -50,7 +50,7 @@
   explicit LeaseHolder(LeaseHolderSettings settings);
 
   // `slowly`: what carries it out takes time to stop. Once lost, it is given back after stopped() alone.
-  void acquire(double now, const std::string& duty, Actions& out, bool slowly = false);
+  void acquire(double now, const std::string& duty, Actions& out, bool stops_slowly = false);
   void confirm_stopped(double now, const std::string& duty, Actions& out);
   // Stops, if it is held, and gives it back.
   void release(double now, const std::string& duty, Actions& out);
@@ -98,9 +98,9 @@
         unconfirmed_renewals;  // renewals that are not confirmed: when they were sent, by seq
   };
 
-  void send_request(double now, const std::string& duty, Acquisition& one, Actions& out);
-  void end_lease(const std::string& duty, Acquisition& one, LossReason why, Actions& out);
-  void start_release(double now, const std::string& duty, Acquisition& one, LossReason why, Actions& out);
+  void send_request(double now, const std::string& duty, Acquisition& entry, Actions& out);
+  void end_lease(const std::string& duty, Acquisition& entry, LossReason why, Actions& out);
+  void start_release(double now, const std::string& duty, Acquisition& entry, LossReason why, Actions& out);
 
   LeaseHolderSettings s_;
   std::map<std::string, Acquisition> duties_;
--- a/duties/lease_manager.cpp
+++ b/duties/lease_manager.cpp
@@ -23,15 +23,15 @@
 }
 
 void LeaseManager::become_leader(double now, Actions& out) {
-  leads_ = true;
+  is_leader_ = true;
   tracked_.clear();
   for (const auto& [name, lease] : table_->leases()) tracked_for(name, now);
   tick(now, out);
 }
 
 void LeaseManager::become_follower(Actions& out) {
-  if (!leads_) return;
-  leads_ = false;
+  if (!is_leader_) return;
+  is_leader_ = false;
   const auto refuse = [&](const Renewal& r) {
     out.replies.push_back({r.client, reply_to(r.request, Reply::Kind::kNotLeader)});
   };
@@ -64,15 +64,15 @@
 }
 
 // Until then nobody else may be granted it.
-double LeaseManager::expires_at(const Lease& lease, const Tracked& watched) const {
+double LeaseManager::expires_at(const Lease& lease, const Tracked& tracked) const {
   // Who was granted it may be gone: it is held only from a confirmed renewal on, and none was confirmed.
-  if (watched.unconfirmed)
-    return watched.lease_started_at + std::min(s_.first_renewal_timeout, lease.duty.lease_seconds);
-  return watched.lease_started_at + lease.duty.lease_seconds * (1 + s_.drift);
+  if (tracked.unconfirmed)
+    return tracked.lease_started_at + std::min(s_.first_renewal_timeout, lease.duty.lease_seconds);
+  return tracked.lease_started_at + lease.duty.lease_seconds * (1 + s_.drift);
 }
 
 void LeaseManager::on_request(double now, ClientId from, const Request& r, Actions& out) {
-  if (!leads_) {
+  if (!is_leader_) {
     out.replies.push_back({from, reply_to(r, Reply::Kind::kNotLeader)});
     return;
   }
@@ -94,7 +94,7 @@
     out.replies.push_back({from, reply});
     return;
   }
-  Tracked& watched = tracked_for(r.duty, now);
+  Tracked& tracked = tracked_for(r.duty, now);
   const bool holds = lease->holder && lease->holder->same_generation(r.node);
   switch (r.kind) {
     case Request::Kind::kAcquire: {
@@ -109,17 +109,17 @@
         out.replies.push_back({from, reply});
         return;
       }
-      if (watched.requesters.size() < s_.max_requesters || watched.requesters.contains(r.node.name)) {
-        watched.requesters[r.node.name] = {r.node, from, now};
+      if (tracked.requesters.size() < s_.max_requesters || tracked.requesters.contains(r.node.name)) {
+        tracked.requesters[r.node.name] = {r.node, from, now};
       }
       out.replies.push_back({from, reply_to(r, Reply::Kind::kWaiting)});
-      return grant_if_free(now, *lease, watched, out);
+      return grant_if_free(now, *lease, tracked, out);
     }
     case Request::Kind::kRenew:
       return on_renew(now, from, r, out);
     default: {  // kGiveBack
-      watched.requesters.erase(r.node.name);
-      if (holds && lease->token == r.token && !watched.releasing) {
+      tracked.requesters.erase(r.node.name);
+      if (holds && lease->token == r.token && !tracked.releasing) {
         Command c;
         c.kind = Command::Kind::kRelease;
         c.name = r.duty;
@@ -127,9 +127,9 @@
         c.cause = r.failed                     ? Cause::kFailed
                   : lease->transfer_to.empty() ? Cause::kReleased
                                                : Cause::kTransferred;
-        watched.releasing = true;
+        tracked.releasing = true;
         ++counters_.released;
-        propose(now, watched, std::move(c), out);
+        propose(now, tracked, std::move(c), out);
       }
       out.replies.push_back({from, reply_to(r, Reply::Kind::kDone)});
       return;
@@ -139,9 +139,9 @@
 
 void LeaseManager::on_renew(double now, ClientId from, const Request& r, Actions& out) {
   const Lease* lease = table_->find(r.duty);
-  Tracked& watched = tracked_for(r.duty, now);
+  Tracked& tracked = tracked_for(r.duty, now);
   if (!lease->holder || !lease->holder->same_generation(r.node) || lease->token != r.token ||
-      watched.releasing) {
+      tracked.releasing) {
     out.replies.push_back({from, reply_to(r, Reply::Kind::kLost, r.token)});
     return;
   }
@@ -149,7 +149,7 @@
     out.replies.push_back({from, reply_to(r, Reply::Kind::kHandOver, r.token)});
     return;
   }
-  watched.holder = from;
+  tracked.holder = from;
   unconfirmed_.push_back({from, r, now});
   start_barrier(now, out);
 }
@@ -189,39 +189,39 @@
 }
 
 void LeaseManager::on_client_gone(ClientId client) {
-  for (auto& [name, watched] : tracked_) {
-    std::erase_if(watched.requesters, [client](const auto& a) { return a.second.client == client; });
+  for (auto& [name, tracked] : tracked_) {
+    std::erase_if(tracked.requesters, [client](const auto& a) { return a.second.client == client; });
   }
   std::erase_if(operator_commands_, [client](const OperatorCommand& o) { return o.client == client; });
 }
 
-void LeaseManager::propose(double now, Tracked& watched, Command command, Actions& out) {
-  watched.proposed_at = now;
+void LeaseManager::propose(double now, Tracked& tracked, Command command, Actions& out) {
+  tracked.proposed_at = now;
   out.proposals.push_back(std::move(command));
 }
 
 // Of those that asked of late: whom an operator wants, who is preferred, who asked first by name.
 const LeaseManager::Requester* LeaseManager::best_requester(double now, const Lease& lease,
-                                                            const Tracked& watched,
+                                                            const Tracked& tracked,
                                                             bool& worth_waiting) const {
   const Requester* out = nullptr;
   std::size_t out_rank = 0;
   const auto& prefer = lease.duty.preferred_locations;
-  for (const auto& [name, asker] : watched.requesters) {
-    if (now - asker.requested_at > s_.request_ttl) continue;
+  for (const auto& [name, requester] : tracked.requesters) {
+    if (now - requester.requested_at > s_.request_ttl) continue;
     Command c;
     c.kind = Command::Kind::kGrant;
     c.name = lease.duty.name;
-    c.node = asker.node;
+    c.node = requester.node;
     c.token = lease.token;
     if (table_->check(c) != Refusal::kNone) continue;
     std::size_t rank = 1;
-    while (rank <= prefer.size() && prefer[rank - 1] != asker.node.zone &&
-           prefer[rank - 1] != asker.node.region)
+    while (rank <= prefer.size() && prefer[rank - 1] != requester.node.zone &&
+           prefer[rank - 1] != requester.node.region)
       ++rank;
     if (name == lease.transfer_to) rank = 0;
     if (out == nullptr || rank < out_rank) {
-      out = &asker;
+      out = &requester;
       out_rank = rank;
     }
   }
@@ -231,23 +231,23 @@
   return out;
 }
 
-void LeaseManager::grant_if_free(double now, const Lease& lease, Tracked& watched, Actions& out) {
-  if (lease.holder || now - watched.proposed_at < s_.propose_timeout) return;
+void LeaseManager::grant_if_free(double now, const Lease& lease, Tracked& tracked, Actions& out) {
+  if (lease.holder || now - tracked.proposed_at < s_.propose_timeout) return;
   bool worth_waiting = false;
-  const Requester* asker = best_requester(now, lease, watched, worth_waiting);
-  if (asker == nullptr || (worth_waiting && now < watched.lease_started_at + s_.preferred_delay)) return;
+  const Requester* requester = best_requester(now, lease, tracked, worth_waiting);
+  if (requester == nullptr || (worth_waiting && now < tracked.lease_started_at + s_.preferred_delay)) return;
   Command c;
   c.kind = Command::Kind::kGrant;
   c.name = lease.duty.name;
-  c.node = asker->node;
+  c.node = requester->node;
   c.token = lease.token;
   // What the table says of how it became free goes on to say why it is where it is.
   c.cause = lease.cause == Cause::kNew ? Cause::kRequested : lease.cause;
-  propose(now, watched, std::move(c), out);
+  propose(now, tracked, std::move(c), out);
 }
 
 void LeaseManager::on_applied(double now, const Command& c, const CommandResult& result, Actions& out) {
-  if (!leads_) return;
+  if (!is_leader_) return;
   for (std::size_t i = 0; i < operator_commands_.size(); ++i) {
     if (!(operator_commands_[i].command == c)) continue;
     Reply reply;
@@ -265,44 +265,44 @@
     tracked_.erase(name);
     return;
   }
-  Tracked& watched = tracked_for(name, now);
-  if (c.kind == Command::Kind::kGrant || c.kind == Command::Kind::kRelease) watched.proposed_at = -1e18;
+  Tracked& tracked = tracked_for(name, now);
+  if (c.kind == Command::Kind::kGrant || c.kind == Command::Kind::kRelease) tracked.proposed_at = -1e18;
   if (!result.ok()) {
-    if (c.kind == Command::Kind::kRelease) watched.releasing = false;
+    if (c.kind == Command::Kind::kRelease) tracked.releasing = false;
     return;
   }
   if (c.kind == Command::Kind::kGrant) {
     ++counters_.granted;
-    watched.lease_started_at = now;
-    watched.releasing = false;
-    watched.unconfirmed = true;
-    watched.holder = 0;
-    const auto asker = watched.requesters.find(c.node.name);
-    if (asker != watched.requesters.end() && asker->second.node.same_generation(c.node)) {
+    tracked.lease_started_at = now;
+    tracked.releasing = false;
+    tracked.unconfirmed = true;
+    tracked.holder = 0;
+    const auto requester = tracked.requesters.find(c.node.name);
+    if (requester != tracked.requesters.end() && requester->second.node.same_generation(c.node)) {
       Reply reply;
       reply.kind = Reply::Kind::kGranted;
       reply.duty = name;
       reply.token = result.token;
-      out.replies.push_back({asker->second.client, reply});
-      watched.requesters.erase(asker);
+      out.replies.push_back({requester->second.client, reply});
+      tracked.requesters.erase(requester);
     }
   } else if (c.kind == Command::Kind::kRelease) {
-    watched.lease_started_at = now;
-    watched.releasing = false;
-    grant_if_free(now, *lease, watched, out);
+    tracked.lease_started_at = now;
+    tracked.releasing = false;
+    grant_if_free(now, *lease, tracked, out);
   } else if (c.kind == Command::Kind::kDefine) {
-    if (!lease->holder) grant_if_free(now, *lease, watched, out);
-  } else if (c.kind == Command::Kind::kTransfer && transfer_pending(*lease) && watched.holder != 0) {
+    if (!lease->holder) grant_if_free(now, *lease, tracked, out);
+  } else if (c.kind == Command::Kind::kTransfer && transfer_pending(*lease) && tracked.holder != 0) {
     Reply reply;
     reply.kind = Reply::Kind::kHandOver;
     reply.duty = name;
     reply.token = lease->token;
-    out.replies.push_back({watched.holder, reply});
+    out.replies.push_back({tracked.holder, reply});
   }
 }
 
 void LeaseManager::on_barrier_done(double now, std::uint64_t barrier, Actions& out) {
-  if (!leads_) return;
+  if (!is_leader_) return;
   if (barrier == last_barrier_) barrier_started_at_ = -1e18;
   const auto it = renewals_.find(barrier);
   if (it == renewals_.end()) return;
@@ -310,11 +310,11 @@
   renewals_.erase(it);
   for (const Renewal& r : done) {
     const Lease* lease = table_->find(r.request.duty);
-    const auto watched = tracked_.find(r.request.duty);
-    const bool holds = lease != nullptr && watched != tracked_.end() && lease->holder &&
+    const auto tracked = tracked_.find(r.request.duty);
+    const bool holds = lease != nullptr && tracked != tracked_.end() && lease->holder &&
                        lease->holder->same_generation(r.request.node) && lease->token == r.request.token;
     // Danger: what is being released, or passed on, must not be confirmed on the way.
-    if (!holds || watched->second.releasing) {
+    if (!holds || tracked->second.releasing) {
       out.replies.push_back({r.client, reply_to(r.request, Reply::Kind::kLost, r.request.token)});
       continue;
     }
@@ -322,8 +322,8 @@
       out.replies.push_back({r.client, reply_to(r.request, Reply::Kind::kHandOver, r.request.token)});
       continue;
     }
-    watched->second.lease_started_at = std::max(watched->second.lease_started_at, r.received_at);
-    watched->second.unconfirmed = false;
+    tracked->second.lease_started_at = std::max(tracked->second.lease_started_at, r.received_at);
+    tracked->second.unconfirmed = false;
     Reply reply = reply_to(r.request, Reply::Kind::kRenewed, r.request.token);
     reply.lease_seconds = lease->duty.lease_seconds;
     out.replies.push_back({r.client, reply});
@@ -333,23 +333,23 @@
 }
 
 void LeaseManager::tick(double now, Actions& out) {
-  if (!leads_) return;
-  for (auto& [name, watched] : tracked_) {
+  if (!is_leader_) return;
+  for (auto& [name, tracked] : tracked_) {
     const Lease* lease = table_->find(name);
     if (lease == nullptr) continue;
     if (!lease->holder) {
-      std::erase_if(watched.requesters,
+      std::erase_if(tracked.requesters,
                     [&](const auto& a) { return now - a.second.requested_at > s_.request_ttl; });
-      grant_if_free(now, *lease, watched, out);
-    } else if (now >= expires_at(*lease, watched) && now - watched.proposed_at >= s_.propose_timeout) {
+      grant_if_free(now, *lease, tracked, out);
+    } else if (now >= expires_at(*lease, tracked) && now - tracked.proposed_at >= s_.propose_timeout) {
       Command c;
       c.kind = Command::Kind::kRelease;
       c.name = name;
       c.token = lease->token;
       c.cause = Cause::kExpired;
-      if (!watched.releasing) ++counters_.expired;
-      watched.releasing = true;
-      propose(now, watched, std::move(c), out);
+      if (!tracked.releasing) ++counters_.expired;
+      tracked.releasing = true;
+      propose(now, tracked, std::move(c), out);
     }
   }
   start_barrier(now, out);
@@ -359,15 +359,15 @@
   const auto put = [&](double since) {
     out += std::to_string(std::llround(std::min(now - since, 1e3) * 1e4)) + ",";
   };
-  out += leads_ ? "L" : "F";
-  for (const auto& [name, watched] : tracked_) {
-    out += name + (watched.releasing ? "e" : "-") + (watched.unconfirmed ? "u" : "-") +
-           std::to_string(watched.holder) + ";";
-    put(watched.lease_started_at);
-    put(watched.proposed_at);
-    for (const auto& [node, asker] : watched.requesters) {
-      out += node + std::to_string(asker.node.generation) + ";";
-      put(asker.requested_at);
+  out += is_leader_ ? "L" : "F";
+  for (const auto& [name, tracked] : tracked_) {
+    out += name + (tracked.releasing ? "e" : "-") + (tracked.unconfirmed ? "u" : "-") +
+           std::to_string(tracked.holder) + ";";
+    put(tracked.lease_started_at);
+    put(tracked.proposed_at);
+    for (const auto& [node, requester] : tracked.requesters) {
+      out += node + std::to_string(requester.node.generation) + ";";
+      put(requester.requested_at);
     }
   }
   const auto renewal = [&](const Renewal& r) {
@@ -385,16 +385,16 @@
 }
 
 double LeaseManager::next_deadline() const {
-  if (!leads_) return kNever;
+  if (!is_leader_) return kNever;
   double out = unconfirmed_.empty() ? kNever : barrier_started_at_ + s_.propose_timeout;
-  for (const auto& [name, watched] : tracked_) {
+  for (const auto& [name, tracked] : tracked_) {
     const Lease* lease = table_->find(name);
     if (lease == nullptr) continue;
-    const double free = watched.proposed_at + s_.propose_timeout;
+    const double free = tracked.proposed_at + s_.propose_timeout;
     if (lease->holder) {
-      out = std::min(out, std::max(expires_at(*lease, watched), free));
-    } else if (!watched.requesters.empty()) {
-      out = std::min(out, std::max(watched.lease_started_at + s_.preferred_delay, free));
+      out = std::min(out, std::max(expires_at(*lease, tracked), free));
+    } else if (!tracked.requesters.empty()) {
+      out = std::min(out, std::max(tracked.lease_started_at + s_.preferred_delay, free));
     }
   }
   return out;
--- a/duties/lease_manager.h
+++ b/duties/lease_manager.h
@@ -54,7 +54,7 @@
   void become_leader(double now, Actions& out);
   // It does not lead any more.
   void become_follower(Actions& out);
-  bool is_leader() const { return leads_; }
+  bool is_leader() const { return is_leader_; }
 
   void on_request(double now, ClientId from, const Request& request, Actions& out);
   // Nobody is there any more to be answered.
@@ -104,18 +104,18 @@
   };
 
   Tracked& tracked_for(const std::string& duty, double now);
-  double expires_at(const Lease& lease, const Tracked& watched) const;
+  double expires_at(const Lease& lease, const Tracked& tracked) const;
   void start_barrier(double now, Actions& out);
   void on_renew(double now, ClientId from, const Request& r, Actions& out);
   void propose_operator_command(ClientId from, std::uint64_t seq, Command command, Actions& out);
-  void propose(double now, Tracked& watched, Command command, Actions& out);
-  void grant_if_free(double now, const Lease& lease, Tracked& watched, Actions& out);
-  const Requester* best_requester(double now, const Lease& lease, const Tracked& watched,
+  void propose(double now, Tracked& tracked, Command command, Actions& out);
+  void grant_if_free(double now, const Lease& lease, Tracked& tracked, Actions& out);
+  const Requester* best_requester(double now, const Lease& lease, const Tracked& tracked,
                                   bool& worth_waiting) const;
 
   const LeaseTable* table_;
   LeaseManagerSettings s_;
-  bool leads_ = false;
+  bool is_leader_ = false;
   std::map<std::string, Tracked> tracked_;
   std::map<std::uint64_t, std::vector<Renewal>> renewals_;  // by the barrier that confirms them
   std::vector<Renewal> unconfirmed_;                        // for the next one
