--- a/duties/fencing_checker.h
+++ b/duties/fencing_checker.h
@@ -1,7 +1,7 @@
-// Where effects of duties take place: takes those alone whose token is no lower than the highest it has seen.
-// What keeps a former holder that was stopped between its check and its effect from doing harm. This one
-// holds its memory in the process; a place that outlives its process has to keep the highest token as durably
-// as the effects themselves, best in the same transaction.
+// The check of fencing tokens at the resource that carries out a duty's effects: rejects a token lower than
+// the highest seen. It protects against a former holder that was paused between checking its lease and its
+// effect. This one keeps the tokens in memory. A resource that outlives its process must store the highest
+// token as durably as the effects themselves, best in the same transaction (sqlite_fencing_checker.h).
 #pragma once
 
 #include <map>
@@ -13,7 +13,7 @@
 
 class FencingChecker {
  public:
-  // Whether an effect of a duty may take place; false changes nothing.
+  // Whether an effect with this token may take place. Raises the highest token seen, unless it returns false.
   bool admit(const std::string& duty, Token token) {
     Token& highest = highest_[duty];
     if (token == 0 || token < highest) return false;
--- a/duties/lease_holder.cpp
+++ b/duties/lease_holder.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr double kNever = std::numeric_limits<double>::infinity();
-constexpr std::size_t kMaxUnconfirmedRenewals = 64;  // renewals that are remembered
+constexpr std::size_t kMaxUnconfirmedRenewals = 64;  // per duty; older ones are forgotten
 
 }  // namespace
 
@@ -22,13 +22,13 @@
 
 LeaseHolder::LeaseHolder(LeaseHolderSettings settings) : s_(std::move(settings)) {
   if (s_.self.name.empty() || s_.self.name.size() > kMaxNameBytes)
-    throw std::invalid_argument("name: 1 to 64 bytes");
-  if (!(s_.drift >= 0 && s_.drift <= 0.2)) throw std::invalid_argument("drift: 0 to 0.2");
+    throw std::invalid_argument("name: must be 1 to 64 bytes");
+  if (!(s_.drift >= 0 && s_.drift <= 0.2)) throw std::invalid_argument("drift: must be 0 to 0.2");
   if (!(s_.renew_fraction > 0 && s_.renew_fraction < 1))
-    throw std::invalid_argument("renew_part: between 0 and 1");
+    throw std::invalid_argument("renew_fraction: must be between 0 and 1");
   if (!(s_.request_interval > 0) || !(s_.reply_timeout > 0) || !(s_.min_backoff > 0) ||
       !(s_.max_backoff >= s_.min_backoff)) {
-    throw std::invalid_argument("times: above 0");
+    throw std::invalid_argument("request_interval, reply_timeout, backoff: must be above 0");
   }
 }
 
@@ -123,7 +123,7 @@
   return it == duties_.end() ? -1e18 : it->second.last_held_until;
 }
 
-// What is to be said of a duty now.
+// Makes the request that a duty's state calls for, and sets when it is due again.
 void LeaseHolder::send_request(double now, const std::string& duty, Acquisition& entry, Actions& out) {
   Request r;
   r.seq = ++seq_;
@@ -167,18 +167,18 @@
   Acquisition& entry = it->second;
   switch (reply.kind) {
     case Reply::Kind::kGranted:
-      if (reply.token <= entry.token) return;  // heard before
+      if (reply.token <= entry.token) return;  // a duplicate
       entry.token = reply.token;
-      // Told that it was lost, by a leader whose word did not last: what was done under it is over all the
-      // same.
+      // This lease was lost here already, by the reply of a leader whose decision did not last. Work under
+      // that token has ended, so it is not taken up again: released, and acquired with a new token.
       if (reply.token <= entry.last_lost_token && entry.state != State::kStopping) {
         entry.state = State::kReleasing;
         entry.reacquire_at_once = true;
         return send_request(now, reply.duty, entry, out);
       }
-      // Danger: a grant that was on its way when this node wanted the duty no more would stay with it for a
-      // lease.
-      if (entry.state == State::kStopping) return;  // a later grant: it is given back with the rest
+      // A grant that was in flight when this node stopped wanting the duty: without this release it would
+      // block the duty for a whole lease.
+      if (entry.state == State::kStopping) return;  // a later grant, released once the work has stopped
       if (entry.state == State::kReleasing || entry.state == State::kBackingOff) {
         entry.state = State::kReleasing;
         return send_request(now, reply.duty, entry, out);
@@ -190,11 +190,11 @@
     case Reply::Kind::kRenewed: {
       const auto sent = entry.unconfirmed_renewals.find(reply.seq);
       if (reply.token != entry.token || sent == entry.unconfirmed_renewals.end())
-        return;  // of an earlier lease, or heard before
+        return;  // of an earlier lease, or a duplicate
       const double until = sent->second + reply.lease_seconds * (1 - s_.drift);
       entry.unconfirmed_renewals.erase(entry.unconfirmed_renewals.begin(), std::next(sent));
       entry.lease_seconds = reply.lease_seconds;
-      if (until <= now) return;  // too late to count: the next one may not be
+      if (until <= now) return;  // confirmed too late to extend the lease; a later renewal may still do
       entry.held_until = std::max(entry.held_until, until);
       entry.last_held_until = entry.held_until;
       if (entry.state == State::kConfirming) {
@@ -238,9 +238,9 @@
         return;
       }
       entry.state = State::kBackingOff;
-      entry.next_send_at = now + s_.max_backoff / 6;  // it may be defined, or allowed, one day
+      entry.next_send_at = now + s_.max_backoff / 6;  // the duty may be defined or allowed later
       return;
-    default:  // waiting, no leader, busy: it is said again in time
+    default:  // kWaiting, kNotLeader, kBusy: sent again when due
       return;
   }
 }
@@ -255,8 +255,9 @@
 void LeaseHolder::tick(double now, Actions& out) {
   for (auto& [duty, entry] : duties_) {
     if (entry.state == State::kHeld && now >= entry.held_until) {
-      // Perhaps the voters have not given it away. All the same it is given back, and asked for anew: what
-      // was done under this token is over, and whatever of it comes late is told from what is done then.
+      // The voters may not have granted it to another node yet. It is released and acquired again all the
+      // same: work under this token has ended, and a new token tells its late effects from those of the work
+      // to come.
       entry.reacquire_at_once = true;
       start_release(now, duty, entry, LossReason::kExpired, out);
     }
--- a/duties/lease_holder.h
+++ b/duties/lease_holder.h
@@ -1,8 +1,10 @@
-// The duties that one node has, or would have: decided. Replies and time in, requests and changes out; no
-// I/O, no clock. Times are this process' steady clock, whose rate is within `drift` of true time.
+// The leases that one node holds or wants to acquire. Gets replies and the time, and returns requests and
+// changes; no I/O, no clock. Times are those of the process's steady clock, whose rate is within `drift` of
+// true time.
 //
-// A duty is held from the moment on that a renewal was confirmed, until length x (1 - drift) after that
-// renewal was *sent*. Nobody else can be granted it before that, and no word from anywhere is needed to stop.
+// A lease is held from the moment a renewal is confirmed until lease_seconds x (1 - drift) after that renewal
+// was *sent*. No other node can be granted the duty before that, and the holder needs no message to stop in
+// time.
 #pragma once
 
 #include <cstdint>
@@ -17,23 +19,23 @@
 
 struct LeaseHolderSettings {
   Node self;
-  double drift = 0.01;                       // as the voters have it
-  double request_interval = 1;               // s between asks for what somebody else has
-  double renew_fraction = 0.25;              // of a lease's length, between renewals
-  double reply_timeout = 0.5;                // s until a renewal, or what was given back, is said again
-  double min_backoff = 1, max_backoff = 60;  // s without asking, for who has failed at a duty
+  double drift = 0.01;                       // bound on the error of the clock's rate, as at the voters
+  double request_interval = 1;               // s between requests for a duty that another node holds
+  double renew_fraction = 0.25;              // of the lease's duration, between renewals
+  double reply_timeout = 0.5;                // s until an unanswered renewal or release is sent again
+  double min_backoff = 1, max_backoff = 60;  // s without requests, after the duty failed here
 };
 
 class LeaseHolder {
  public:
   enum class LossReason : std::uint8_t {
     kNone,
-    kExpired,   // it was not confirmed in time
-    kRevoked,   // the voters say so
-    kHandOver,  // an operator wants it elsewhere
-    kReleased,  // this node wants it no more
-    kFailed,    // this node could not do it
-    kRemoved    // there is no such duty any more, or this node may not have it
+    kExpired,   // no renewal was confirmed in time
+    kRevoked,   // the voters say that another grant or a release took place
+    kHandOver,  // an operator moves it to another node
+    kReleased,  // this node released it
+    kFailed,    // this node could not carry it out
+    kRemoved    // the duty was deleted, or this node must not hold it
   };
   struct Change {
     std::string duty;
@@ -42,41 +44,43 @@
     LossReason loss_reason = LossReason::kNone;
   };
   struct Actions {
-    std::vector<Request> requests;  // to whoever leads, as far as is known
+    std::vector<Request> requests;  // for the leader
     std::vector<Change> changes;    // in order
   };
 
   // Throws std::invalid_argument.
   explicit LeaseHolder(LeaseHolderSettings settings);
 
-  // `slowly`: what carries it out takes time to stop. Once lost, it is given back after stopped() alone.
+  // Starts to acquire a duty, and again whenever it is lost. `stops_slowly`: carrying out the duty takes time
+  // to stop, so a lost lease is released only after confirm_stopped().
   void acquire(double now, const std::string& duty, Actions& out, bool stops_slowly = false);
   void confirm_stopped(double now, const std::string& duty, Actions& out);
-  // Stops, if it is held, and gives it back.
+  // Releases a duty if it is held, and no longer acquires it.
   void release(double now, const std::string& duty, Actions& out);
-  // It could not be done here: stops, gives it back, and asks for it again after a growing pause.
+  // The duty could not be carried out here: releases it, and acquires it again after an exponential backoff.
   void report_failure(double now, const std::string& duty, Actions& out);
-  // The node is about to go: gives everything back, and asks for nothing more.
+  // The node is about to exit: releases everything and acquires nothing more.
   void release_all(double now, Actions& out);
   void on_reply(double now, const Reply& reply, Actions& out);
-  // There is another leader, or another way to it: what is unanswered is said again.
+  // There is a new leader or a new connection: sends again what is unanswered.
   void on_leader_changed(double now, Actions& out);
   void tick(double now, Actions& out);
   double next_deadline() const;
 
-  // The guard: the token by which this node has a duty now; none where it does not. To be asked at the last
-  // moment before an effect, with the time of that moment, and to go with the effect to where it takes place.
+  // The fencing token if this node holds a duty now, else none. To be checked immediately before an effect,
+  // with the current time; the token goes with the effect to the resource.
   std::optional<Token> held_token(double now, const std::string& duty) const;
-  // Until when it is held, or was when it was lost, as far as is known now; for whoever has to stop something
-  // else by then.
+  // Time until which a duty is held, or was before it was lost, as known now. For code that must stop other
+  // work by then.
   double held_until(const std::string& duty) const;
-  // All that it decides by, with times from `now` on: two that say the same go on alike. For a model checker.
+  // Appends the full state, with times relative to `now`: two objects with the same description behave the
+  // same from here on. For the model checker.
   void describe(double now, std::string& out) const;
-  // Everything given back has been heard of.
+  // Nothing is held, and the voters have answered all releases.
   bool idle() const;
-  // It is asking for it, and does not have it.
+  // The duty is requested and not granted.
   bool is_requesting(const std::string& duty) const;
-  // What kept it from having it is being mended: it asks again shortly.
+  // Brings the next request forward, for when the cause of a refusal is being removed.
   void request_soon(double now, const std::string& duty);
 
  private:
@@ -86,16 +90,15 @@
     bool wanted = true;
     bool failed_here = false;
     bool stops_slowly = false;
-    bool reacquire_at_once = false;  // once it is given back, it is asked for at once
+    bool reacquire_at_once = false;  // once released, it is requested without delay
     Token token = 0;
-    Token last_lost_token = 0;       // the last one that was held here, and lost
-    double held_until = -1e18;       // s; it is held so long
-    double last_held_until = -1e18;  // s; the last one of these
-    double next_send_at = 0;         // s; something is to be said then
-    double lease_seconds = 0;        // s, as last told
-    double backoff = 0;              // s
-    std::map<std::uint64_t, double>
-        unconfirmed_renewals;  // renewals that are not confirmed: when they were sent, by seq
+    Token last_lost_token = 0;                             // the last one that was held here and lost
+    double held_until = -1e18;                             // s; end of the current lease
+    double last_held_until = -1e18;                        // s; the last value of held_until
+    double next_send_at = 0;                               // s; when the next request is due
+    double lease_seconds = 0;                              // as in the last confirmed renewal
+    double backoff = 0;                                    // s
+    std::map<std::uint64_t, double> unconfirmed_renewals;  // time sent, by sequence number
   };
 
   void send_request(double now, const std::string& duty, Acquisition& entry, Actions& out);
--- a/duties/lease_manager.cpp
+++ b/duties/lease_manager.cpp
@@ -15,10 +15,10 @@
 
 LeaseManager::LeaseManager(const LeaseTable& table, LeaseManagerSettings settings)
     : table_(&table), s_(settings) {
-  if (!(s_.drift >= 0 && s_.drift <= 0.2)) throw std::invalid_argument("drift: 0 to 0.2");
+  if (!(s_.drift >= 0 && s_.drift <= 0.2)) throw std::invalid_argument("drift: must be 0 to 0.2");
   if (!(s_.request_ttl > 0) || !(s_.preferred_delay >= 0) || !(s_.propose_timeout > 0) ||
       !(s_.first_renewal_timeout > 0)) {
-    throw std::invalid_argument("times: above 0");
+    throw std::invalid_argument("request_ttl, propose_timeout, first_renewal_timeout: must be above 0");
   }
 }
 
@@ -58,14 +58,15 @@
   return it->second;
 }
 
-// Whether an operator wants a duty to be with another than has it.
+// Whether an operator's transfer of a held duty to another node is pending.
 bool transfer_pending(const Lease& lease) {
   return lease.holder && !lease.transfer_to.empty() && lease.transfer_to != lease.holder->name;
 }
 
-// Until then nobody else may be granted it.
+// End of a lease: no other node may be granted the duty before.
 double LeaseManager::expires_at(const Lease& lease, const Tracked& tracked) const {
-  // Who was granted it may be gone: it is held only from a confirmed renewal on, and none was confirmed.
+  // The new holder may have gone. Waiting shorter than a lease is safe: a lease is held only from a confirmed
+  // renewal on, and none was confirmed.
   if (tracked.unconfirmed)
     return tracked.lease_started_at + std::min(s_.first_renewal_timeout, lease.duty.lease_seconds);
   return tracked.lease_started_at + lease.duty.lease_seconds * (1 + s_.drift);
@@ -98,7 +99,7 @@
   const bool holds = lease->holder && lease->holder->same_generation(r.node);
   switch (r.kind) {
     case Request::Kind::kAcquire: {
-      if (holds) {  // it has not heard so
+      if (holds) {  // it has not received the grant
         out.replies.push_back({from, reply_to(r, Reply::Kind::kGranted, lease->token)});
         return;
       }
@@ -154,7 +155,7 @@
   start_barrier(now, out);
 }
 
-// One barrier at a time confirms all that came before it.
+// Starts the next barrier. One at a time, each confirming all renewals received before it.
 void LeaseManager::start_barrier(double now, Actions& out) {
   if (unconfirmed_.empty() || now - barrier_started_at_ < s_.propose_timeout) return;
   barrier_started_at_ = now;
@@ -174,7 +175,7 @@
     out.replies.push_back({from, reply});
     return;
   }
-  // Many nodes tell of a duty that their files name: it is as they say already.
+  // Many nodes define a duty of their configuration: if it is already defined so, nothing is proposed.
   const Lease* lease = command.kind == Command::Kind::kDefine ? table_->find(command.duty.name) : nullptr;
   if (lease != nullptr && lease->duty == command.duty) {
     Reply reply;
@@ -200,7 +201,8 @@
   out.proposals.push_back(std::move(command));
 }
 
-// Of those that asked of late: whom an operator wants, who is preferred, who asked first by name.
+// The best of the recent requesters: the target of an operator's transfer, then the most preferred location,
+// then the first by name. `worth_waiting`: a better one may still come.
 const LeaseManager::Requester* LeaseManager::best_requester(double now, const Lease& lease,
                                                             const Tracked& tracked,
                                                             bool& worth_waiting) const {
@@ -241,7 +243,7 @@
   c.name = lease.duty.name;
   c.node = requester->node;
   c.token = lease.token;
-  // What the table says of how it became free goes on to say why it is where it is.
+  // The cause for which the duty became free is kept as the cause of the grant.
   c.cause = lease.cause == Cause::kNew ? Cause::kRequested : lease.cause;
   propose(now, tracked, std::move(c), out);
 }
@@ -313,7 +315,8 @@
     const auto tracked = tracked_.find(r.request.duty);
     const bool holds = lease != nullptr && tracked != tracked_.end() && lease->holder &&
                        lease->holder->same_generation(r.request.node) && lease->token == r.request.token;
-    // Danger: what is being released, or passed on, must not be confirmed on the way.
+    // A lease that is being released or transferred must not be confirmed meanwhile: its holder would go on
+    // using it.
     if (!holds || tracked->second.releasing) {
       out.replies.push_back({r.client, reply_to(r.request, Reply::Kind::kLost, r.request.token)});
       continue;
--- a/duties/lease_table.cpp
+++ b/duties/lease_table.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::uint8_t kVersion = 1;
-constexpr double kMinLeaseSeconds = 0.1, kMaxLeaseSeconds = 86400;  // s, of a lease
+constexpr double kMinLeaseSeconds = 0.1, kMaxLeaseSeconds = 86400;
 
 bool valid(const std::string& name, bool may_be_empty = false) {
   return name.size() <= kMaxNameBytes && (may_be_empty || !name.empty());
@@ -62,7 +62,7 @@
       if (c.token != lease->token) return Refusal::kStaleToken;
       if (contains(lease->duty.excluded_nodes, c.node.name)) return Refusal::kNodeExcluded;
       for (const auto& [name, other] : leases_) {
-        // By name: two lives of one node are one place.
+        // Compared by name: two generations of a node count as the same place.
         if (!other.holder || other.holder->name != c.node.name || name == c.name) continue;
         if (contains(lease->duty.anti_affinity, name) || contains(other.duty.anti_affinity, c.name))
           return Refusal::kAntiAffinity;
@@ -136,13 +136,14 @@
 
 void LeaseTable::restore(std::string_view bytes) {
   *this = decode_msgpack(bytes, [](const msgpack::object& o) {
-    if (element_as<std::uint8_t>(o, 0, 4) != kVersion) throw DecodeError("a table of another version");
+    if (element_as<std::uint8_t>(o, 0, 4) != kVersion)
+      throw DecodeError("lease table: unsupported format version");
     LeaseTable out;
     out.last_token_ = element_as<Token>(o, 1, 4);
     out.applied_ = element_as<std::uint64_t>(o, 2, 4);
     const msgpack::object& leases = element(o, 3, 4);
     if (leases.type != msgpack::type::ARRAY || leases.via.array.size > kMaxDuties)
-      throw DecodeError("no list of leases");
+      throw DecodeError("lease table: leases are not a list, or too many");
     for (std::uint32_t i = 0; i < leases.via.array.size; ++i) {
       const msgpack::object& x = leases.via.array.ptr[i];
       Lease lease;
@@ -151,9 +152,11 @@
       if (!element(x, 2, 5).is_nil()) lease.holder = node_from(element(x, 2, 5));
       lease.cause = enum_element(x, 3, 5, Cause::kFailed);
       lease.transfer_to = element_as<std::string>(x, 4, 5);
-      if (!valid(lease.duty) || lease.token > out.last_token_) throw DecodeError("a lease that can't be");
+      if (!valid(lease.duty) || lease.token > out.last_token_)
+        throw DecodeError("lease table: invalid lease");
       const std::string name = lease.duty.name;
-      if (!out.leases_.emplace(name, std::move(lease)).second) throw DecodeError("a duty twice");
+      if (!out.leases_.emplace(name, std::move(lease)).second)
+        throw DecodeError("lease table: duplicate duty");
     }
     return out;
   });
@@ -175,7 +178,8 @@
 
 Command decode(std::string_view bytes) {
   return decode_msgpack(bytes, [](const msgpack::object& o) {
-    if (element_as<std::uint8_t>(o, 0, 7) != kVersion) throw DecodeError("a command of another version");
+    if (element_as<std::uint8_t>(o, 0, 7) != kVersion)
+      throw DecodeError("command: unsupported format version");
     Command c;
     c.kind = enum_element(o, 1, 7, Command::Kind::kTransfer);
     c.name = element_as<std::string>(o, 2, 7);
--- a/duties/lease_table.h
+++ b/duties/lease_table.h
@@ -1,7 +1,7 @@
-// Who holds which duty: the state that voters replicate. Commands in the order of their log go in, the same
-// at every voter; no I/O, no clock, no randomness. What it promises: a duty has one holder at the most, and
-// each grant has a token larger than all before it, over all duties. When a lease is over, and who is to have
-// it next, is decided beside it (keeper.h) and comes in as a command.
+// The replicated state machine: which node holds the lease of which duty. It applies the commands of the log
+// in order and is deterministic: no I/O, no clock, no randomness. It guarantees that a duty has at most one
+// holder, and that each grant's fencing token is larger than all earlier tokens of all duties. The leader
+// decides when a lease has expired and who gets it next (lease_manager.h), and submits that as a command.
 #pragma once
 
 #include <cstdint>
@@ -14,17 +14,17 @@
 
 namespace nettlestand::duties {
 
-// Grows with each grant; 0: none. Whatever carries out an effect of a duty takes no lower one than it has
-// seen.
+// Fencing token: grows with each grant; 0 is none. A resource that carries out effects of a duty rejects a
+// token lower than the highest that it has seen.
 using Token = std::uint64_t;
 
 inline constexpr const char* kAnyOtherNode = "*";
 
-constexpr std::size_t kMaxNameBytes = 64;    // bytes, of duties, nodes, zones and regions
-constexpr std::size_t kMaxListEntries = 64;  // names in one list of a duty
+constexpr std::size_t kMaxNameBytes = 64;    // of duties, nodes, zones and regions
+constexpr std::size_t kMaxListEntries = 64;  // entries in one list of a duty
 constexpr std::size_t kMaxDuties = 4096;
 
-// A process that may hold duties: its name, and the life that tells it from its former selves.
+// A process that may hold duties. `generation` tells it from earlier processes of the same name.
 struct Node {
   std::string name;
   std::uint64_t generation = 0;
@@ -37,41 +37,40 @@
 
 struct Duty {
   std::string name;
-  double lease_seconds = 5;                      // s; of a lease
-  std::vector<std::string> preferred_locations;  // zones or regions, the best first
-  std::vector<std::string> anti_affinity;        // duties that are never to be on the same node
-  std::vector<std::string> excluded_nodes;       // nodes that may not hold it
+  double lease_seconds = 5;
+  std::vector<std::string> preferred_locations;  // zones or regions, best first
+  std::vector<std::string> anti_affinity;        // duties that must not be held by the same node
+  std::vector<std::string> excluded_nodes;       // nodes that must not hold it
   bool operator==(const Duty&) const = default;
 };
 
-// Why a duty is where it is.
+// Why a duty was granted to its holder, or was released.
 enum class Cause : std::uint8_t {
-  kNew,          // it was never held
-  kRequested,    // granted to who asked
-  kReleased,     // its holder gave it back
-  kTransferred,  // an operator had it passed on
-  kExpired,      // its holder was not heard for a lease's length
-  kFailed        // its holder could not do it
+  kNew,          // never held
+  kRequested,    // granted on request
+  kReleased,     // released by its holder
+  kTransferred,  // moved by an operator
+  kExpired,      // not renewed for the lease's duration
+  kFailed        // its holder could not carry it out
 };
 const char* name_of(Cause cause);
 
 struct Lease {
   Duty duty;
   Token token = 0;             // of the last grant
-  std::optional<Node> holder;  // none: it is free
+  std::optional<Node> holder;  // none: the duty is free
   Cause cause = Cause::kNew;
-  std::string transfer_to;  // whom an operator wants it passed to, until somebody has it; kAnyOther: no
-                            // matter to whom
+  std::string transfer_to;  // target of an operator's transfer, cleared by the next grant; kAnyOtherNode: any
   bool operator==(const Lease&) const = default;
 };
 
 struct Command {
   enum class Kind : std::uint8_t {
-    kDefine,   // `duty`, new or with other settings; who holds it keeps it
-    kRemove,   // `name`: it is nobody's, and forgotten
-    kGrant,    // `name` to `node`, if it is free and `token` is still that of the last grant
-    kRelease,  // `name` from who has `token`, for `cause`
-    kTransfer  // `name` to the node called `node.name`, or kAnyOther, once it is free
+    kDefine,   // adds `duty` or replaces its settings; a holder keeps it
+    kRemove,   // deletes `name`, also while it is held
+    kGrant,    // grants `name` to `node` if it is free and `token` is still that of the last grant
+    kRelease,  // frees `name` if its holder has `token`, for `cause`
+    kTransfer  // asks that `name` moves to the node `node.name`, or kAnyOtherNode
   };
   Kind kind = Kind::kGrant;
   std::string name;
@@ -85,11 +84,11 @@
 enum class Refusal : std::uint8_t {
   kNone,
   kUnknownDuty,   // no such duty
-  kHeld,          // somebody has it
+  kHeld,          // the duty is held
   kStaleToken,    // the token is not that of the last grant
-  kNodeExcluded,  // this node may not have it
-  kAntiAffinity,  // this node has a duty that must be elsewhere
-  kInvalid,       // a name or a list that is empty or too long, a length out of range
+  kNodeExcluded,  // the node must not hold this duty
+  kAntiAffinity,  // the node holds a duty that must be on another node
+  kInvalid,       // an empty or too long name, too long a list, or a lease duration out of range
   kTooManyDuties
 };
 const char* name_of(Refusal refusal);
@@ -100,14 +99,14 @@
   bool ok() const { return refusal == Refusal::kNone; }
 };
 
-// What can't be read: bytes that are none of ours, or of another version.
+// Bytes that can't be decoded: malformed, or of another format version.
 struct DecodeError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
 class LeaseTable {
  public:
-  // Whether a command would do something, and why not. For whoever means to propose it.
+  // Whether apply() would accept a command, and if not, why. Used before a command is proposed.
   Refusal check(const Command& command) const;
   CommandResult apply(const Command& command);
 
@@ -117,7 +116,7 @@
   std::uint64_t applied_count() const { return applied_; }
   bool operator==(const LeaseTable&) const = default;
 
-  // The whole table as bytes, and back. Throws BadBytes, and changes nothing.
+  // Encodes the whole table. restore() throws DecodeError and then changes nothing.
   std::string snapshot() const;
   void restore(std::string_view bytes);
 
@@ -127,7 +126,7 @@
   std::uint64_t applied_ = 0;
 };
 
-// A command as bytes, and back. Throws BadBytes.
+// Encodes a command for the log. decode() throws DecodeError.
 std::string encode(const Command& command);
 Command decode(std::string_view bytes);
 
--- a/duties/messages.h
+++ b/duties/messages.h
@@ -1,4 +1,4 @@
-// What nodes and voters say to each other about duties. Values alone; wire.h has them as bytes.
+// The messages between nodes and voters, as plain values. wire.h encodes and decodes them.
 #pragma once
 
 #include <cstdint>
@@ -11,23 +11,22 @@
 
 struct Request {
   enum class Kind : std::uint8_t {
-    kAcquire,        // I would have it; repeated while that is so
-    kRenew,          // I have it by `token`, and go on
-    kRelease,        // I have stopped, and want it no more for now; `failed`: I could not do it
-    kTransfer,       // an operator: it is to go to the node called `to`, or to any other where that is empty
-    kDefine,         // an operator, or a node whose file names a duty that is not there: `settings`
-    kRemove,         // an operator: the duty is to be forgotten
-    kListDuties,     // an operator: all duties, as JSON
-    kListVoters,     // an operator: who votes, as JSON
-    kAddVoter,       // an operator: the voter called `to`, at the address `text` (or as files name it)
-    kRemoveVoter,    // an operator: the voter called `to`
-    kPublishReport,  // `text` is this node's newest word on its service; the leader keeps the last of each
-                     // node
-    kCollectReports  // what all nodes had kept, a reply each, and a last one
+    kAcquire,        // asks for the lease; repeated until it is granted
+    kRenew,          // extends the lease with `token`
+    kRelease,        // gives the lease with `token` back; `failed`: this node could not carry out the duty
+    kTransfer,       // operator: moves the duty to the node `target`, or to any other node if that is empty
+    kDefine,         // operator, or a node with a duty in its configuration that the table lacks: `settings`
+    kRemove,         // operator: deletes the duty
+    kListDuties,     // operator: all duties, as JSON
+    kListVoters,     // operator: all voters, as JSON
+    kAddVoter,       // operator: adds the voter `target`, at the address `text` if that is set
+    kRemoveVoter,    // operator: removes the voter `target`
+    kPublishReport,  // `text` is this node's latest report; the leader keeps the last one of each node
+    kCollectReports  // returns all nodes' reports: one kText each, then kDone
   };
   Kind kind = Kind::kAcquire;
-  std::uint64_t seq = 0;  // of its sender; the reply has it too
-  Node node;              // who says so
+  std::uint64_t seq = 0;  // sequence number of the sender, repeated in the reply
+  Node node;              // the sender
   std::string duty;
   Token token = 0;
   bool failed = false;
@@ -38,19 +37,19 @@
 
 struct Reply {
   enum class Kind : std::uint8_t {
-    kWaiting,    // somebody else has it, or it is being dealt with: ask again
-    kGranted,    // the table has it with you by `token`: renew, and it is yours from the renewal on
-    kRenewed,    // it is yours for `length` from when you sent this renewal
-    kLost,       // it is not yours (any more)
-    kHandOver,   // an operator wants it elsewhere: stop, and give it back
-    kDone,       // given back; an operator's word is in the log; all has been told
-    kRefused,    // never: see `why` and `text`
-    kNotLeader,  // ask another voter; `text` is the leader's name, if that is known
-    kBusy,       // not now: the log is not getting on
-    kText        // what was asked for
+    kWaiting,    // held by another node, or the request is in progress: ask again
+    kGranted,    // granted with `token`; the lease is held only once a renewal has been confirmed
+    kRenewed,    // held for `lease_seconds`, counted from when this renewal was sent
+    kLost,       // this node does not hold it, or no longer
+    kHandOver,   // an operator is moving it: stop and release it
+    kDone,       // the release was received, the command was applied, or all reports were sent
+    kRefused,    // permanent: see `refusal` and `text`
+    kNotLeader,  // ask another voter; `text` is the leader's name, if known
+    kBusy,       // temporarily unavailable: try again
+    kText        // the requested text
   };
   Kind kind = Kind::kWaiting;
-  std::uint64_t seq = 0;  // 0: not asked for
+  std::uint64_t seq = 0;  // 0: not an answer to a request
   std::string duty;
   Token token = 0;
   double lease_seconds = 0;  // s
@@ -68,29 +67,29 @@
   return out;
 }
 
-// What goes over one connection.
+// One frame on a connection. The fields after `bytes` are those of a hello.
 struct Frame {
   enum class Kind : std::uint8_t {
-    kHello,             // the first one each way: who is there, and a nonce that seals what comes back
-    kPing,              // is answered with one more, `number` one higher than an even one
-    kRequests,          // from a node
-    kReplies,           // to a node
-    kRaft,              // `bytes`, between voters
-    kForward,           // a voter that does not lead hands on what its client `number` asked
-    kForwardReplies,    // and gets the replies
-    kForwardClientGone  // that client is there no more
+    kHello,  // first frame in each direction: the sender's identity, and a nonce for the tags of later frames
+             // to it
+    kPing,   // keep-alive; an even `number` is answered with a ping of `number` + 1
+    kRequests,          // requests of a node
+    kReplies,           // replies to a node
+    kRaft,              // a Raft message in `bytes`, between voters
+    kForward,           // requests of client `number`, forwarded by a voter that is not the leader
+    kForwardReplies,    // the leader's replies to forwarded requests
+    kForwardClientGone  // the forwarding voter's client `number` has disconnected
   };
   Kind kind = Kind::kPing;
   std::uint64_t number = 0;
   std::vector<Request> requests;
   std::vector<Reply> replies;
   std::string bytes;
-  // Of a hello.
   std::string cluster, nonce;
   Node sender;
-  std::uint64_t voter_id = 0;     // its id among the voters; 0: none of them
-  std::uint64_t start_count = 0;  // how often this voter's state was started on
-  std::uint64_t start_id = 0;     // drawn at that start
+  std::uint64_t voter_id = 0;     // 0: the sender is not a voter
+  std::uint64_t start_count = 0;  // how often the voter's stored state was opened
+  std::uint64_t start_id = 0;     // random, drawn at that start
 };
 constexpr auto kLastFrameKind = Frame::Kind::kForwardClientGone;
 
--- a/duties/sqlite_fencing_checker.h
+++ b/duties/sqlite_fencing_checker.h
@@ -1,5 +1,5 @@
-// A place where effects land that outlives its process: the highest token of each duty lies in the same
-// SQLite file as the effects, and is checked and raised in the same transaction.
+// A durable check of fencing tokens: the highest token of each duty is stored in the same SQLite file as the
+// effects, and is checked and raised in the same transaction.
 #pragma once
 
 #include <string>
@@ -15,7 +15,7 @@
   explicit SqliteFencingChecker(Sqlite& sql) : sql_(sql) {
     sql_.run("CREATE TABLE IF NOT EXISTS fence(duty TEXT PRIMARY KEY, token INTEGER) WITHOUT ROWID");
   }
-  // Within a transaction: whether an effect of the duty may take place in it.
+  // To be called within the effect's transaction: whether an effect with this token may take place.
   bool admit(const std::string& duty, Token token) {
     if (token == 0) return false;
     {
