--- a/duties/client.cpp
+++ b/duties/client.cpp
@@ -7,10 +7,11 @@
 namespace nettlestand::duties {
 namespace {
 
-constexpr std::uint64_t kFirstOperatorSeq = std::uint64_t{1} << 62;  // their numbers begin there
-constexpr double kResendAfter = 3;  // s until what was not answered is said again: it was lost on the way
-constexpr double kRedefineInterval = 1;      // s until the voters are told of a duty once more
-constexpr double kNoLeaderRetryDelay = 0.2;  // s until what met no leader is said again
+// Sequence numbers of operators' requests start here.
+constexpr std::uint64_t kFirstOperatorSeq = std::uint64_t{1} << 62;
+constexpr double kResendAfter = 3;           // s until an unanswered request, taken for lost, is sent again
+constexpr double kRedefineInterval = 1;      // s between kDefine requests for the same duty
+constexpr double kNoLeaderRetryDelay = 0.2;  // s until a request that found no leader is sent again
 
 }  // namespace
 
@@ -19,7 +20,7 @@
       lease_holder_(s_.lease_holder),
       voter_selector_(s_.voters.size(), static_cast<std::size_t>(s_.seed), s_.voter_selector),
       seq_(kFirstOperatorSeq) {
-  if (s_.voters.empty()) throw std::invalid_argument("voters: none is named");
+  if (s_.voters.empty()) throw std::invalid_argument("voters: at least one is required");
 }
 
 void Client::acquire(double now, const Duty& duty, Actions& out, bool stops_slowly) {
@@ -72,7 +73,7 @@
 }
 
 void Client::forward_actions(double now, LeaseHolder::Actions& from, Actions& out) {
-  // What can't go now is said again once there is a connection.
+  // Requests that can't be sent now are made again by the LeaseHolder once there is a connection.
   for (std::size_t at = 0; at < from.requests.size(); at += 4096) {
     const auto first = from.requests.begin() + static_cast<std::ptrdiff_t>(at);
     const auto last =
@@ -130,7 +131,7 @@
         continue;
       }
       it->second.replies.push_back(r);
-      // Only what is gathered comes in several parts.
+      // Only kCollectReports has several replies.
       if (r.kind == Reply::Kind::kText && it->second.request.kind == Request::Kind::kCollectReports) continue;
       PendingRequest done = std::move(it->second);
       pending_requests_.erase(it);
@@ -164,7 +165,7 @@
   }
   if (!move) send(now, std::move(define), out);
   forward_actions(now, actions, out);
-  if (move) {  // what was to go now is said again to the leader
+  if (move) {  // the requests are made again once connected to the leader
     out.frames.clear();
     out.reconnect = true;
   }
@@ -197,7 +198,7 @@
     }
     const RequestCallback done = std::move(it->second.callback);
     it = pending_requests_.erase(it);
-    done({}, "no leader among the voters has answered");
+    done({}, "timed out: no leader has answered");
   }
   send(now, std::move(again), out);
 }
--- a/duties/client.h
+++ b/duties/client.h
@@ -1,5 +1,5 @@
-// A node's side of duties without its socket: what it holds (holding.h), whom it talks to (way.h), and what
-// it asks for besides. Frames and time in, frames out.
+// A node's side of duties, without sockets: its leases (lease_holder.h), the choice of a voter
+// (voter_selector.h), and requests of operators. Gets frames and the time, and returns frames to send.
 #pragma once
 
 #include <cstdint>
@@ -18,36 +18,37 @@
 struct ClientSettings {
   LeaseHolderSettings lease_holder;
   VoterSelectorSettings voter_selector;
-  std::vector<std::string> voters;  // names, in the order of Way's numbers
+  std::vector<std::string> voters;  // names, in the order of VoterSelector's indices
   std::uint64_t seed = 1;
-  double operator_timeout = 12;  // s until an operator's request has failed
+  double operator_timeout = 12;  // s until an operator's request fails
 };
 
 class Client {
  public:
   struct Actions {
-    std::vector<Frame> frames;                 // to the voter that is connected
+    std::vector<Frame> frames;                 // to the connected voter
     std::vector<LeaseHolder::Change> changes;  // in order
-    bool reconnect = false;                    // the connection, if there is one, is to be closed
+    bool reconnect = false;                    // the current connection, if any, has to be closed
   };
-  // What came of an operator's request: several texts, where it was to gather; `error` where it failed.
+  // Result of an operator's request: several replies for kCollectReports; `error` is empty on success.
   using RequestCallback = std::function<void(std::vector<Reply> replies, const std::string& error)>;
 
   // Throws std::invalid_argument.
   explicit Client(ClientSettings settings);
 
-  // Wants a duty, and defines it where the voters don't know it.
+  // Starts to acquire a duty, and defines it if the voters don't know it. See LeaseHolder for this and the
+  // next four.
   void acquire(double now, const Duty& duty, Actions& out, bool stops_slowly = false);
   void confirm_stopped(double now, const std::string& duty, Actions& out);
   void release(double now, const std::string& duty, Actions& out);
   void report_failure(double now, const std::string& duty, Actions& out);
   void release_all(double now, Actions& out);
-  // Said until it is answered, so it may come twice; an answer, or the word that none came, follows in any
-  // case.
+  // Sends a request of an operator again until it is answered, so the voters may receive it twice. `done` is
+  // always called, with an error if no answer came.
   void send_operator_request(double now, Request request, RequestCallback done, Actions& out);
 
   void on_connected(double now, Actions& out);
-  // The connection to the target could not be made, or is closed.
+  // The connection to the target failed or was closed.
   void on_disconnected(double now, Actions& out);
   void on_frame(double now, const Frame& frame, Actions& out);
   void tick(double now, Actions& out);
@@ -68,7 +69,7 @@
   struct PendingRequest {
     Request request;
     RequestCallback callback;
-    double deadline = 0, resend_at = 1e18;  // s; when it has failed, and when it is said once more
+    double deadline = 0, resend_at = 1e18;  // s
     std::vector<Reply> replies;
   };
   void forward_actions(double now, LeaseHolder::Actions& from, Actions& out);
@@ -77,8 +78,8 @@
   ClientSettings s_;
   LeaseHolder lease_holder_;
   VoterSelector voter_selector_;
-  std::map<std::string, Duty> duty_settings_;  // as this node's file has them
-  std::map<std::string, double> defined_at_;   // s, when the voters were told of them last
+  std::map<std::string, Duty> duty_settings_;  // as configured at this node
+  std::map<std::string, double> defined_at_;   // s, when a duty was last sent to the voters as kDefine
   std::map<std::uint64_t, PendingRequest> pending_requests_;
   std::uint64_t seq_;
   bool leaving_ = false;
--- a/duties/client_service.cpp
+++ b/duties/client_service.cpp
@@ -120,7 +120,7 @@
         log_({LogLevel::kInfo,
               "duties",
               "voters_reached",
-              "the voters are reached again",
+              "reconnected to a voter",
               {{"voter", other.sender.name}}});
     }
     apply_actions(out);
@@ -141,7 +141,8 @@
 }
 
 void ClientService::apply_actions(Client::Actions& out) {
-  // Before anything is sent: what is given back must be nobody's here by the time that another one has it.
+  // Before anything is sent: code on this node must know that a lease is lost before its release can reach
+  // the voters.
   if (state_listener_) state_listener_();
   if (out.reconnect) {
     disconnect();
@@ -151,7 +152,7 @@
       log_({LogLevel::kWarning,
             "duties",
             "voters_not_reached",
-            "none of the voters can be reached: duties end with their leases",
+            "no voter can be reached; held duties end when their leases expire",
             {}});
     }
   }
@@ -168,7 +169,7 @@
     log_({LogLevel::kInfo,
           "duties",
           "gained",
-          "holds the duty " + c.duty + " by token " + std::to_string(c.token),
+          "acquired duty " + c.duty + " with fencing token " + std::to_string(c.token),
           {{"duty", c.duty}, {"token", static_cast<std::int64_t>(c.token)}}});
   } else {
     log_({c.loss_reason == LeaseHolder::LossReason::kExpired ||
@@ -177,7 +178,7 @@
               : LogLevel::kInfo,
           "duties",
           "lost",
-          "holds the duty " + c.duty + " no more: " + name_of(c.loss_reason),
+          "lost duty " + c.duty + ": " + name_of(c.loss_reason),
           {{"duty", c.duty},
            {"token", static_cast<std::int64_t>(c.token)},
            {"why", std::string(name_of(c.loss_reason))}}});
@@ -189,7 +190,7 @@
 void ClientService::schedule_timer() {
   if (!running_) return;
   double next = client_.next_deadline();
-  // While it connects, the connection's own patience counts.
+  // While connecting, the connection's own timeout applies.
   if (connecting_) next = std::max(next, now() + 0.05);
   timer_.expires_at(at(std::max(next, now() + 0.001)));
   timer_.async_wait([this, alive = alive_](const error_code& error) {
--- a/duties/client_service.h
+++ b/duties/client_service.h
@@ -1,5 +1,5 @@
-// A node's duties on its loop: the client with its one connection to the voters. On the loop's thread. Off
-// means not made: nothing of it then runs, connects or sends.
+// A node's Client on its event loop, with its connection to the voters. Used on the loop's thread only. A
+// node without duties does not create it, so nothing of it runs, connects or sends.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -18,51 +18,51 @@
 
 struct VoterAddress {
   std::string name;
-  boost::asio::ip::tcp::endpoint endpoint;  // as this node reaches it
+  boost::asio::ip::tcp::endpoint endpoint;  // as reached from this node
 };
 
 struct ClientServiceOptions {
   std::string cluster = "nettlestand";
   Keys keys;
-  ClientSettings client;  // `voters` are the service's to fill in
+  ClientSettings client;  // `voters` is filled in by the service
   std::vector<VoterAddress> voters;
-  std::vector<Duty> duties;  // that this node would hold
+  std::vector<Duty> duties;  // that this node may hold
 };
 
 class ClientService {
  public:
-  // Throws std::invalid_argument for options that can't be used.
+  // Throws std::invalid_argument for invalid options.
   ClientService(boost::asio::io_context& io, ClientServiceOptions options, Log log);
   ~ClientService();
   ClientService(const ClientService&) = delete;
   ClientService& operator=(const ClientService&) = delete;
 
   void start();
-  // Called after whatever may have changed what is held, and until when: for guards on other threads.
+  // Sets a function that is called after each event that may have changed which leases are held, and until
+  // when. For code on other threads that keeps a copy of them.
   void set_state_listener(std::function<void()> turned) { state_listener_ = std::move(turned); }
-  // Asks for a duty from now on; `changed` is told of each change, in order.
+  // Starts to acquire a duty; `changed` is called for each change, in order.
   using ChangeListener = std::function<void(const LeaseHolder::Change&)>;
-  // `slowly`: what carries it out takes time to stop; stopped() says that it has.
+  // `stops_slowly`: carrying out the duty takes time to stop, and confirm_stopped() reports that it has.
   void acquire(const Duty& duty, ChangeListener changed, bool stops_slowly = false);
   void confirm_stopped(const std::string& duty);
   void release(const std::string& duty);
-  // It could not be done here: somebody else is to try.
+  // The duty could not be carried out here: another node should try.
   void report_failure(const std::string& duty);
-  // The node is about to go: all is given back at once, and nothing more is asked for. What can be asked
-  // still is.
+  // The node is about to exit: releases all leases and acquires no more. Requests of operators still work.
   void release_all();
-  bool idle() const { return client_.idle(); }  // nothing is held, or still being given back
-  // Nothing is said or heard after it; what waits is still written.
+  bool idle() const { return client_.idle(); }  // no lease is held or being released
+  // Closes the connection after writing what is queued.
   void close();
   void send_operator_request(Request request, Client::RequestCallback done);
 
-  // The guard: to be asked at the last moment before each effect of a duty. The token goes with the effect to
-  // where it takes place, which turns away lower ones than it has seen.
+  // The fencing token while this node holds the duty. To be checked immediately before each effect of a duty.
+  // The token goes with the effect to the resource, which rejects tokens lower than the highest it has seen.
   std::optional<Token> held_token(const std::string& duty) const;
-  // s on now()'s clock, until which a duty is held, or was.
+  // Time on now()'s clock, in s, until which a duty is held, or was.
   double held_until(const std::string& duty) const { return client_.held_until(duty); }
   const Node& self() const { return options_.client.lease_holder.self; }
-  // All that an operator wants to see of this node's side, as a JSON object.
+  // This node's state for operators, as a JSON object.
   std::string report() const;
 
  private:
--- a/duties/frame_connection.cpp
+++ b/duties/frame_connection.cpp
@@ -20,7 +20,7 @@
 }  // namespace
 
 std::string random_nonce() {
-  if (sodium_init() < 0) throw std::runtime_error("libsodium can't start");
+  if (sodium_init() < 0) throw std::runtime_error("libsodium can't be initialized");
   std::string out(kNonceBytes, '\0');
   randombytes_buf(out.data(), out.size());
   return out;
@@ -115,7 +115,7 @@
                           });
 }
 
-// Until the hello is there the time is one for all; then it is one since the last byte.
+// Before the hello the timeout covers the whole handshake; afterwards it counts from the last received byte.
 void FrameConnection::arm_timeout(double seconds) {
   if (seconds <= 0) {
     timer_.cancel();
@@ -124,9 +124,9 @@
   timer_.expires_after(duration(seconds));
   timer_.async_wait([self = shared_from_this()](const error_code& error) {
     if (error || self->closed_) return;
-    if (!self->channel_.handshake_done() || self->closing_) return self->fail("no answer in time");
+    if (!self->channel_.handshake_done() || self->closing_) return self->fail("timed out");
     const double left = self->last_byte_at_ + self->options_.idle_timeout - now();
-    if (left <= 0) return self->fail("silent");
+    if (left <= 0) return self->fail("no data received");
     self->arm_timeout(left);
   });
 }
--- a/duties/frame_connection.h
+++ b/duties/frame_connection.h
@@ -1,4 +1,5 @@
-// One TCP connection that carries frames. On its loop's thread; held by shared_ptr until it is closed.
+// A TCP connection that carries frames. Used on its loop's thread only; must be held by shared_ptr until
+// closed.
 #pragma once
 
 #include <array>
@@ -17,29 +18,28 @@
  public:
   using Tcp = boost::asio::ip::tcp;
   struct Handlers {
-    std::function<void(const Frame& hello)> on_handshake;   // the other side's hello is good
-    std::function<void(const Frame& frame)> on_frame;       // each one behind it
-    std::function<void(const std::string& why)> on_closed;  // once, at the end; not after close()
+    std::function<void(const Frame& hello)> on_handshake;   // the other side's hello was accepted
+    std::function<void(const Frame& frame)> on_frame;       // later frames, except pings answered here
+    std::function<void(const std::string& why)> on_closed;  // at most once; not after close()
   };
   struct Options {
     Keys keys;
-    std::size_t max_frame_bytes = kMaxClientFrameBytes;  // bytes of a frame from there
-    std::size_t max_queued_bytes =
-        8 * 1024 * 1024;           // bytes that wait to be written; beyond it send() says no
-    double handshake_timeout = 1;  // s until it is connected and the hello is there
-    double idle_timeout = 0;       // s without a byte until it is taken for dead; 0: never
+    std::size_t max_frame_bytes = kMaxClientFrameBytes;  // of an incoming frame
+    std::size_t max_queued_bytes = 8 * 1024 * 1024;      // unwritten bytes; beyond it send() returns false
+    double handshake_timeout = 1;                        // s for connecting and receiving the hello
+    double idle_timeout = 0;                             // s without a byte until it is closed; 0: never
   };
 
   FrameConnection(boost::asio::io_context& io, Options options);
 
-  // Says `hello` as soon as it is up.
+  // Sends `hello` once connected.
   void connect(const Tcp::endpoint& to, const Frame& hello, Handlers handlers);
   void accept(Tcp::socket socket, const Frame& hello, Handlers handlers);
-  // False: there is no hello yet, or too much waits; nothing of it is sent.
+  // Returns false, and sends nothing, before the other side's hello or while too much is queued.
   bool send(const Frame& frame);
-  // Bytes that a frame from there may have from now on.
+  // Limit for incoming frames from now on.
   void set_max_frame_bytes(std::size_t most) { channel_.set_max_frame_bytes(most); }
-  // Closes it, and tells nobody. `flush`: what waits is still written, for 0.2 s at the most.
+  // Closes without calling `on_closed`. `flush`: still writes what is queued, for 0.2 s at most.
   void close(bool flush = false);
   bool handshake_done() const { return channel_.handshake_done() && !closed_; }
   const std::string& nonce() const { return channel_.nonce(); }
@@ -66,7 +66,7 @@
   bool closed_ = false, closing_ = false, connected_ = false;
 };
 
-// kNonce bytes that nobody can foretell.
+// kNonceBytes unpredictable bytes.
 std::string random_nonce();
 
 }  // namespace nettlestand::duties
--- a/duties/msgpack_codec.cpp
+++ b/duties/msgpack_codec.cpp
@@ -26,19 +26,19 @@
 
 const msgpack::object& element(const msgpack::object& o, std::uint32_t i, std::uint32_t size) {
   if (o.type != msgpack::type::ARRAY || o.via.array.size != size)
-    throw DecodeError("not as many parts as belong there");
+    throw DecodeError("not an array of the expected length");
   return o.via.array.ptr[i];
 }
 
 std::string string_value(const msgpack::object& o, std::size_t most) {
   if (o.type == msgpack::type::BIN && o.via.bin.size <= most) return {o.via.bin.ptr, o.via.bin.size};
-  if (o.type != msgpack::type::STR || o.via.str.size > most) throw DecodeError("no text, or too long a one");
+  if (o.type != msgpack::type::STR || o.via.str.size > most) throw DecodeError("not a string, or too long");
   return {o.via.str.ptr, o.via.str.size};
 }
 
 std::vector<const msgpack::object*> array_elements(const msgpack::object& o, std::size_t most) {
   if (o.type != msgpack::type::ARRAY || o.via.array.size > most)
-    throw DecodeError("no list, or too long a one");
+    throw DecodeError("not an array, or too long");
   std::vector<const msgpack::object*> out;
   for (std::uint32_t i = 0; i < o.via.array.size; ++i) out.push_back(&o.via.array.ptr[i]);
   return out;
--- a/duties/msgpack_codec.h
+++ b/duties/msgpack_codec.h
@@ -1,4 +1,4 @@
-// MessagePack of this package's values: one shape for the log, the snapshot and the wire.
+// MessagePack encoding of the values of this module, shared by the log, snapshots and the wire format.
 #pragma once
 
 #define MSGPACK_NO_BOOST
@@ -18,7 +18,8 @@
 void pack(Packer& out, const Duty& duty);
 void pack_bytes(Packer& out, std::string_view bytes);
 
-// Reading: what does not fit throws BadBytes, or msgpack's own type errors.
+// Decoding. All throw DecodeError, or msgpack's type errors, for values that don't fit. `i` and `size`: index
+// and required length of an array.
 const msgpack::object& element(const msgpack::object& o, std::uint32_t i, std::uint32_t size);
 template <class Value>
 Value element_as(const msgpack::object& o, std::uint32_t i, std::uint32_t size) {
@@ -27,7 +28,7 @@
 template <class Enum>
 Enum enum_element(const msgpack::object& o, std::uint32_t i, std::uint32_t size, Enum last) {
   const auto value = element_as<std::uint8_t>(o, i, size);
-  if (value > static_cast<std::uint8_t>(last)) throw DecodeError("a word that is none");
+  if (value > static_cast<std::uint8_t>(last)) throw DecodeError("enum value out of range");
   return static_cast<Enum>(value);
 }
 std::string string_value(const msgpack::object& o, std::size_t most);
@@ -35,7 +36,7 @@
 Duty duty_from(const msgpack::object& o);
 std::vector<const msgpack::object*> array_elements(const msgpack::object& o, std::size_t most);
 
-// Reads one object that fills `bytes`, or throws BadBytes.
+// Decodes the single object that `bytes` consists of, with limits on its size. Throws DecodeError.
 template <class Read>
 auto decode_msgpack(std::string_view bytes, Read read) {
   try {
@@ -43,7 +44,7 @@
     const msgpack::unpack_limit limit(1 << 20, 16, 1 << 26, 1 << 26, 0, 16);
     const msgpack::object_handle handle =
         msgpack::unpack(bytes.data(), bytes.size(), at, nullptr, nullptr, limit);
-    if (at != bytes.size()) throw DecodeError("more bytes than belong there");
+    if (at != bytes.size()) throw DecodeError("trailing bytes after the object");
     return read(handle.get());
   } catch (const DecodeError&) {
     throw;
--- a/duties/voter_selector.h
+++ b/duties/voter_selector.h
@@ -1,5 +1,5 @@
-// Which voter a node talks to: decided. Events and time in; no I/O. One connection at a time: to the leader
-// where it is known and can be reached, else to any voter, which hands on what it is asked.
+// Chooses the voter that a node connects to. Gets events and the time; does no I/O. One connection at a time:
+// to the leader if it is known and reachable, else to any voter, which forwards requests to the leader.
 #pragma once
 
 #include <cstddef>
@@ -9,21 +9,22 @@
 namespace nettlestand::duties {
 
 struct VoterSelectorSettings {
-  double reply_timeout = 1;     // s without a word after something was asked, until another voter is tried
-  double min_backoff = 0.05;    // s between tries, doubled with each round of all voters,
-  double max_backoff = 2;       // up to this
-  double avoid_failed_for = 3;  // s for which a voter that failed is not gone to for being the leader alone
-  double ping_after_idle = 2;   // s without a word until the voter is pinged
+  // s without a frame after a request, or without a known leader, until another voter is tried.
+  double reply_timeout = 1;
+  double min_backoff = 0.05;    // s between attempts, doubled after each round over all voters
+  double max_backoff = 2;       // s
+  double avoid_failed_for = 3;  // s for which a hint at a leader that has just failed is ignored
+  double ping_after_idle = 2;   // s without a frame until the voter is pinged
 };
 
 class VoterSelector {
  public:
-  // `voters`: how many; `first`: which is tried first.
+  // `voters`: their number; `first`: index of the one to try first, taken modulo `voters`.
   VoterSelector(std::size_t voters, std::size_t first, VoterSelectorSettings settings)
       : s_(settings), failed_at_(voters, -1e18), target_(voters == 0 ? 0 : first % voters) {}
 
   std::size_t target() const { return target_; }
-  // Not before this; only where nothing is connected or being connected.
+  // Earliest time for the next connection attempt, while nothing is connected or connecting.
   double next_attempt_at() const { return next_attempt_at_; }
   bool connected() const { return connected_; }
 
@@ -33,7 +34,7 @@
     last_frame_at_ = now;
     failures_ = 0;
   }
-  // It could not be reached, was closed, or fell silent: the next one.
+  // The target could not be reached, closed the connection or stopped answering: moves on to the next voter.
   void on_failed(double now) {
     connected_ = false;
     unanswered_since_ = kNever;
@@ -45,11 +46,11 @@
     for (std::size_t i = 0; i < rounds && pause < s_.max_backoff; ++i) pause *= 2;
     next_attempt_at_ = now + (pause < s_.max_backoff ? pause : s_.max_backoff);
   }
-  // That one leads, as a voter says. True: it is to be gone to.
+  // A voter says who leads. Returns true if the target has changed to that leader.
   bool on_leader_hint(double now, std::size_t leader) {
     if (leader >= failed_at_.size() || leader == target_ || now - failed_at_[leader] < s_.avoid_failed_for)
       return false;
-    // If it can't be reached, the one that said so stays good.
+    // The voter that gave the hint is returned to if the leader can't be reached.
     hinted_by_ = target_;
     target_ = leader;
     connected_ = false;
@@ -57,7 +58,7 @@
     next_attempt_at_ = now;
     return true;
   }
-  // The leader that was hinted at could not be reached: back to who said so.
+  // The leader could not be reached: returns to the voter that gave the hint.
   void on_hint_failed(double now) {
     failed_at_[target_] = now;
     target_ = hinted_by_;
@@ -72,7 +73,7 @@
     last_frame_at_ = now;
     unanswered_since_ = kNever;
   }
-  // It says that it knows of no leader. True: for so long that another one is to be tried.
+  // The voter knows no leader. Returns true, and moves on, if that has lasted for `reply_timeout`.
   bool on_leaderless(double now) {
     if (leaderless_since_ == kNever) leaderless_since_ = now;
     if (now - leaderless_since_ < s_.reply_timeout) return false;
@@ -94,7 +95,7 @@
   static constexpr double kNever = 1e18;
   static constexpr std::size_t kNone = ~std::size_t{0};
   VoterSelectorSettings s_;
-  std::vector<double> failed_at_;  // s, by voter
+  std::vector<double> failed_at_;  // s, by voter's index
   std::size_t target_, hinted_by_ = kNone, failures_ = 0;
   double next_attempt_at_ = -1e18, unanswered_since_ = kNever, last_frame_at_ = -1e18,
          leaderless_since_ = kNever;
--- a/duties/wire.cpp
+++ b/duties/wire.cpp
@@ -11,8 +11,8 @@
 namespace nettlestand::duties {
 namespace {
 
-constexpr std::size_t kTagBytes = crypto_generichash_BYTES_MIN;  // 16 bytes
-constexpr std::size_t kLengthBytes = 4;                          // bytes
+constexpr std::size_t kTagBytes = crypto_generichash_BYTES_MIN;
+constexpr std::size_t kLengthBytes = 4;
 constexpr std::uint32_t kRequestFields = 9, kReplyFields = 7, kFrameFields = 5, kHelloFields = 6;
 
 void pack(Packer& out, const Request& r) {
@@ -110,7 +110,7 @@
 Frame decode_frame(std::string_view bytes) {
   return decode_msgpack(bytes, [](const msgpack::object& o) {
     if (element_as<std::uint8_t>(o, 0, kFrameFields) != kWireVersion)
-      throw DecodeError("a frame of another version");
+      throw DecodeError("frame: unsupported protocol version");
     Frame f;
     f.kind = enum_element(o, 1, kFrameFields, kLastFrameKind);
     f.number = element_as<std::uint64_t>(o, 2, kFrameFields);
@@ -123,7 +123,7 @@
       f.start_count = element_as<std::uint64_t>(list, 4, kHelloFields);
       f.start_id = element_as<std::uint64_t>(list, 5, kHelloFields);
       if (f.nonce.size() != kNonceBytes || f.sender.name.empty())
-        throw DecodeError("a hello that says nothing");
+        throw DecodeError("hello without a name or with a nonce of the wrong length");
     } else if (f.kind == Frame::Kind::kReplies || f.kind == Frame::Kind::kForwardReplies) {
       for (const msgpack::object* x : array_elements(list, kMaxMessagesPerFrame))
         f.replies.push_back(reply_from(*x));
@@ -138,10 +138,10 @@
 
 Channel::Channel(const Keys& keys, std::string nonce, std::size_t most)
     : keys_(keys.keys), nonce_(std::move(nonce)), max_frame_bytes_(most) {
-  if (sodium_init() < 0) throw std::runtime_error("libsodium can't start");
-  if (nonce_.size() != kNonceBytes) throw std::runtime_error("a nonce is not 16 bytes");
+  if (sodium_init() < 0) throw std::runtime_error("libsodium can't be initialized");
+  if (nonce_.size() != kNonceBytes) throw std::runtime_error("nonce is not 16 bytes long");
   for (const std::string& key : keys_) {
-    if (key.size() != crypto_generichash_KEYBYTES) throw std::runtime_error("a key is not 32 bytes");
+    if (key.size() != crypto_generichash_KEYBYTES) throw std::runtime_error("key is not 32 bytes long");
   }
   if (keys_.empty()) keys_.emplace_back(crypto_generichash_KEYBYTES, '\0');
 }
@@ -161,10 +161,10 @@
 
 std::string Channel::seal(const Frame& frame) {
   const bool hello = frame.kind == Frame::Kind::kHello;
-  if (!hello && !handshake_done()) throw std::logic_error("a frame before the other side's hello");
+  if (!hello && !handshake_done()) throw std::logic_error("frame sent before the other side's hello");
   const std::string body = encode(frame);
   if (body.size() > kMaxFrameBytes)
-    throw std::length_error("a frame of " + std::to_string(body.size()) + " bytes");
+    throw std::length_error("frame too large: " + std::to_string(body.size()) + " bytes");
   std::string out;
   out.reserve(kLengthBytes + body.size() + kTagBytes);
   put_length(out, body.size() + kTagBytes);
@@ -177,9 +177,9 @@
   const std::string_view all(received_.data() + consumed_, received_.size() - consumed_);
   if (all.size() < kLengthBytes) return std::nullopt;
   const std::size_t size = length_at(all);
-  // Guards the memory: whoever has said nothing yet may say little.
+  // Bounds the memory for peers that are not authenticated: before the hello only a short frame is accepted.
   if (size <= kTagBytes || size > (handshake_done() ? max_frame_bytes_ + kTagBytes : std::size_t{1024}))
-    throw DecodeError("a frame of no sound length");
+    throw DecodeError("frame length out of range");
   if (all.size() < kLengthBytes + size) return std::nullopt;
   const std::string_view body = all.substr(kLengthBytes, size - kTagBytes),
                          told = all.substr(kLengthBytes + body.size(), kTagBytes);
@@ -190,9 +190,9 @@
     good = good || sodium_memcmp(digest(body, key, first ? std::string() : nonce_, number).data(),
                                  told.data(), kTagBytes) == 0;
   }
-  if (!good) throw DecodeError("a frame whose seal is not of this cluster");
+  if (!good) throw DecodeError("frame authentication failed");
   Frame out = decode_frame(body);
-  if ((out.kind == Frame::Kind::kHello) != first) throw DecodeError("a hello where none belongs, or none");
+  if ((out.kind == Frame::Kind::kHello) != first) throw DecodeError("unexpected or missing hello");
   if (first) other_nonce_ = out.nonce;
   consumed_ += kLengthBytes + size;
   if (consumed_ == received_.size() || consumed_ > 1 << 16) {
--- a/duties/wire.h
+++ b/duties/wire.h
@@ -1,7 +1,7 @@
-// Frames as bytes on a stream: a length, MessagePack, a seal. The seal is a BLAKE2b digest keyed by the
-// cluster's key, over the nonce that the receiver drew for this connection, the frame's place on it, and the
-// frame: what was recorded on another connection, doubled or left out is not taken. Without a key it is a
-// checksum, and keeps out nobody.
+// Frames on a byte stream: a length, the MessagePack body, and an authentication tag. The tag is a BLAKE2b
+// digest, keyed with the cluster's key, of the nonce that the receiver drew for this connection, the frame's
+// sequence number and the body, so frames that were replayed from another connection, duplicated or dropped
+// are rejected. Without a key the tag is only a checksum and authenticates nobody.
 #pragma once
 
 #include <cstdint>
@@ -15,33 +15,35 @@
 namespace nettlestand::duties {
 
 constexpr std::uint8_t kWireVersion = 1;
-constexpr std::size_t kMaxFrameBytes = 64 * 1024 * 1024;   // bytes of one frame between voters,
-constexpr std::size_t kMaxClientFrameBytes = 1024 * 1024;  // and from or to a node
-constexpr std::size_t kMaxTextBytes = 256 * 1024;          // bytes of a request's or a reply's text
-constexpr std::size_t kMaxMessagesPerFrame = 8192;         // requests or replies in one frame
-constexpr std::size_t kNonceBytes = 16;                    // bytes
-
-// 32 bytes each, none to two: the first one seals, all are taken.
+constexpr std::size_t kMaxFrameBytes = 64 * 1024 * 1024;   // bytes, between voters
+constexpr std::size_t kMaxClientFrameBytes = 1024 * 1024;  // bytes, from or to a node
+constexpr std::size_t kMaxTextBytes = 256 * 1024;          // bytes of a request's text
+constexpr std::size_t kMaxMessagesPerFrame = 8192;         // requests or replies
+constexpr std::size_t kNonceBytes = 16;
+
+// The cluster's keys, 32 bytes each, none to two: the first one authenticates outgoing frames, all are
+// accepted on incoming ones.
 struct Keys {
   std::vector<std::string> keys;
 };
 
-// Frames with no seal, for hosts without sockets, and what is sealed. decode throws BadBytes.
+// A frame's body without length and tag. decode_frame() throws DecodeError.
 std::string encode(const Frame& frame);
 Frame decode_frame(std::string_view bytes);
 
-// One connection's two directions of frames.
+// Both directions of one connection: encodes and authenticates outgoing frames, checks and decodes incoming
+// ones.
 class Channel {
  public:
-  // Throws std::runtime_error for keys or a nonce of another length. `nonce`: this side's, kNonce random
-  // bytes; `most`: bytes that a frame from the other side may have.
+  // `nonce`: kNonceBytes random bytes of this side; `most`: limit for the bytes of an incoming frame. Throws
+  // std::runtime_error for keys or a nonce of the wrong length.
   Channel(const Keys& keys, std::string nonce, std::size_t most);
 
-  // The bytes of the next frame this way. Anything but a hello needs the other side's hello first.
+  // The bytes of the next outgoing frame. Any frame but a hello needs the other side's hello first.
   std::string seal(const Frame& frame);
-  // Takes bytes as they come.
+  // Adds received bytes.
   void append_received(std::string_view bytes) { received_.append(bytes); }
-  // The next whole frame, or none yet. Throws BadBytes: then the connection is of no more use.
+  // The next complete incoming frame, or none yet. Throws DecodeError; the connection must then be closed.
   std::optional<Frame> next_frame();
   bool handshake_done() const { return !other_nonce_.empty(); }
   const std::string& nonce() const { return nonce_; }
