--- a/duties/raft_replica.cpp
+++ b/duties/raft_replica.cpp
@@ -19,12 +19,13 @@
 namespace nettlestand::duties {
 namespace {
 
-constexpr std::uint64_t kMaxTerm = std::uint64_t{1} << 62;  // also of indices: libraft adds to them
+// Limit for terms and indices: libraft adds to them without checks.
+constexpr std::uint64_t kMaxTerm = std::uint64_t{1} << 62;
 constexpr std::uint64_t kMaxId = (std::uint64_t{1} << 63) - 1;
-constexpr std::size_t kMaxEntriesPerMessage = 65536;  // in one message
+constexpr std::size_t kMaxEntriesPerMessage = 65536;
 constexpr std::size_t kMaxServers = 64;
 
-// libraft has functions of these names, too.
+// libraft also has a function of this name.
 using ApplyRequest = struct ::raft_apply;
 
 raft_buffer to_raft_buffer(std::string_view bytes) {
@@ -35,8 +36,8 @@
 }
 std::string_view view(const raft_buffer& b) { return {static_cast<const char*>(b.base), b.len}; }
 
-// libraft's own form of a configuration: a version, a count, then id, a text that ends with 0, and a role
-// each. Danger: it reads past the end of one that is cut short.
+// Checks libraft's encoding of a configuration: a version, a count, and for each server its id, a
+// zero-terminated address and a role. libraft reads past the end of a truncated one.
 bool valid_configuration(std::string_view b) {
   const auto number = [&b]() -> std::optional<std::uint64_t> {
     if (b.size() < 8) return std::nullopt;
@@ -78,7 +79,7 @@
   for (const StoredServer& s : servers) {
     if (raft_configuration_add(&out, s.id, s.name.c_str(), s.role) != 0) {
       raft_configuration_close(&out);
-      throw DecodeError("servers that can't be");
+      throw DecodeError("invalid server list");
     }
   }
 }
@@ -86,11 +87,11 @@
 std::uint64_t bounded(const msgpack::object& o, std::uint32_t i, std::uint32_t size,
                       std::uint64_t most = kMaxTerm) {
   const auto out = element_as<std::uint64_t>(o, i, size);
-  if (out > most) throw DecodeError("a number that can't be");
+  if (out > most) throw DecodeError("number out of range");
   return out;
 }
 
-// Messages as bytes: [type, numbers..., entries or servers and data].
+// Encodes a message as [type, numbers..., entries or servers and data].
 std::string encode(const raft_message& m) {
   msgpack::sbuffer buffer;
   Packer out(buffer);
@@ -200,7 +201,7 @@
     io.append = append;
     io.truncate = [](raft_io* io, raft_index index) {
       Impl& me = of(io);
-      me.write_pending();  // what was to come before it
+      me.write_pending();  // appends that were requested before
       const int code = me.guard_store([&] { me.store.truncate(index); });
       if (code == 0) me.last_index = std::min<std::uint64_t>(me.last_index, index - 1);
       return code;
@@ -261,7 +262,7 @@
   static Impl& of(raft_io* io) { return *static_cast<Impl*>(io->impl); }
   static Impl& of(raft_fsm* fsm) { return *static_cast<Impl*>(fsm->data); }
 
-  // libraft's callbacks come after the call that led to them, never inside it.
+  // libraft requires that callbacks come after the call that caused them, never from within it.
   void defer(std::function<void()> f) { deferred.push_back(std::move(f)); }
 
   int guard_store(const std::function<void()>& f) {
@@ -272,9 +273,9 @@
     } catch (const StoreError& error) {
       std::snprintf(io.errmsg, sizeof io.errmsg, "%s", error.what());
       failure = error.what();
-      // Danger: after a write that failed libraft's leader forgets the entry and leads on, and may put
-      // another in its place in the same term. So this is taken as a crash: all begins again from what is
-      // stored.
+      // After a failed write libraft's leader drops the entry but stays leader, and may put another entry at
+      // the same index and term. So a failed write is treated as a crash: the replica is created anew from
+      // the stored state.
       broken = true;
       return error.kind == StoreError::Kind::kFull ? RAFT_NOSPACE : RAFT_IOERR;
     }
@@ -292,7 +293,7 @@
     return 0;
   }
 
-  // All in one batch, as libraft wants what it frees.
+  // All data in one batch, as libraft expects of entries that it frees.
   static raft_entry* to_entries(const std::vector<StoredEntry>& from) {
     if (from.empty()) return nullptr;
     std::size_t size = 8;
@@ -333,7 +334,7 @@
     e.name = message->server_address;
     e.bytes = encode(*message);
     me.events.push_back(std::move(e));
-    // Who hands over the lead does not want to hear of it.
+    // A leadership transfer sends its message without a callback.
     if (cb != nullptr) me.defer([req, cb] { cb(req, 0); });
     return 0;
   }
@@ -353,22 +354,22 @@
     return 0;
   }
 
-  // All that waits, in one transaction (group commit).
+  // Writes all pending appends in one transaction (group commit).
   void write_pending() {
     if (pending_appends.empty()) return;
     const std::vector<Append> now_written = std::exchange(pending_appends, {});
     std::vector<StoredEntry> all;
     for (const Append& a : now_written) all.insert(all.end(), a.entries.begin(), a.entries.end());
     if (!closing) {
-      if (guard_store([&] { store.append(last_index + 1, all); }) != 0) {  // for close() to call back
+      if (guard_store([&] { store.append(last_index + 1, all); }) != 0) {  // kept: close() runs the callbacks
         pending_appends = now_written;
         return;
       }
       last_index += all.size();
       counters.entries_written += all.size();
     }
-    // Danger: libraft 0.15 frees an entry twice where its write is called back as failed. It is never told
-    // so: at the end, when it does nothing any more but free, as done.
+    // libraft 0.15 frees an entry twice if its append is reported as failed. So no append is ever reported as
+    // failed: while closing, when libraft only frees memory, it is reported as done.
     for (const Append& a : now_written) defer([req = a.req, cb = a.cb] { cb(req, 0); });
   }
 
@@ -411,14 +412,14 @@
     try {
       e.command = decode(view(*buf));
     } catch (const DecodeError&) {
-      return 0;  // of another version, the same for all voters: it does nothing
+      return 0;  // of another version: ignored by all voters alike
     }
     e.result = me.table.apply(e.command);
     me.events.push_back(std::move(e));
     return 0;
   }
 
-  // Everything that a call has led to, until nothing is left.
+  // Runs everything that a call has caused, until nothing is left.
   void run_pending() {
     while ((!pending_appends.empty() || !deferred.empty()) && (!broken || closing)) {
       write_pending();
@@ -441,8 +442,8 @@
     } else if (led_term != raft.current_term) {
       lose_leadership();
       led_term = raft.current_term;
-      // What is applied behind this is all of former terms.
-      if (!start_barrier(0)) led_term = 0;  // asked again with the next turn
+      // Once this barrier is applied, all entries of earlier terms are.
+      if (!start_barrier(0)) led_term = 0;  // retried with the next call
       run_pending();
     }
   }
@@ -513,10 +514,11 @@
     return true;
   }
 
-  // What is a voter's message, or none. Danger: libraft is built without its assertions, and goes on with
-  // whatever it is given; all that is freed later is made here by its own allocator.
+  // Decodes and validates a message; false if no voter can have sent it. libraft is built without its
+  // assertions and would process invalid messages. Memory that libraft frees later is allocated with its
+  // allocator.
   bool decode_message(const msgpack::object& o, raft_message& m) {
-    if (o.type != msgpack::type::ARRAY || o.via.array.size == 0) throw DecodeError("no message");
+    if (o.type != msgpack::type::ARRAY || o.via.array.size == 0) throw DecodeError("not a message");
     const std::uint32_t n = o.via.array.size;
     m.type = element_as<std::uint8_t>(o, 0, n);
     const bool leads_too = raft_state(&raft) == RAFT_LEADER;
@@ -546,7 +548,7 @@
         x.leader_commit = bounded(o, 4, 6);
         if (x.term == 0 || x.prev_log_term > x.term || (x.prev_log_index == 0) != (x.prev_log_term == 0))
           return false;
-        // Two leaders in one term can't be: one of them lies.
+        // There can't be two leaders in one term: one of the messages is forged.
         if (leads_too && x.term <= raft.current_term && x.term == raft.current_term) return false;
         std::vector<StoredEntry> entries;
         std::uint64_t before = x.prev_log_term;
@@ -590,7 +592,7 @@
           if (servers.back().id == 0 || name.empty() || name.find('\0') != std::string::npos) return false;
         }
         const std::string data = string_value(element(o, 6, 7), 1 << 26);
-        LeaseTable().restore(data);  // throws for what is none
+        LeaseTable().restore(data);  // throws if the data is invalid
         if (servers.empty()) return false;
         fill_configuration(x.conf, servers);
         x.data = to_raft_buffer(data);
@@ -619,7 +621,7 @@
   raft_io_tick_cb on_tick = nullptr;
   raft_io_recv_cb on_receive = nullptr;
   LeaseTable table;
-  std::uint64_t last_index = 0;  // index of the last entry that is stored
+  std::uint64_t last_index = 0;  // index of the last stored entry
   std::vector<Append> pending_appends;
   std::deque<std::function<void()>> deferred;
   std::vector<Event> events;
@@ -639,15 +641,14 @@
 void RaftReplica::bootstrap(Store& store, const std::string& name) {
   const StoredState there = store.load();
   if (there.term != 0 || there.snapshot || !there.entries.empty())
-    throw std::runtime_error(
-        "this voter's state has been used: it can't be the first one of a new agreement");
+    throw std::runtime_error("this voter's state is not new: it can't be used to found a cluster");
   raft_configuration c;
   raft_configuration_init(&c);
   raft_buffer buf{};
   if (raft_configuration_add(&c, there.id, name.c_str(), RAFT_VOTER) != 0 ||
       raft_configuration_encode(&c, &buf) != 0) {
     raft_configuration_close(&c);
-    throw std::runtime_error("a voter's name that can't be used");
+    throw std::runtime_error("invalid voter name");
   }
   const std::string data(view(buf));
   raft_free(buf.base);
--- a/duties/sqlite.h
+++ b/duties/sqlite.h
@@ -1,5 +1,5 @@
-// A thin layer over SQLite's C interface: what fails is thrown as StoreError, statements end with their
-// scope.
+// A thin wrapper of SQLite's C interface: errors are thrown as StoreError, statements are finalized at the
+// end of their scope.
 #pragma once
 
 #include <sqlite3.h>
@@ -15,7 +15,7 @@
 
 class Sqlite {
  public:
-  // `make`: the file may be made. `wait_ms`: for a lock that another process holds.
+  // `make`: creates the file if it does not exist. `wait_ms`: timeout for a lock held by another process.
   Sqlite(const std::string& path, bool make, int wait_ms) {
     const int flags = SQLITE_OPEN_READWRITE | SQLITE_OPEN_NOMUTEX | (make ? SQLITE_OPEN_CREATE : 0);
     const int code = sqlite3_open_v2(path.c_str(), &db_, flags, nullptr);
@@ -60,7 +60,7 @@
           sqlite3_bind_blob64(it_, i, bytes.empty() ? "" : bytes.data(), bytes.size(), SQLITE_TRANSIENT));
       return *this;
     }
-    // The next row, or false.
+    // Advances to the next row; false if there is none.
     bool step() {
       const int code = sqlite3_step(it_);
       if (code == SQLITE_ROW) return true;
@@ -86,14 +86,14 @@
   };
 
   void run(const char* text) { check(sqlite3_exec(db_, text, nullptr, nullptr, nullptr)); }
-  // All of it or nothing: what is thrown on the way undoes it.
+  // Runs `f` in a transaction, which is rolled back if `f` throws.
   void transaction(const std::function<void()>& f) {
     run("BEGIN IMMEDIATE");
     try {
       f();
       run("COMMIT");
     } catch (...) {
-      // A full disk may have ended it already.
+      // SQLite may have rolled it back already, for example on a full disk.
       if (sqlite3_get_autocommit(db_) == 0) sqlite3_exec(db_, "ROLLBACK", nullptr, nullptr, nullptr);
       throw;
     }
--- a/duties/store.cpp
+++ b/duties/store.cpp
@@ -9,11 +9,11 @@
 namespace {
 
 constexpr std::uint64_t kFormatVersion = 1;
-constexpr int kLockWaitMs = 0;  // ms: a voter's state is one process's
+constexpr int kLockWaitMs = 0;  // a voter's state belongs to one process
 
 std::uint64_t random_id() {
   std::random_device random;
-  // Positive as SQLite and libraft have it, and never 0.
+  // Fits SQLite's and libraft's signed 64-bit integers, and is never 0.
   return ((static_cast<std::uint64_t>(random()) << 31) ^ random()) % 0x7FFFFFFFFFFFFFFEULL + 1;
 }
 
@@ -45,7 +45,7 @@
 
 struct SqliteStore::Db {
   Db(const std::string& folder, bool make) : sql(folder + "/voter.db", make, kLockWaitMs) {
-    // The lock is held for the process's life: two processes would vote as one.
+    // The lock is held as long as the database is open: two processes with the same state would vote twice.
     sql.run("PRAGMA locking_mode=EXCLUSIVE");
     sql.run("PRAGMA journal_mode=WAL");
     sql.run("PRAGMA synchronous=FULL");
@@ -68,7 +68,7 @@
 std::uint64_t SqliteStore::create(const std::string& folder) {
   try {
     SqliteStore there(folder);
-    throw StoreError(StoreError::Kind::kLocked, folder + ": a voter's state is there already");
+    throw StoreError(StoreError::Kind::kLocked, folder + ": already contains a voter's state");
   } catch (const StoreError& error) {
     if (error.kind != StoreError::Kind::kNotInitialized) throw;
   }
@@ -92,12 +92,12 @@
   try {
     format = db_->get("format", 0);
   } catch (const StoreError& error) {
-    // A file that was begun and has nothing in it yet.
+    // A database without tables: creating the state was interrupted.
     if (error.kind != StoreError::Kind::kIo) throw;
-    throw StoreError(StoreError::Kind::kNotInitialized, folder + ": no voter's state is there");
+    throw StoreError(StoreError::Kind::kNotInitialized, folder + ": no voter's state (not initialized)");
   }
   if (format != kFormatVersion)
-    throw StoreError(StoreError::Kind::kCorrupt, folder + ": a state of another format");
+    throw StoreError(StoreError::Kind::kCorrupt, folder + ": unsupported format version of a voter's state");
 }
 
 SqliteStore::~SqliteStore() = default;
@@ -119,7 +119,7 @@
     const std::uint64_t at = all.column_uint64(0);
     if (out.entries.empty()) out.first_index = at;
     if (at != out.first_index + out.entries.size())
-      throw StoreError(StoreError::Kind::kCorrupt, "a gap in the log");
+      throw StoreError(StoreError::Kind::kCorrupt, "gap in the stored log");
     out.entries.push_back(
         {all.column_uint64(1), static_cast<std::uint16_t>(all.column_uint64(2)), all.column_bytes(3)});
   }
--- a/duties/store.h
+++ b/duties/store.h
@@ -1,5 +1,4 @@
-// What a voter must not forget. Everything that writes is durable when it returns, or throws and has changed
-// nothing.
+// A voter's persistent state. Each write is durable when it returns; if it throws, nothing has changed.
 #pragma once
 
 #include <cstdint>
@@ -18,21 +17,21 @@
     kCorrupt,
     kNotInitialized,
     kLocked
-  };  // kNone: no voter's state; kTaken: another process has it
+  };  // kNotInitialized: no voter's state there; kLocked: in use by another process, or already initialized
   StoreError(Kind k, const std::string& what) : std::runtime_error(what), kind(k) {}
   Kind kind;
 };
 
 struct StoredEntry {
   std::uint64_t term = 0;
-  std::uint16_t type = 0;  // as libraft has it
+  std::uint16_t type = 0;  // as in libraft
   std::string data;
 };
 
 struct StoredServer {
   std::uint64_t id = 0;
   std::string name;
-  int role = 0;  // as libraft has it
+  int role = 0;  // as in libraft
   bool operator==(const StoredServer&) const = default;
 };
 
@@ -44,41 +43,44 @@
 };
 
 struct StoredState {
-  std::uint64_t id = 0;           // of this voter, drawn when its state was made
-  std::uint64_t start_count = 0;  // how often the state was started on, this time included
-  std::uint64_t start_id = 0;     // drawn for this start
+  std::uint64_t id = 0;           // of this voter, random, drawn when its state was created
+  std::uint64_t start_count = 0;  // how often the state was opened, this time included
+  std::uint64_t start_id = 0;     // random, drawn for this start
   std::uint64_t term = 0, vote = 0;
   std::optional<StoredSnapshot> snapshot;
-  std::uint64_t first_index = 1;  // index of the first of `entries`
+  std::uint64_t first_index = 1;  // index of entries[0]
   std::vector<StoredEntry> entries;
 };
 
 class Store {
  public:
   virtual ~Store() = default;
-  // Counts a start.
+  // Loads the state, and counts a start.
   virtual StoredState load() = 0;
-  virtual void set_term(std::uint64_t term) = 0;  // and forgets the vote
+  virtual void set_term(std::uint64_t term) = 0;  // also clears the vote
   virtual void set_vote(std::uint64_t id) = 0;
   virtual void append(std::uint64_t first, const std::vector<StoredEntry>& entries) = 0;
-  // Forgets the entries from an index on.
+  // Removes the entries from index `from` on.
   virtual void truncate(std::uint64_t from) = 0;
-  // Keeps `trailing` entries up to the snapshot's, and none at all for 0: what follows it then is gone, too.
+  // Replaces the snapshot and keeps the last `trailing` entries up to its index. 0: removes all entries, also
+  // those after it.
   virtual void put_snapshot(const StoredSnapshot& snapshot, std::uint64_t trailing) = 0;
   virtual std::optional<StoredSnapshot> load_snapshot() = 0;
-  // A voter is here as (starts, run). False where a later start of it was met, or another one that called
-  // itself the same: then its state is one of former days, and it may not vote.
+  // Records another voter's start. Returns false if a later start of that voter, or the same start_count with
+  // another start_id, was recorded before: it then runs on an old copy of its state, and must not vote, as it
+  // may have forgotten a vote.
   virtual bool record_peer_start(std::uint64_t voter, std::uint64_t starts, std::uint64_t run) = 0;
 };
 
-// In a folder's file voter.db: SQLite with a write-ahead log, each write synced. Not for two processes.
+// Stores the state in the file voter.db of a directory: SQLite with a write-ahead log, each write synced.
+// Locked by one process.
 class SqliteStore final : public Store {
  public:
-  // Makes the state of a new voter, with a new id, where there is none. Returns the id; throws StoreError,
-  // also where there is one.
+  // Creates the state of a new voter and returns its new id. Throws StoreError, also if there is a state
+  // already.
   static std::uint64_t create(const std::string& folder);
 
-  // Throws StoreError: kNone where no state was made there, kTaken where another process has it.
+  // Throws StoreError: kNotInitialized if there is no state, kLocked if another process uses it.
   explicit SqliteStore(const std::string& folder);
   ~SqliteStore() override;
   SqliteStore(const SqliteStore&) = delete;
--- a/duties/voter.cpp
+++ b/duties/voter.cpp
@@ -10,11 +10,11 @@
 namespace nettlestand::duties {
 namespace {
 
-constexpr double kChangeTimeout = 10;           // s until a change of the voters is given up
-constexpr double kNodeReportTtl = 600;          // s
-constexpr std::size_t kMaxNodeReports = 16384;  // nodes
+constexpr double kChangeTimeout = 10;   // s until a membership change is given up
+constexpr double kNodeReportTtl = 600;  // s
+constexpr std::size_t kMaxNodeReports = 16384;
 constexpr std::size_t kMaxPendingChanges = 64;
-constexpr std::size_t kMaxReplyFrameBytes = 512 * 1024;  // of one frame of replies
+constexpr std::size_t kMaxReplyFrameBytes = 512 * 1024;
 constexpr std::uint64_t kFirstForwardId = std::uint64_t{1} << 32;
 
 using JsonWriter = rapidjson::Writer<rapidjson::StringBuffer>;
@@ -65,12 +65,13 @@
   try {
     good = store_.record_peer_start(hello.voter_id, hello.start_count, hello.start_id);
   } catch (const StoreError&) {
-    return false;  // what can't be remembered is not trusted
+    return false;  // a start that can't be recorded is not accepted
   }
   if (!good) {
     if (rejected_voters_.insert(hello.voter_id).second)
       notices_.push_back(
-          {"voter_refused", hello.sender.name + " votes with a state of former days: it is not listened to"});
+          {"voter_refused",
+           hello.sender.name + " runs on an outdated copy of its state: its messages are ignored"});
     return false;
   }
   rejected_voters_.erase(hello.voter_id);
@@ -152,7 +153,8 @@
         handed.push_back(r);
       }
     }
-    // It may go to the leader itself; until then, and where it can't, this voter stands between.
+    // The client may connect to the leader itself; until then, or if it can't, this voter forwards its
+    // requests.
     if (std::uint64_t& told = hinted_leaders_[client]; told != leader) {
       told = leader;
       Reply hint;
@@ -256,7 +258,7 @@
   }
 }
 
-// One at a time, as Raft has them (dissertation, 4.1).
+// Membership changes are made one at a time, as Raft requires (Ongaro's dissertation, 4.1).
 void Voter::start_next_change(double now, OutgoingFrames& out) {
   if (changes_.empty() || changes_.front().started || !raft_.is_leader()) return;
   MembershipChange& a = changes_.front();
@@ -265,21 +267,22 @@
   const auto there = std::find_if(voters.begin(), voters.end(),
                                   [&](const VoterInfo& v) { return voter_name(v.name) == name; });
   if (a.remove) {
-    if (there == voters.end()) return finish_change(Reply::Kind::kRefused, "no voter is called " + name, out);
-    if (voters.size() == 1) return finish_change(Reply::Kind::kRefused, "it is the last one", out);
+    if (there == voters.end()) return finish_change(Reply::Kind::kRefused, "no voter is named " + name, out);
+    if (voters.size() == 1)
+      return finish_change(Reply::Kind::kRefused, "the last voter can't be removed", out);
     a.started = raft_.remove_voter(now, there->id);
     return;
   }
   const auto hello = voter_hellos_.find(name);
-  if (hello == voter_hellos_.end()) return;  // it may still come, until this is given up
+  if (hello == voter_hellos_.end()) return;  // the voter may still connect before the deadline
   const std::uint64_t id = hello->second.voter_id;
-  // Danger: under its old id a voter that has lost its state would vote twice.
+  // A voter that has lost its state must not return under its old id: it would vote twice.
   if (there != voters.end() && there->id != id)
-    return finish_change(Reply::Kind::kRefused,
-                         name + " has another identity than the voter of that name: remove that one first",
-                         out);
+    return finish_change(
+        Reply::Kind::kRefused,
+        name + " has another id than the existing voter of that name: remove that voter first", out);
   if (there != voters.end() && there->role == VoterRole::kVoter)
-    return finish_change(Reply::Kind::kDone, "it votes already", out);
+    return finish_change(Reply::Kind::kDone, "already a voter", out);
   a.started = there == voters.end() ? raft_.add_voter(now, id, a.label) : raft_.promote_voter(now, id);
 }
 
@@ -301,8 +304,8 @@
   }
   if (!changes_.empty() && now >= changes_.front().deadline) {
     finish_change(Reply::Kind::kRefused,
-                  changes_.front().started ? "it was begun, and is not through: look at the voters"
-                                           : "no voter of that name says hello",
+                  changes_.front().started ? "timed out while in progress: check the list of voters"
+                                           : "timed out: no voter of that name has connected",
                   out);
   }
   if (now >= lease_manager_.next_deadline()) {
@@ -357,12 +360,13 @@
           lease_manager_.on_barrier_done(now, e.number, actions);
           break;
         case RaftReplica::Event::Kind::kBecameLeader:
-          notices_.push_back({"leads", "leads the voters in term " + std::to_string(raft_.term())});
+          notices_.push_back(
+              {"leads", "elected leader of the voters in term " + std::to_string(raft_.term())});
           hinted_leaders_.clear();
           lease_manager_.become_leader(now, actions);
           break;
         case RaftReplica::Event::Kind::kLostLeadership:
-          notices_.push_back({"follows", "leads no more"});
+          notices_.push_back({"follows", "no longer the leader"});
           lease_manager_.become_follower(actions);
           apply_actions(actions, out);
           for (const MembershipChange& a : std::exchange(changes_, {})) {
@@ -377,16 +381,15 @@
           node_reports_.clear();
           continue;
         case RaftReplica::Event::Kind::kMembershipChanged:
-          notices_.push_back({"voters_changed", e.bytes.empty()
-                                                    ? "the voters are others"
-                                                    : "a change of the voters failed: " + e.bytes});
+          notices_.push_back({"voters_changed", e.bytes.empty() ? "the set of voters has changed"
+                                                                : "membership change failed: " + e.bytes});
           if (!changes_.empty() && changes_.front().started)
             finish_change(e.bytes.empty() ? Reply::Kind::kDone : Reply::Kind::kRefused, e.bytes, out);
           start_next_change(now, out);
           continue;
         case RaftReplica::Event::Kind::kFailed:
-          failure_ = e.bytes.empty() ? "it can't go on" : e.bytes;
-          notices_.push_back({"failed", "the voter can't go on: " + failure_});
+          failure_ = e.bytes.empty() ? "unknown error" : e.bytes;
+          notices_.push_back({"failed", "voter failed: " + failure_});
           continue;
       }
       apply_actions(actions, out);
@@ -399,7 +402,7 @@
   queued_replies_[client].push_back(std::move(r));
 }
 
-// One frame for each of them, or several where texts are long.
+// One frame per client, or several if texts are long.
 void Voter::send_queued_replies(OutgoingFrames& out) {
   for (auto& [client, replies] : std::exchange(queued_replies_, {})) {
     const auto relay = forwarded_clients_.find(client);
--- a/duties/voter.h
+++ b/duties/voter.h
@@ -1,5 +1,5 @@
-// A voter without its sockets: agreement and keeper put together, and whom it answers. Frames and time in,
-// frames out; what is stored goes through a Store.
+// A voter without sockets: combines the Raft replica with the lease manager, and routes replies to clients.
+// Gets frames and the time, and returns frames to send; persistent state goes through a Store.
 #pragma once
 
 #include <cstdint>
@@ -18,7 +18,7 @@
 struct VoterSettings {
   std::string cluster = "nettlestand";
   Node self;
-  RaftSettings raft;  // `name` is `self`'s
+  RaftSettings raft;  // `name` is taken from `self`
   LeaseManagerSettings lease_manager;
 };
 
@@ -26,37 +26,38 @@
  public:
   struct Outgoing {
     bool to_voter = false;
-    std::uint64_t to = 0;  // a voter's id, or a client's number
-    std::string name;      // of the voter, as the agreement has it
+    std::uint64_t to = 0;  // a voter's id or a client's number
+    std::string name;      // the voter's label in the Raft configuration
     Frame frame;
   };
   using OutgoingFrames = std::vector<Outgoing>;
-  struct Notice {  // what an operator may want to know
+  struct Notice {  // an event to be logged
     const char* event;
     std::string text;
   };
 
-  // Throws as Agreement does.
+  // Throws as RaftReplica does.
   Voter(VoterSettings settings, Store& store, double now);
 
   Frame hello(const std::string& nonce) const;
-  // Another voter says hello; false: nothing is to be taken from it (its state is one of former days).
+  // Another voter's hello was received. Returns false if its frames must be ignored: it runs on an old copy
+  // of its state.
   bool on_voter_hello(double now, const Frame& hello, OutgoingFrames& out);
-  // The connection to the voter of this name has ended: who comes back may be another one.
+  // The connection to the voter of this name has ended. The next one of that name may have another identity.
   void on_voter_disconnected(const std::string& name) { voter_hellos_.erase(name); }
   void on_voter_frame(double now, std::uint64_t id, const std::string& name, const Frame& frame,
                       OutgoingFrames& out);
-  // `client`: the host's number of a connection, from 1 and below 2^32.
+  // `client`: the caller's number of a connection, from 1 and below 2^32.
   void on_client_frame(double now, std::uint64_t client, const Frame& frame, OutgoingFrames& out);
-  // A frame to a voter could not go: whose requests were in it are to come again.
+  // A frame to a voter could not be sent: clients whose requests it contained are told to try again.
   void on_send_failed(double now, const Frame& frame, OutgoingFrames& out);
   void on_client_gone(double now, std::uint64_t client, OutgoingFrames& out);
   void tick(double now, OutgoingFrames& out);
   double next_deadline() const;
-  // This process is about to end: another one is to lead.
+  // This process is about to exit: makes another voter the leader.
   void transfer_leadership(double now, OutgoingFrames& out);
 
-  // Whom it wants to be connected to: voters by "name" or "name=address".
+  // The voters to keep connections to, as "name" or "name=address".
   std::vector<std::string> voters_to_connect() const;
   bool failed() const { return !failure_.empty(); }
   const std::string& failure() const { return failure_; }
@@ -67,7 +68,7 @@
  private:
   struct MembershipChange {
     std::uint64_t client = 0, seq = 0;
-    std::string label;  // name, or name=address
+    std::string label;  // name or name=address
     double deadline = 0;
     bool remove = false, started = false;
     std::uint64_t id = 0;
@@ -94,23 +95,24 @@
   Store& store_;
   RaftReplica raft_;
   LeaseManager lease_manager_;
-  std::vector<Command> proposals_;       // of all that one frame or one turn has led to: one write
-  std::vector<std::uint64_t> barriers_;  // behind them
-  std::map<std::uint64_t, std::vector<Reply>> queued_replies_;                    // to go out, by client
-  std::map<std::pair<std::uint64_t, std::uint64_t>, std::uint64_t> forward_ids_;  // (voter, its client): ours
+  std::vector<Command> proposals_;       // collected over one frame or tick, for a single write
+  std::vector<std::uint64_t> barriers_;  // to be placed behind the proposals
+  std::map<std::uint64_t, std::vector<Reply>> queued_replies_;  // by client
+  // (voter, that voter's client number) to our client number, and back.
+  std::map<std::pair<std::uint64_t, std::uint64_t>, std::uint64_t> forward_ids_;
   std::map<std::uint64_t, std::pair<std::uint64_t, std::uint64_t>> forwarded_clients_;
   std::uint64_t last_forward_id_ = std::uint64_t{1} << 32;
-  std::map<std::uint64_t, std::uint64_t> hinted_leaders_;  // whose client was told which leader
-  std::vector<MembershipChange> changes_;                  // of the voters, the first one is under way
-  std::map<std::string, Frame> voter_hellos_;              // the newest hellos of voters, by name
-  std::map<std::string, NodeReport> node_reports_;         // what nodes had kept, by name
+  std::map<std::uint64_t, std::uint64_t> hinted_leaders_;  // by client: the leader it was last told of
+  std::vector<MembershipChange> changes_;           // membership changes; only the first is in progress
+  std::map<std::string, Frame> voter_hellos_;       // latest hello of each voter, by name
+  std::map<std::string, NodeReport> node_reports_;  // latest report of each node, by name
   std::set<std::uint64_t> rejected_voters_;
   double next_tick_ = 0;
   std::string failure_;
   std::vector<Notice> notices_;
 };
 
-// The name in "name" or "name=address", and the address, or nothing.
+// The name and the address of a label "name" or "name=address"; the address may be empty.
 std::string voter_name(const std::string& label);
 std::string voter_address(const std::string& label);
 
--- a/duties/voter_service.cpp
+++ b/duties/voter_service.cpp
@@ -20,13 +20,13 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-constexpr double kReopenInterval = 2;         // s until a state that could not be used is tried again
-constexpr double kOpenErrorLogInterval = 60;  // s between words on that
-constexpr double kClientIdleTimeout = 10;     // s without a byte until who connected is taken for gone
-constexpr double kReplyConnectionTtl =
-    5;  // s for which a connection is kept to a voter that something was to go to
-constexpr double kMinReconnectDelay = 0.1;  // s between tries to reach a voter, doubled each time,
-constexpr double kMaxReconnectDelay = 1;    // up to this
+constexpr double kReopenInterval = 2;         // s until opening the state is retried after an error
+constexpr double kOpenErrorLogInterval = 60;  // s between log lines about that error
+constexpr double kClientIdleTimeout = 10;     // s without a byte until an incoming connection is closed
+// s for which a connection is kept to a voter that is not in the configuration but was sent a frame.
+constexpr double kReplyConnectionTtl = 5;
+constexpr double kMinReconnectDelay = 0.1;  // s between attempts to connect to a voter, doubled each time
+constexpr double kMaxReconnectDelay = 1;    // s
 
 }  // namespace
 
@@ -43,7 +43,7 @@
   ~Impl() {
     asio::post(io_, [this] { io_.stop(); });
     if (thread_.joinable()) thread_.join();
-    // What is closed here must not call back.
+    // Closed connections must not call back.
     for (auto& [name, o] : peer_voters_) {
       if (o.link) o.link->close();
     }
@@ -76,7 +76,7 @@
   tcp::endpoint address() const { return acceptor_.local_endpoint(); }
 
  private:
-  struct PeerVoter {  // a voter, as this one sends to it
+  struct PeerVoter {  // the outgoing connection to another voter
     std::shared_ptr<FrameConnection> link;
     double next_attempt_at = 0, reconnect_delay = kMinReconnectDelay, pinged_at = 0;
     bool met = false;
@@ -91,14 +91,14 @@
       store_ = options_.open_store ? options_.open_store() : std::make_unique<SqliteStore>(options_.data_dir);
       voter_ = std::make_unique<Voter>(options_.voter, *store_, now());
       log_event(LogLevel::kInfo, "voter_started",
-                "votes on duties as " + options_.voter.self.name + " from term " +
+                "started as voter " + options_.voter.self.name + " from term " +
                     std::to_string(voter_->raft().term()));
     } catch (const std::exception& problem) {
       voter_.reset();
       store_.reset();
       if (now() >= next_open_error_log_at_) {
         next_open_error_log_at_ = now() + kOpenErrorLogInterval;
-        log_event(LogLevel::kError, "voter_off", std::string("does not vote: ") + problem.what());
+        log_event(LogLevel::kError, "voter_off", std::string("can't start as voter: ") + problem.what());
       }
     }
     reopen_at_ = now() + kReopenInterval;
@@ -113,7 +113,7 @@
     for (auto& link : std::exchange(unidentified_, {})) link->close();
   }
 
-  // ------------------------------------------------------------ who comes
+  // ------------------------------------------------------------ incoming connections
 
   void accept() {
     acceptor_.async_accept([this](const error_code& error, tcp::socket socket) {
@@ -121,7 +121,7 @@
       if (!error && voter_ && clients_.size() + unidentified_.size() < options_.max_connections)
         accept_connection(std::move(socket));
       if (!error) return accept();
-      // No descriptor to spare, for one: a little later there may be.
+      // For example, out of file descriptors: tries again a little later.
       accept_timer_.expires_after(std::chrono::milliseconds(100));
       accept_timer_.async_wait([this](const error_code& e) {
         if (!e) accept();
@@ -191,7 +191,7 @@
 
   Frame hello() const { return voter_->hello(std::string(kNonceBytes, '\0')); }
 
-  // ------------------------------------------------------------ other voters
+  // ------------------------------------------------------------ connections to other voters
 
   std::optional<tcp::endpoint> address_of(const std::string& label) const {
     const std::string name = voter_name(label);
@@ -251,14 +251,14 @@
       other->met = true;
       other->reconnect_delay = kMinReconnectDelay;
       other->pinged_at = now();
-      log_event(LogLevel::kInfo, "voter_reached", "reaches the voter " + hello.sender.name);
+      log_event(LogLevel::kInfo, "voter_reached", "connected to voter " + hello.sender.name);
       send_all(out);
     };
     h.on_closed = [this, mine, name](const std::string& why) {
       PeerVoter* other = mine();
       if (other == nullptr) return;
       if (other->met)
-        log_event(LogLevel::kInfo, "voter_unreached", "reaches the voter " + name + " no more: " + why);
+        log_event(LogLevel::kInfo, "voter_unreached", "connection to voter " + name + " lost: " + why);
       other->link.reset();
       other->met = false;
       if (voter_) voter_->on_voter_disconnected(name);
@@ -266,17 +266,17 @@
     o.link->connect(*at, hello(), std::move(h));
   }
 
-  // ------------------------------------------------------------ turns
+  // ------------------------------------------------------------ event loop
 
   void send_all(Voter::OutgoingFrames& out) {
     std::vector<Frame> unsent;
     for (Voter::Outgoing& o : out) {
       if (o.to_voter) {
         const std::string name = voter_name(o.name);
-        // A new voter knows of no other, and has to answer the one that adds it.
+        // A new voter has no configuration yet, but must be able to answer the voter that adds it.
         reply_targets_[name] = {o.name, now() + kReplyConnectionTtl};
         const auto it = peer_voters_.find(name);
-        // What can't go is lost, as on any network; who waits for an answer is told.
+        // A frame that can't be sent is dropped, as on a network; clients that wait for an answer are told.
         if (it == peer_voters_.end() || !it->second.met || !it->second.link ||
             !it->second.link->send(o.frame))
           unsent.push_back(std::move(o.frame));
@@ -329,12 +329,13 @@
   std::unique_ptr<Store> store_;
   std::unique_ptr<Voter> voter_;
   std::map<std::string, PeerVoter> peer_voters_;
-  std::set<std::shared_ptr<FrameConnection>> unidentified_;  // who has not said hello
+  std::set<std::shared_ptr<FrameConnection>> unidentified_;  // connections without a hello so far
   std::map<std::uint64_t, std::shared_ptr<FrameConnection>> clients_;
-  std::map<std::uint64_t, std::pair<std::uint64_t, std::string>> voters_;  // those of the clients that vote
+  // Id and name of each client that is a voter.
+  std::map<std::uint64_t, std::pair<std::uint64_t, std::string>> voters_;
   std::map<const FrameConnection*, std::uint64_t> client_ids_;
-  std::map<std::string, std::pair<std::string, double>>
-      reply_targets_;  // whom something was to go to; until when
+  // By name: label of a voter that was sent a frame, and until when to stay connected.
+  std::map<std::string, std::pair<std::string, double>> reply_targets_;
   std::uint64_t last_client_id_ = 0;
   double reopen_at_ = 0, next_open_error_log_at_ = 0, voter_idle_timeout_ = 1;
   std::thread thread_;
--- a/duties/voter_service.h
+++ b/duties/voter_service.h
@@ -1,5 +1,5 @@
-// A voter on sockets, with a thread and a loop of its own: its disk may take as long as it likes, and nothing
-// else of the process waits for it.
+// A voter with its sockets, on its own thread and event loop, so that slow disk writes don't block the rest
+// of the process.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -20,25 +20,26 @@
   Keys keys;
   VoterSettings voter;
   boost::asio::ip::tcp::endpoint listen;
-  std::string data_dir;                 // of its state, made by SqliteStore::make
-  std::vector<VoterAddress> addresses;  // of voters by name; before those that the agreement has
+  std::string data_dir;  // created with SqliteStore::create
+  // Of voters, by name; these take precedence over the addresses in the Raft configuration.
+  std::vector<VoterAddress> addresses;
   std::size_t max_connections = 4096;
-  // Another store than the folder's, for tests; called on the voter's thread.
+  // For tests: opens another store than that in `data_dir`. Called on the voter's thread.
   std::function<std::unique_ptr<Store>()> open_store;
 };
 
 class VoterService {
  public:
-  // Throws boost::system::system_error where the address can't be had. `log` is called on `loop`, which has
-  // to be one that other threads may post to, and to outlive this.
+  // Throws boost::system::system_error if it can't listen at the address. `log` is called on `loop`, which
+  // must accept posts from other threads and must outlive this object.
   VoterService(boost::asio::io_context& loop, VoterOptions options, Log log);
-  // Ends the thread; waits for what it is writing.
+  // Stops the thread after the write in progress.
   ~VoterService();
   VoterService(const VoterService&) = delete;
   VoterService& operator=(const VoterService&) = delete;
 
   void start();
-  // Has another voter lead, where this one does.
+  // Makes another voter the leader, if this one is.
   void transfer_leadership();
   boost::asio::ip::tcp::endpoint address() const;
 
