--- a/src/admission/formulas.cpp
+++ b/src/admission/formulas.cpp
@@ -9,7 +9,7 @@
   return perceived <= 0 ? 0 : std::clamp(1 - rate_limit / perceived, 0.0, 1.0);
 }
 
-// Evenly spaced starts on a ring: any two servers differ by at most one in how many copies use them.
+// Evenly spaced starts on a ring: the numbers of balancers that use any two servers differ by at most one.
 std::vector<std::size_t> subset_of(std::size_t copy_index, std::size_t copy_count, std::size_t servers,
                                    std::size_t size) {
   std::vector<std::size_t> out;
--- a/src/admission/random.h
+++ b/src/admission/random.h
@@ -1,4 +1,4 @@
-// Random numbers and hashes that are the same on every platform.
+// Random numbers and hashes, the same on every platform.
 #pragma once
 
 #include <cstdint>
@@ -6,7 +6,7 @@
 
 namespace quinceusher {
 
-// splitmix64 with its own mapping to ranges: the same on every platform.
+// splitmix64. It maps to ranges itself, as the standard distributions differ between platforms.
 class Random {
  public:
   explicit Random(std::uint64_t seed) : state_(seed) {}
@@ -23,7 +23,7 @@
   std::uint64_t state_;
 };
 
-// FNV-1a: orders servers alike at every copy, without regard to how addresses were handed out.
+// FNV-1a with a final mix: gives servers the same order at every balancer, whatever their addresses.
 inline std::uint64_t hash_of(const std::string& text) {
   std::uint64_t h = 0xCBF29CE484222325ULL;
   for (const char c : text) h = (h ^ static_cast<unsigned char>(c)) * 0x100000001B3ULL;
--- a/src/admission/sliding_window.h
+++ b/src/admission/sliding_window.h
@@ -1,4 +1,4 @@
-// A client's calls of the last seconds.
+// Sliding window over one tenant's calls.
 #pragma once
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 
 namespace quinceusher {
 
-// Total and declined calls of the last few seconds, in buckets; the latest of them also make the short rate.
+// Total and declined calls of the last seconds, in buckets; the newest of these also make the short rate.
 class SlidingWindow {
  public:
   struct Sums {
@@ -48,9 +48,9 @@
   }
   const Bucket& at(std::int64_t slot) const { return const_cast<SlidingWindow*>(this)->at(slot); }
 
-  // Takes from the sums what has no place in them any more once `slot` is the latest.
+  // Subtracts what leaves the sums once `slot` is the newest.
   void subtract_expired(std::int64_t slot, Sums& sums) const {
-    const Bucket& old = at(slot);  // the one that stood there a window ago
+    const Bucket& old = at(slot);  // a window earlier, this bucket was in its place
     sums.total -= old.total;
     sums.declined -= old.declined;
     if (slot - short_buckets_ <= newest_slot_) sums.last_second -= at(slot - short_buckets_).total;
--- a/src/answer_progress.h
+++ b/src/answer_progress.h
@@ -1,5 +1,5 @@
-// How long an answer that is arriving may go on. Before its first byte an attempt is judged by the usual
-// answer time; from then on by its progress, for an answer that is large is not one that is late.
+// Deadlines of answers that arrive slowly. Before its first byte an attempt is judged by the usual latency,
+// after it by its progress, as a large answer is not a late one.
 #pragma once
 
 #include <algorithm>
@@ -8,19 +8,19 @@
 
 namespace quinceusher {
 
-constexpr double kMaxQuiet = 0.25;           // of the time left; an answer that pauses for longer has stopped
-constexpr double kRecheck = 0.125;           // of the time left until it is looked at again
-constexpr double kMinBytesPerSecond = 1000;  // bytes/s of an answer whose length is not told
-constexpr double kMaxLateness = 1.5;  // x the time left; what would take longer is given up for another try
-constexpr double kMaxLatenessNoRetry = 4;  // and this much where there can be none
+constexpr double kMaxQuiet = 0.25;  // of the remaining time; an answer that pauses for longer has stalled
+constexpr double kRecheck = 0.125;  // of the remaining time until the next check
+constexpr double kMinBytesPerSecond = 1000;  // of an answer of unknown length
+constexpr double kMaxLateness = 1.5;         // x the remaining time; slower answers are dropped for a retry
+constexpr double kMaxLatenessNoRetry = 4;    // x the remaining time, where no retry is possible
 
-// Seconds until an answer is to be looked at again; 0: it is given up. `left` is how long it is of use,
-// `patience` how long the first byte of one like it may take. Where the request can't be sent again giving up
-// serves nobody, so there only what can't arrive by far ends early.
+// Seconds until the next check of an answer; 0: give it up. `remaining`: how long it is useful;
+// `first_byte_limit`: how long the first byte of such an answer may take. Where the request can't be
+// repeated, giving up helps nobody, so only what is far too slow ends early.
 inline double extension_for(const AnswerProgress& a, double remaining, double first_byte_limit,
                             bool can_repeat) {
   if (remaining <= 0) return 0;
-  // Danger: where there can be no other try, giving up early refuses what would have been answered.
+  // Without a possible retry, giving up early would refuse what would have been answered.
   if (a.arriving < 0) return can_repeat ? 0 : remaining;
   const double max_quiet = std::max(first_byte_limit, kMaxQuiet * remaining);
   if (can_repeat && a.quiet > max_quiet) return 0;
--- a/src/balancer.cpp
+++ b/src/balancer.cpp
@@ -1,6 +1,5 @@
-// All decisions of quinceusher; its interface, include/quinceusher/balancer.h, is to be read first. In order:
-// the constants, then a section a question: admit? who? healthy? which server? how long? again? and the
-// events.
+// Implements the public Balancer (include/quinceusher/balancer.h). The functions follow a request: admission,
+// subset, cold servers, server choice, timeouts, retries, then the event handlers.
 #include "quinceusher/balancer.h"
 
 #include <array>
@@ -16,69 +15,60 @@
 namespace quinceusher {
 namespace {
 
-// ---------------------------------------------------------------- constants
-
-constexpr double kMinBucket = 0.1;  // s; grain of the sliding window, a tenth of the short rate's second
-constexpr int kMinBuckets = 15;     // 1.5 s: an empty window lets this much of the limit in at once
+constexpr double kMinBucket = 0.1;  // s; grain of the sliding window: a tenth of the short rate's second
+constexpr int kMinBuckets = 15;     // 1.5 s: an empty window admits this much of the limit at once
 constexpr int kMaxBuckets = 80;     // 8 s; a longer window has larger buckets
-constexpr double kMaxWindow = 600;  // s; a copy with fewer calls than a window in that has none to count
-constexpr double kMinAcceptedCalls = 10;   // calls; so few in a window come by chance, whatever the limit
-constexpr double kTargetWindowCalls = 15;  // calls; a window holds so many where it can: fewer come by chance
-constexpr int kLastSecondBuckets = 10;     // 1000 ms, the short rate of the source
-constexpr double kHardLimitFactor = 20;  // denied calls count too: below real floods nothing is denied whole
-constexpr double kFactorCache = 0.1;     // s; as in the source
-constexpr double kInitialLimitFactor =
-    1.2;                              // x allowance; start of a limit, the first step above it being learned
-constexpr double kFloorFactor = 1.2;  // x allowance; headroom as copies do not get even parts of a tenant
-constexpr double kSparseInitialFactor =
-    4;  // x allowance; chance gives a copy with few calls several times its part
-constexpr double kSparseFloorFactor =
-    0.15;                                // x allowance; a jam in work that nothing stops must be let run off
-constexpr double kInnerFloorFactor = 6;  // x allowance past tier 0: a refusal there wastes the work above it
-constexpr double kMinFloorRate = 2;      // calls/s over all copies; least floor of a limit
-constexpr double kCrowding = 0.05;  // of the admitted calls; so many beyond their tenants' parts crowd others
-constexpr double kInTime = 0.6;     // of the aim; slower answers tell of queues before the aim is missed
-
-constexpr std::size_t kMinSubsetSize = 8;  // servers at least; enough spread, few connections
-constexpr std::size_t kMinBalancers =
-    2;  // copies that use each server, at least: few copies have large subsets
-constexpr double kRemoteWeightFactor =
-    0.25;                            // over the price: what the power's excess adds to a far server's draw
-constexpr double kZoneNoise = 2.5;   // of that power; a zone slower by a quarter may be so by chance
-constexpr double kZoneExponent = 4;  // how strongly the zones' answer times shift that part
-constexpr double kZoneSamples = 30;  // calls; a zone's measure is steadier than one server's
-constexpr double kColdBudgetFactor = 1.5;   // x its sure capacity: others run at part load, rules allow more
-constexpr double kManyColdFactor = 2;       // x the same where most of the tier is cold and answers quick
-constexpr double kColdCheckSeconds = 0.25;  // s between looks at how much of the tier is cold
-constexpr double kRateMemory = 5;           // s; smoothing of the admitted rate that sizes cold budgets
-
-constexpr double kPriorAnswers = 2;  // calls; before a server has answered so many it counts as usual by half
-constexpr double kMinLatency = 0.5;  // x the tier's answer time; a few lucky answers draw no crowd
-constexpr double kFailureLatency =
-    8;  // x the tier's answer time; a call without an answer counts as one so slow
-constexpr double kUnhealthyRatio = 3;  // x the tier's answer time, from which a server is shunned
+constexpr double kMaxWindow = 600;  // s; with fewer calls than a window in this, none can be counted
+constexpr double kMinAcceptedCalls = 10;   // per window; so few occur by chance, whatever the limit
+constexpr double kTargetWindowCalls = 15;  // per window where possible: fewer are noise
+constexpr int kLastSecondBuckets = 10;     // 1000 ms, the short rate of the source algorithm
+constexpr double kHardLimitFactor = 20;    // denied calls count too, so only a real flood is denied entirely
+constexpr double kFactorCache = 0.1;       // s; as in the source algorithm
+constexpr double kInitialLimitFactor = 1.2;  // x allowance; the first step above it is learned
+constexpr double kFloorFactor = 1.2;         // x allowance; headroom for uneven shares of a tenant's calls
+constexpr double kSparseInitialFactor = 4;   // x allowance; by chance few calls come several at a time
+constexpr double kSparseFloorFactor = 0.15;  // x allowance; a backlog that nothing else stops must drain
+constexpr double kInnerFloorFactor = 6;      // x allowance past tier 0: a refusal there wastes work
+constexpr double kMinFloorRate = 2;          // calls/s over all balancers; lowest floor of a limit
+constexpr double kCrowding = 0.05;           // of admitted calls; more beyond the shares crowd others out
+constexpr double kInTime = 0.6;  // of the aim; slower answers reveal queues before the aim is missed
+
+constexpr std::size_t kMinSubsetSize = 8;  // servers; enough spread, few connections
+constexpr std::size_t kMinBalancers = 2;   // per server; so where balancers are few, their subsets are large
+constexpr double kRemoteWeightFactor = 0.25;  // over the price: weight per excess of the ratio's power
+constexpr double kZoneNoise = 2.5;            // of that power; a zone may be a quarter slower by chance
+constexpr double kZoneExponent = 4;           // how strongly the zones' latencies shift that weight
+constexpr double kZoneSamples = 30;           // calls; a zone's mean is steadier than one server's
+constexpr double kColdBudgetFactor = 1.5;  // x sure capacity: others run at part load, the rules allow more
+constexpr double kManyColdFactor = 2;  // x the sure capacity, if most of the tier is cold and answers quickly
+constexpr double kColdCheckSeconds = 0.25;  // between checks of how much of the tier is cold
+constexpr double kRateMemory = 5;           // s; smoothing of the rates that size the budgets of cold servers
+
+constexpr double kPriorAnswers = 2;    // calls; a server with this many answers counts as half known
+constexpr double kMinLatency = 0.5;    // x the tier's latency; a few lucky answers draw no crowd
+constexpr double kFailureLatency = 8;  // x the tier's latency; what a call without an answer counts as
+constexpr double kUnhealthyRatio = 3;  // x the tier's latency; from here on a server is avoided
 
 constexpr double kDedupWindowFraction = 0.95;  // of a dedup window: the rest is for the way to the server
-constexpr double kLateDeviations = 6;          // deviations over the mean before an attempt is given up
-constexpr double kMinLateFraction = 0.05;      // of the aim; nothing is late before
-constexpr double kMaxLateAim = 60;             // s; where a class has no aim to speak of
-constexpr double kRetryBudgetRatio = 0.2;      // further attempts per first one
-constexpr double kMaxRetryBudget = 5;          // further attempts saved up at most
-constexpr double kRedialBudgetRatio =
-    1;  // the same after attempts that reached no server: nothing ran, nobody
-constexpr double kMaxRedialBudget = 20;   // was burdened
-constexpr std::size_t kMaxFullScan = 32;  // servers; so many are all looked at, of more only
-constexpr std::size_t kMaxSamples = 16;   // so many by chance,
-constexpr std::size_t kEnoughFound = 4;   // until so many are found that can be used
-constexpr double kMinBackoff = 0.5;       // s; first wait before asking for the members again, then doubled
-constexpr double kMaxBackoff = 4;  // s; all counts as told 6 s later, a call waits 2; less jams discovery
+constexpr double kLateDeviations = 6;  // standard deviations over the mean latency, then an attempt is late
+constexpr double kMinLateFraction = 0.05;  // of the aim; no attempt is late before
+constexpr double kMaxLateAim = 60;         // s; cap on the aim in that, for classes with hardly any
+constexpr double kRetryBudgetRatio = 0.2;  // retries per first attempt
+constexpr double kMaxRetryBudget = 5;      // retries saved up
+constexpr double kRedialBudgetRatio = 1;   // the same after attempts that reached no server: nothing
+constexpr double kMaxRedialBudget = 20;    // ran and nobody was burdened
+constexpr std::size_t kMaxFullScan = 32;   // servers; up to this many are all examined,
+constexpr std::size_t kMaxSamples = 16;    // of more only this many at random,
+constexpr std::size_t kEnoughFound = 4;    // until so many usable ones are found
+constexpr double kMinBackoff = 0.5;        // s; before the first retry of the watch, then doubled
+constexpr double kMaxBackoff = 4;  // s; lists count as known after 6, a call takes 2; less floods discovery
 constexpr std::uint64_t kWatchTimer = 0;
 
 constexpr double kInfinity = std::numeric_limits<double>::infinity();
 
 struct TenantState : LearnedLimit {
   TenantWindow window;
-  double window_since = 0;  // its window has held calls without a break since then
+  double window_since = 0;  // the window has held calls without a break since then
 };
 
 }  // namespace
@@ -88,7 +78,7 @@
   Impl(const Settings& settings, std::uint64_t seed)
       : settings_(settings), random_(seed), capacity_(settings.tier == 0), servers_(settings.zone) {
     validate(settings);
-    settings_.classes.emplace_back();  // what is out of range lands here: unsafe, no aim of its own
+    settings_.classes.emplace_back();  // for indexes out of range: unsafe, no aim of its own
     settings_.classes.back().give_up = settings_.classes.back().aim = kInfinity;
     for (const RequestClass& c : settings_.classes) {
       const double aim = std::min(aim_of(c), 60.0);
@@ -117,8 +107,6 @@
   }
 
  private:
-  // ---------------------------------------------------------------- admit?
-
   TenantState initial_tenant_state(const Tenant& tenant) const {
     TenantState t{{.floor = kMinFloorRate}, TenantWindow(bucket_s_, bucket_count_, kLastSecondBuckets)};
     if (tenant.allowance) {
@@ -130,7 +118,7 @@
       t.limit = std::max(t.floor, share * (sparse ? kSparseInitialFactor : kInitialLimitFactor));
       t.over_share_worth = settings_.over_share_worth;
     } else if (settings_.tenants.size() == 1 || settings_.tier > 0) {
-      t.floor = kInfinity;  // nobody to be fair to, or a refusal wastes the work above: room alone decides
+      t.floor = kInfinity;  // nobody to be fair to, or a refusal wastes work: only capacity limits
     }
     return t;
   }
@@ -144,17 +132,17 @@
     return t.window.admit(now_, parameters(), t.limit, random_);
   }
 
-  // Whether a call is of its tenant's part, by chance where there are more: the others are the first to wait.
+  // Whether a call is within its tenant's share; a random choice above it. The others are the first to wait.
   bool is_within_share(const TenantState& t) {
     const SlidingWindow::Sums sums = t.window.sums(now_);
     const double accepted = sums.total - sums.declined, share = t.share * window_s_;
     return share <= 0 || accepted <= share + std::sqrt(share) || random_.unit() * accepted < share;
   }
 
-  // Learns a tenant's limit from how its calls end.
+  // Adjusts a tenant's limit by how its calls end.
   void review(TenantState& t, bool bad) {
     if (!t.count_ended(now_, bad, capacity_.is_sparse(now_))) return;
-    // Danger: where nobody has told a part, a window that is not full yet makes a limit of next to nothing.
+    // Without a configured share, a window that is not full yet would give a limit near 0.
     if (t.share == 0 && now_ - t.window_since < window_s_) return;
     const SlidingWindow::Sums sums = t.window.sums(now_);
     const bool crowded_out = over_share_rate_.at(now_) > kCrowding * admitted_rate_.at(now_);
@@ -162,9 +150,7 @@
              crowded_out ? std::max(t.floor, t.share) : t.floor, kInitialLimitFactor);
   }
 
-  // ---------------------------------------------------------------- who is there?
-
-  // Danger: a subset of fixed size leaves servers without any caller where copies are few.
+  // The subset grows where balancers are few: a fixed size would leave servers without any caller.
   RingRange subset_on(const Ring& ring) const {
     const std::size_t index = static_cast<std::size_t>(settings_.copy_index);
     const std::size_t count = static_cast<std::size_t>(settings_.copy_count);
@@ -174,8 +160,8 @@
 
   void update_subset() {
     const Ring& all = servers_.ready_ring();
-    // Danger: with its own zone alone, a zone with more traffic than servers drowns beside an idle one. So a
-    // like part of the other zones belongs to the subset, drawn the less for its price.
+    // With its own zone alone, a zone with more traffic than servers would be overloaded beside an idle one.
+    // So a like share of the other zones belongs to the subset, at a weight reduced by the price of crossing.
     prefers_own_zone_ = settings_.cross_zone_price > 0 && servers_.own_ring().size() > 0;
     subset_[0] = subset_on(prefers_own_zone_ ? servers_.own_ring() : all);
     subset_[1] = prefers_own_zone_ ? subset_on(servers_.remote_ring()) : RingRange{};
@@ -189,9 +175,7 @@
     return i < subset_[0].size ? subset_[0].at(i) : subset_[1].at(i - subset_[0].size);
   }
 
-  // ---------------------------------------------------------------- is it healthy?
-
-  // The part of its full capacity that a server is sure to have by now.
+  // The fraction of its full capacity that a server is sure to have by now.
   double warm_fraction(const ServerRecord& s) const {
     if (s.info.started == 0 || settings_.ramp_time <= 0) return 1;
     const double age = std::max(0.0, now_ - s.started);
@@ -199,8 +183,8 @@
                     settings_.start_capacity + (1 - settings_.start_capacity) * age / settings_.ramp_time);
   }
 
-  // How much more than its sure capacity a cold server may get. Where most are cold, as after a power cut,
-  // there is nobody else to send to; it gets more once answers are quick all the same.
+  // How far a cold server may be loaded beyond its sure capacity. Where most servers are cold, as after a
+  // power cut, there are no others to use; they get more as long as answers are quick.
   double cold_budget_factor() {
     if (now_ >= next_cold_check_) {
       next_cold_check_ = now_ + kColdCheckSeconds;
@@ -214,19 +198,19 @@
     return many_cold_ && capacity_.answers_quickly(now_) ? kManyColdFactor : kColdBudgetFactor;
   }
 
-  // Calls a second. A copy that has just started has not counted for long.
+  // Calls per second, corrected for the short time that a balancer has counted after its start.
   double corrected_rate(const DecayingRate& rate) const {
     return rate.at(now_) / -std::expm1((first_list_at_ - now_ - kMinBucket) / kRateMemory);
   }
 
-  // Whether a cold server's budget at this copy has room. Danger: all copies together can push a cold server
-  // over; each spends no more than the server's part of its own traffic, scaled to what it can do so far.
+  // Whether this balancer may send a call to a cold server. All balancers together can overload one, so each
+  // spends at most the server's share of its own traffic, scaled to what the server can do so far.
   bool has_cold_budget(ServerRecord& s) {
     const double warm = warm_fraction(s);
     if (warm >= 1) return true;
-    // Danger: in an overload much is let in that finds no room; a part of that is more than a part of what
-    // can be done. Where all are cold nothing else tells how much it could be.
-    const bool in_subset = subset_[is_remote(s) ? 1 : 0].contains(s.ring_key);  // in the subset
+    // In an overload more is admitted than can be served, so the rate of sent calls counts if it is lower.
+    // Where most servers are cold, only the admitted rate tells how much that could be.
+    const bool in_subset = subset_[is_remote(s) ? 1 : 0].contains(s.ring_key);
     const double rate = in_subset && !many_cold_
                             ? std::min(corrected_rate(admitted_rate_), corrected_rate(sent_rate_))
                             : corrected_rate(admitted_rate_);
@@ -238,22 +222,20 @@
     return s.cold_tokens >= 1;
   }
 
-  // ---------------------------------------------------------------- which server?
-
-  // How much of the traffic a server should get: its size and what it is worth now.
+  // The server's share of the traffic: its size, scaled by its present state.
   double effective_weight(const ServerRecord& s, double latency) const {
     return (is_remote(s) ? remote_weight_ : 1) * s.info.weight *
            std::min(1.0, warm_fraction(s) * (many_cold_ ? kManyColdFactor : kColdBudgetFactor)) *
            s.health.ramp(now_) / (latency * latency);
   }
 
-  // A class without an aim is wanted until its clients give up.
+  // A class without an aim is useful until its clients give up.
   static double aim_of(const RequestClass& c) { return c.aim > 0 ? c.aim : std::max(c.give_up, 1e-3); }
 
   bool is_remote(const ServerRecord& s) const { return prefers_own_zone_ && s.info.zone != settings_.zone; }
 
-  // Answer time in comparison with the tier's. Calls still out count for as long as they have been: a server
-  // that is silent or crowded shows before its calls end. Danger: few answers tell little, old ones nothing.
+  // Latency relative to the tier's. Calls in flight count with their age, so that a silent or crowded server
+  // shows before they end. Few answers count for little, and old ones fade.
   double relative_latency(const ServerRecord& s) const {
     const double open_time =
         (s.in_flight * now_ - s.send_time_sum) / (capacity_.aim() * capacity_.typical_latency());
@@ -261,7 +243,7 @@
     return std::max((kPriorAnswers + recent.sum + open_time) / (kPriorAnswers + recent.weight), kMinLatency);
   }
 
-  // Whether a request may go on to a group of servers alone.
+  // Whether only a group of servers, which drop each other's repeats, may get the request.
   bool needs_dedup_group(const Pending& p) const {
     return settings_.classes[p.request_class].effect == Effect::kKeyed && p.may_have_run();
   }
@@ -275,7 +257,7 @@
     });
   }
 
-  // Seconds in which it must be with a server: from then on what may have run before would run again.
+  // Seconds within which the request must reach a server: later, what may have run would run again.
   double seconds_to_send(const Pending& p) const {
     const RequestClass& c = settings_.classes[p.request_class];
     const double window = c.effect == Effect::kKeyed ? c.dedup_window * kDedupWindowFraction : -kInfinity;
@@ -292,8 +274,8 @@
     return in_dedup_scope(p, s) && has_cold_budget(s);
   }
 
-  // Gathers servers that may be used, out of `size` that `at` numbers: of a few all, of many a sample.
-  // Returns whether half of those looked at may be.
+  // Collects usable servers of the `size` that `at` yields, of many a sample; returns whether half were
+  // usable.
   template <class At>
   bool collect(std::size_t size, At&& at, const Pending& p, bool only_healthy, bool only_untried) {
     candidates_.clear();
@@ -305,7 +287,7 @@
       candidates_.add(slot, effective_weight(s, latency));
     };
     std::size_t seen = 0;
-    // What may be repeated within a group alone would hardly be found by chance.
+    // A random sample would hardly find a server of a dedup group.
     if (size <= kMaxFullScan || needs_dedup_group(p)) {
       for (; seen < size; ++seen) visit(at(seen));
     } else {
@@ -314,7 +296,7 @@
     return candidates_.size() * 2 >= seen;
   }
 
-  // All servers stand in: where they are many, those that are not left out, for they may be few among many.
+  // Fallback to the whole tier. In a large one only servers that are not ejected, as these may be rare.
   bool collect_all(const Pending& p, bool only_healthy, bool only_untried) {
     const Ring& ring = servers_.ready_ring();
     const auto& healthy = servers_.healthy();
@@ -324,20 +306,19 @@
     return !candidates_.empty();
   }
 
-  // How the zones' answer times shift what a far server gets.
+  // Adapts the weight of servers in other zones to the zones' latencies. One not tried lately counts as idle.
   void update_remote_weight() {
     if (!prefers_own_zone_) return;
     const DecayingMean::Sum own = own_latency_.at(now_), remote = remote_latency_.at(now_);
     const double best =
-        capacity_.idle_latency() /
-        std::max(capacity_.mean_latency(), capacity_.idle_latency());  // of zones not tried lately
+        capacity_.idle_latency() / std::max(capacity_.mean_latency(), capacity_.idle_latency());
     const double ratio = (own.sum + 1) * (remote.weight + 1) / ((remote.sum + best) * (own.weight + 1));
     remote_weight_ = kRemoteWeightFactor * std::max(0.0, std::pow(ratio, kZoneExponent) - kZoneNoise) /
                      settings_.cross_zone_price;
   }
 
-  // The less busy of two random members of the subset. Where the subset has too few that are well, all
-  // servers stand in; where none is well the cause is shared and health does not count.
+  // Power of two choices within the subset. Where too few members are healthy, the whole tier serves instead;
+  // where none is, the cause is shared and health is ignored.
   std::optional<std::size_t> pick_server(const Pending& p) {
     const double size = static_cast<double>(subset_size());
     if (!capacity_.fits_tier(now_, aim_of(settings_.classes[p.request_class]), p.within_share, size,
@@ -349,13 +330,13 @@
                        collect_all(p, true, true) || collect_all(p, false, true) ||
                        collect_all(p, false, false);
     if (!found) return std::nullopt;
-    // Danger: a copy with nothing in flight would always take the larger of two; so size counts in the draw.
+    // Size counts in the draw: with nothing in flight the larger of two would always win a comparison.
     const auto [a, weight_a] = candidates_.draw(random_);
     const auto [b, weight_b] = candidates_.draw(random_);
     return servers_[b].in_flight * weight_a < servers_[a].in_flight * weight_b ? b : a;
   }
 
-  // Whether all are left out, but for the few that never are, and those are shunned.
+  // Whether all servers are ejected, except the few that never are, and those are avoided.
   bool none_healthy() const {
     const auto& healthy = servers_.healthy();
     return healthy.size() <= kHealthyDivisor &&
@@ -363,7 +344,7 @@
                        [this](std::size_t slot) { return servers_[slot].health.avoided; });
   }
 
-  // A server that is left out and due to be tried, for a first attempt or where no other is well.
+  // An ejected server that is due for a probe, for a first attempt or where no server is healthy.
   std::optional<std::size_t> probe(const Pending& p) {
     if (!p.attempts.empty() && !none_healthy()) return std::nullopt;
     const bool repeatable = settings_.classes[p.request_class].effect != Effect::kUnsafe;
@@ -376,10 +357,8 @@
     return outliers_.probe(repeatable, none_healthy(), now_, find, allowed);
   }
 
-  // ---------------------------------------------------------------- how long?
-
-  // From here on an attempt is clearly late. Danger: quick servers and a busy moment of this process make a
-  // thousand attempts late at once, and each of them work that is done twice.
+  // Seconds after which an attempt is clearly late. Not too soon: with quick servers, a busy moment of this
+  // process makes a thousand attempts late at once, and each retry is work done twice.
   double late_after(const Pending& p) const {
     const RunningEstimate& latency = latency_[p.request_class];
     const double min_late = kMinLateFraction * std::min(settings_.classes[p.request_class].aim, kMaxLateAim);
@@ -391,28 +370,24 @@
            attempts < static_cast<std::size_t>(settings_.max_attempts);
   }
 
-  // An attempt may run until the answer is worthless, or until it is clearly late while another can follow.
+  // An attempt may run while its answer is useful, or until it is clearly late while another can follow.
   double timeout(const Pending& p) const {
     const double remaining = p.useful_until - now_, late = late_after(p);
     const bool time_for_another = remaining - late > latency_[p.request_class].mean;
     return can_repeat(p, p.attempts.size() + 1) && time_for_another ? late : remaining;
   }
 
-  // ---------------------------------------------------------------- again?
-
   bool may_retry(const Pending& p) const {
     return !p.streaming && p.attempts.size() < static_cast<std::size_t>(settings_.max_attempts) &&
            (p.nothing_ran ? redial_tokens_ : retry_tokens_) >= 1 &&
            p.useful_until - now_ > latency_[p.request_class].mean / 2;
   }
 
-  // A refusal promises that a repeat is harmless, whenever it comes: servers drop repeats for a while only.
+  // A refusal promises that a repeat is harmless at any time, while servers drop repeats only for a time.
   bool may_refuse(const Pending& p) const {
     return settings_.classes[p.request_class].effect == Effect::kSafe || !p.may_have_run();
   }
 
-  // ---------------------------------------------------------------- doing it
-
   bool send(const std::string& id, Pending& p) {
     const double limit = timeout(p), within = seconds_to_send(p);
     if (limit <= 0 || within <= 0) return false;
@@ -454,8 +429,6 @@
     }
   }
 
-  // ---------------------------------------------------------------- events
-
   void on(const Started&) {
     if (settings_.must_watch) actions_->push_back(WatchMembers{});
   }
@@ -480,7 +453,7 @@
     const double useful = c.late_worth > 0 ? r.time_left : std::min(r.time_left, aim - 2 * settings_.tick);
     p.useful_until = now_ + useful;
     if (send(r.id, p)) return;
-    // Danger: a limit that nobody has told would drop by refusals that are this copy's own.
+    // A limit without a configured share would drop by refusals that are this balancer's own.
     if (!capacity_.is_sparse(now_) && useful > 0 && tenants_[tenant].share > 0)
       review(tenants_[tenant], true);
     count_shed(shedding_.unplaced);
@@ -502,7 +475,7 @@
     const double aim = aim_of(settings_.classes[p.request_class]), lateness = r.elapsed / aim;
     capacity_.on_ended(now_, r.outcome, a.sent_at, r.elapsed, lateness);
     p.nothing_ran = r.outcome == Outcome::kDialFailed || r.outcome == Outcome::kRejected;
-    // Danger: what the process before has lost would be held against the one that took its place.
+    // Losses of an earlier process must not count against its successor at the same address.
     if (a.started == s.info.started) learn_from(p, a, s, r, lateness);
     if (r.request_done && !p.finished) {
       p.finished = true;
@@ -534,7 +507,7 @@
     }
     update_health(a, s, r.outcome);
     const bool bad = !answered || lateness > std::max(kInTime, kUnhealthyRatio * capacity_.idle_latency());
-    // One sick server is no reason to cut a tenant; a connect that failed counts once no other came about.
+    // One unhealthy server is no reason to cut a tenant; a failed connect counts once no other succeeded.
     if (r.outcome != Outcome::kDialFailed && (was_healthy || !bad)) review(tenants_[p.tenant], bad);
   }
 
@@ -546,7 +519,7 @@
         servers_.ready_ring().size(), random_);
     if (change == OutlierDetector::Change::kNone) return;
     servers_.update_health(a.server);
-    // What was seen of it before says nothing any more; the ramp guards against a relapse.
+    // Earlier measurements no longer apply; the ramp guards against a relapse.
     if (change == OutlierDetector::Change::kRestored) s.latency = DecayingMean(kLatencyMemory, kMaxAnswers);
     count_shed(change == OutlierDetector::Change::kEjected ? shedding_.ejected : shedding_.restored);
   }
@@ -587,10 +560,10 @@
     const bool full = update.form == MembershipUpdate::Form::kFull;
     if (full) servers_.begin_full_list();
     for (const Server& server : update.servers) servers_.apply(server, now_, random_);
-    if (full) servers_.end_full_list();  // what a full list lacks is gone
+    if (full) servers_.end_full_list();
     servers_.commit();
     update_subset();
-    // Danger: where others are gone, the last cold one is sent all their traffic as its usual part.
+    // Where others are gone, the last cold server would get all their traffic as its usual share.
     const double weight = servers_.ready_weight();
     if (weight >= recent_max_weight_ || now_ - recent_max_at_ > settings_.ramp_time) {
       recent_max_weight_ = weight;
@@ -599,7 +572,7 @@
     first_list_at_ = std::min(first_list_at_, now_);
   }
 
-  // The subset goes by the copies that are there, allowances and what was learned by those that share them.
+  // The subset follows the number of balancers; allowances and learned limits follow their sharers.
   void on(const BalancersChanged& c) {
     if (c.index < 0 || c.index >= c.count || !(c.sharers >= 1)) return;
     settings_.copy_index = c.index;
@@ -618,31 +591,30 @@
   double now_ = 0;
   std::vector<Action>* actions_ = nullptr;
   std::vector<TenantState> tenants_;
-  double allowed_rate_ = 0;  // calls/s within the allowances that this copy may expect
+  double allowed_rate_ = 0;  // calls/s within the allowances that this balancer may expect
   double bucket_s_ = kMinBucket, window_s_ = kMinBucket * kMinBuckets;
   int bucket_count_ = kMinBuckets;
   CapacityEstimator capacity_;
   std::vector<RunningEstimate> latency_;  // by class
   ServerTable servers_;
   OutlierDetector outliers_;
-  std::array<RingRange, 2> subset_;  // of the copy's own zone or of all, and of the other zones
-  WeightedChoice candidates_;        // servers to choose from, with their worth now
+  std::array<RingRange, 2> subset_;  // of the own zone or of all servers, and of the other zones
+  WeightedChoice candidates_;        // usable servers with their effective weights
   bool prefers_own_zone_ = false;    // calls to other zones cost more
-  DecayingMean own_latency_{kLatencyMemory, kZoneSamples},
-      remote_latency_{kLatencyMemory, kZoneSamples};  // answer times
+  DecayingMean own_latency_{kLatencyMemory, kZoneSamples}, remote_latency_{kLatencyMemory, kZoneSamples};
   double remote_weight_ = 0;
-  double server_sharers_ = 1;                        // copies that use the same server
-  double allowance_sharers_ = settings_.copy_count;  // allowances
-  double subset_scale_ = 1;                          // servers for each one of the subset
+  double server_sharers_ = 1;                        // balancers that use the same server
+  double allowance_sharers_ = settings_.copy_count;  // balancers that split the allowances
+  double subset_scale_ = 1;                          // ready servers for each member of the subset
   DecayingRate admitted_rate_{kRateMemory}, over_share_rate_{kRateMemory}, sent_rate_{kRateMemory};
   double next_cold_check_ = -kInfinity;
-  double first_list_at_ = kInfinity;                           // when the first list came
-  double recent_max_weight_ = 0, recent_max_at_ = -kInfinity;  // the most that was ready, of late
-  bool many_cold_ = false;                                     // most of the tier
+  double first_list_at_ = kInfinity;
+  double recent_max_weight_ = 0, recent_max_at_ = -kInfinity;  // the largest ready weight of late
+  bool many_cold_ = false;                                     // by weight, of the tier
   double retry_tokens_ = kMaxRetryBudget, redial_tokens_ = kMaxRedialBudget;
   double backoff_ = kMinBackoff;
   SheddingLog shedding_;
-  std::unordered_map<std::string, Pending> pending_;  // looked up, never walked: order would not be stable
+  std::unordered_map<std::string, Pending> pending_;  // only looked up: its order of iteration is not stable
 };
 
 Balancer::Balancer(const Settings& s, std::uint64_t seed) : impl_(std::make_unique<Impl>(s, seed)) {}
--- a/src/outlier_detector.h
+++ b/src/outlier_detector.h
@@ -1,7 +1,6 @@
-// Which servers are left out for a while: those that refuse connections, never come up, or break off what
-// they are sent. Nothing here picks a server; the pick asks it.
-//
-// Times here are on the scale on which processes die and come back, not on that of answers.
+// Outlier ejection: servers that refuse connections, never come up or break off calls get no calls for a
+// while. It does not choose servers; the choice consults it.
+// Its times are on the scale on which processes die and restart, not on that of answers.
 #pragma once
 
 #include <algorithm>
@@ -15,37 +14,36 @@
 
 namespace quinceusher {
 
-constexpr int kMaxConnectFailures = 3;  // connects in a row that fail; 1 where the server has never answered
-constexpr int kMaxUnanswered = 6;       // calls in a row without an answer
-constexpr int kMaxRejections = 4;       // calls in a row that are turned away: full, or it drains
-constexpr double kMinProbeBackoff = 0.25;  // s before the first probe, doubled by each that fails
-constexpr double kMaxProbeBackoff = 2;     // s; a server that is back has its share within twice that
-constexpr double kRelapse = 10;            // s; who is left out again so soon goes on with the longer pause
-constexpr double kRampSeconds = 2;  // s from the first answer of a server that is back to its full share
-constexpr double kRampStart = 0.1;  // of its share, at the start of that
-constexpr double kProbeBudgetRatio = 0.1;    // of the requests may be probes
-constexpr double kMaxProbeBudget = 3;        // probes saved up at most
-constexpr std::size_t kMaxSkipped = 8;       // servers that one request may pass over to find one it may try
-constexpr double kSharedRatio = 0.5;         // of all calls without an answer: the cause is not one server's
-constexpr std::size_t kHealthyDivisor = 4;   // one of so many stays in, whatever breaks
-constexpr double kFailureRatioGain = 0.05;   // weight of one call in that
-constexpr double kLastResortSeconds = 0.05;  // s between probes where no server is well
-constexpr double kNoRepeatableSeconds = 5;   // s without a request that may be repeated
-constexpr double kUnsafeProbeSeconds =
-    10;  // s past its pause; nobody else has found out: an unsafe request must
+constexpr int kMaxConnectFailures = 3;      // in a row; 1 where the server has never answered
+constexpr int kMaxUnanswered = 6;           // calls in a row without an answer
+constexpr int kMaxRejections = 4;           // calls in a row turned away: the server is full or drains
+constexpr double kMinProbeBackoff = 0.25;   // s before the first probe, doubled by each that fails
+constexpr double kMaxProbeBackoff = 2;      // s; a server that is back has its share within twice that
+constexpr double kRelapse = 10;             // s; one that is ejected again so soon keeps its longer backoff
+constexpr double kRampSeconds = 2;          // from the first answer of a restored server to its full share
+constexpr double kRampStart = 0.1;          // of its share, at the start of that
+constexpr double kProbeBudgetRatio = 0.1;   // probes per request
+constexpr double kMaxProbeBudget = 3;       // probes saved up
+constexpr std::size_t kMaxSkipped = 8;      // servers that one request may skip to find one that it may probe
+constexpr double kSharedRatio = 0.5;        // of all calls failing: the cause is not one server's
+constexpr std::size_t kHealthyDivisor = 4;  // one in so many servers is never ejected for failed calls
+constexpr double kFailureRatioGain = 0.05;  // weight of one call in that ratio
+constexpr double kLastResortSeconds = 0.05;  // between probes where no server is healthy
+constexpr double kNoRepeatableSeconds = 5;   // without a repeatable request
+constexpr double kUnsafeProbeSeconds = 10;   // overdue; no other request has found out: an unsafe one must
 
-// What a copy holds of one server.
+// Health of one server as a balancer sees it.
 struct ServerHealth {
   int connect_failures = 0, unanswered = 0, rejections = 0;  // in a row
   bool answered_ever = false;
   bool ejected = false;
-  bool avoided = false;  // not out, but shunned for what it has lost
+  bool avoided = false;  // not ejected, but unhealthy for what it has lost
   bool probing = false;
-  bool fails_unrun = false;  // why it is out: nothing that was sent can have run
+  bool fails_unrun = false;  // ejected for a cause by which nothing that was sent can have run
   double ejected_at = 0, next_probe_at = 0, backoff = 0, probed_at = 0;
   double restored_at = -std::numeric_limits<double>::infinity();
 
-  // The part of its share that it gets.
+  // The fraction of its share that a restored server gets.
   double ramp(double now) const {
     return now - restored_at >= kRampSeconds ? 1 : std::max(kRampStart, (now - restored_at) / kRampSeconds);
   }
@@ -55,9 +53,9 @@
  public:
   enum class Change { kNone, kEjected, kRestored };
 
-  // An attempt has ended. `ill` tells whether the pick shuns the server now; `others`, how many servers that
-  // are well would remain, of how many in all.
-  // Danger: where the cause is shared, each server alone looks ill, and the rest drown.
+  // Records the end of an attempt. `unhealthy`: whether the choice avoids the server now; `others`: how many
+  // healthy servers would remain, of `all`. Where the cause is shared each server alone looks unhealthy, and
+  // ejecting them would overload the rest.
   Change on_attempt_ended(std::size_t slot, ServerHealth& s, Outcome outcome, double sent_at, double now,
                           bool unhealthy, std::size_t others, std::size_t all, Random& random) {
     if (outcome == Outcome::kCancelled || outcome == Outcome::kNotSent) {
@@ -71,7 +69,7 @@
       failure_ratio_ += kFailureRatioGain * ((failed ? 1 : 0) - failure_ratio_);
       rejection_ratio_ += kFailureRatioGain * ((outcome == Outcome::kRejected ? 1 : 0) - rejection_ratio_);
     }
-    // What was sent before it was left out tells nothing of how it is now.
+    // What was sent before the ejection tells nothing of the server now.
     if (s.ejected && sent_at < s.ejected_at) return Change::kNone;
     s.connect_failures = connect_failed ? s.connect_failures + 1 : 0;
     s.unanswered = failed ? s.unanswered + 1 : answered ? 0 : s.unanswered;
@@ -105,14 +103,11 @@
     return Change::kEjected;
   }
 
-  // A request has come: whether a server that is left out is due to be tried with it, and which.
-  // Danger: a request that must not run twice is lost on a server that takes it and breaks. So it is never
-  // the first to go there, unless what is wrong there is that nothing can be sent at all, or no other request
-  // comes that could find out.
-  //
-  // `none`: no server is well. Then one is tried again and again, for there is nothing to lose by it.
-  // `find` gives a slot's standing, or null where nobody is there; `may` tells whether this request may go to
-  // it.
+  // Returns a server that is due for a probe and may be probed with this request. A request that must not run
+  // twice is lost on a server that accepts and breaks it, so it is a probe only where nothing can be sent
+  // there at all, or where no other request comes that could find out.
+  // `none_healthy`: one server after another is probed, as nothing can be lost. `find` yields a slot's
+  // health, or null; `allowed` tells whether this request may go to it.
   template <class Find, class May>
   std::optional<std::size_t> probe(bool repeatable, bool none_healthy, double now, Find&& find,
                                    May&& allowed) {
@@ -154,8 +149,8 @@
            (only_unsafe && now - s.next_probe_at > kUnsafeProbeSeconds);
   }
 
-  // Who is shunned is tried now and then, or it is known only much later that it answers again. Until enough
-  // of its answers tell so it stays shunned: a server that loses every other call does not come back by one.
+  // An avoided server is probed now and then, or its recovery would show much later. It stays avoided until
+  // enough answers show that: one that loses every other call does not return by one.
   void update_avoided(std::size_t slot, ServerHealth& s, bool failed, bool unhealthy, double now,
                       Random& random) {
     if (!unhealthy) {
--- a/src/ring.h
+++ b/src/ring.h
@@ -1,4 +1,4 @@
-// The order in which servers stand; nothing here decides.
+// Servers in hash order; a balancer's subset is a range of this order.
 #pragma once
 
 #include <algorithm>
@@ -9,8 +9,8 @@
 
 namespace quinceusher {
 
-// Servers in the order of their hashes, which is the same at every copy. Changes are gathered and take
-// effect together: a few by moving what stands behind them, many by one merge.
+// Servers sorted by the hash of their names, which is the same at every balancer. Changes are collected and
+// applied by commit(): a few one by one, many by one merge.
 class Ring {
  public:
   std::size_t size() const { return entries_.size(); }
@@ -46,11 +46,11 @@
 
  private:
   using Entry = std::pair<std::uint64_t, std::size_t>;
-  static constexpr std::size_t kMaxSingleChanges = 8;
+  static constexpr std::size_t kMaxSingleChanges = 8;  // more are merged at once
   std::vector<Entry> entries_, added_, removed_;
 };
 
-// A part of a ring, from a start on and round its end.
+// A range of a ring that may wrap around its end.
 struct RingRange {
   const Ring* ring = nullptr;
   std::size_t start = 0, size = 0;
@@ -64,7 +64,7 @@
     if (ring == nullptr || size == 0) return false;
     if (size == ring->size()) return true;
     const std::uint64_t first = ring->key_at(position(0)), last = ring->key_at(position(size - 1));
-    return key - first <= last - first;  // orders wrap as the ring does
+    return key - first <= last - first;  // keys wrap as the ring does
   }
 };
 
--- a/src/routing/quota.cpp
+++ b/src/routing/quota.cpp
@@ -6,25 +6,24 @@
 namespace nettlestand::tier {
 namespace {
 
-constexpr double kHoldSeconds = 0.4;     // a node holds tokens for so long at its present rate
+constexpr double kHoldSeconds = 0.4;     // of its present rate, in tokens that a node holds,
 constexpr double kMinHeldTokens = 2;     // and so many at least
-constexpr double kMaxHeldSeconds = 0.1;  // of the tenant's whole rate: what a node holds, others may need
-constexpr double kHeldShare = 0.6;       // of what is spare in a window: nodes hold no more together,
-constexpr double kMaxHeldShare = 0.9;    // or this much, where it is one token each
+constexpr double kMaxHeldSeconds = 0.1;  // of the tenant's whole rate: others may need what a node holds
+constexpr double kHeldShare = 0.6;       // of the spare tokens of a window: all nodes together hold no more,
+constexpr double kMaxHeldShare = 0.9;    // or so much, if that is one token each
 constexpr std::size_t kMaxWaiting = 4;
-constexpr double kMinMeasureSeconds = 0.2;  // least span for a rate: polls of need come closer together
-constexpr double kRateSmoothing = 0.5;      // weight of the newest measure
-constexpr Millis kExhaustedMs = 120;        // a tenant at its limit is denied at once for so long
-constexpr double kDepthShare = 0.75;        // of what the bounds leave for a bucket's depth
-constexpr double kSuccessorShare =
-    0.1;  // of the depth that a succeeding owner starts with: two fit in a window
-constexpr double kRefillFactor = 1.04;  // x the rate: what is owed to a tenant is never short of rounding
-constexpr double kTypicalHeldSeconds = 0.3;  // of the rate that nodes hold together at most times
+constexpr double kMinMeasureSeconds = 0.2;   // urgent polls come closer together
+constexpr double kRateSmoothing = 0.5;       // weight of the newest measurement
+constexpr Millis kExhaustedMs = 120;         // how long a tenant at its limit is denied at once
+constexpr double kDepthShare = 0.75;         // of what the bounds leave for a bucket's depth
+constexpr double kSuccessorShare = 0.1;      // of the depth, for a successor: two owners fit in a window
+constexpr double kRefillFactor = 1.04;       // x the rate: rounding must not cost a tenant any of it
+constexpr double kTypicalHeldSeconds = 0.3;  // of the rate, which nodes usually hold together
 constexpr double kFallbackDepthSeconds = 0.5;
 
 constexpr Millis kMinPollMs = 250;
 constexpr Millis kPollMsPerEdge = 10;
-constexpr Millis kMaxPollMs = 900;    // several polls have to fit into a node's lease
+constexpr Millis kMaxPollMs = 900;    // several polls must fit into a node's lease
 constexpr Millis kFallbackPolls = 3;  // so many without an answer
 constexpr Millis kMissingMarginMs = 150;
 
@@ -117,7 +116,7 @@
       held.measured_at = now;
       held.requests_seen = 0;
     }
-    // Requests that wait take theirs at once, and so hold nothing.
+    // Waiting requests use their tokens at once, so these are not held.
     const double unused = std::min(std::ceil(held.rate * kHoldSeconds + kMinHeldTokens), held.max_unused);
     const double target = unused + static_cast<double>(std::min(held.waiting, kMaxWaiting));
     held.waiting = 0;
--- a/src/routing/quota.h
+++ b/src/routing/quota.h
@@ -1,9 +1,8 @@
-// Tenants' quotas, leased from one owner to the nodes by demand. Both halves decide only.
+// Tenant quotas: one owner leases tokens to the nodes by demand. Both sides only decide; they do no I/O.
 //
-// The owner refills a bucket for each tenant and grants tokens against the nodes' requests; a request that
-// runs costs the node one token. What a node holds beyond its need goes back with its next poll. A node that
-// the owner does not hear may fall back on a fixed part of the rate, so the owner sets that part aside
-// meanwhile.
+// The owner refills a bucket for each tenant and grants tokens at the nodes' requests; a request that runs
+// costs its node one token. A node returns tokens beyond its need with its next poll. A node that the owner
+// does not hear may fall back on a fixed share of the rate, so the owner sets that share aside meanwhile.
 #pragma once
 
 #include <map>
@@ -15,30 +14,32 @@
 
 namespace nettlestand::tier {
 
-// A node falls back on its fixed part after this long without an answer of the owner.
+// How long without an answer of the owner until a node falls back on its fixed share.
 Millis quota_fallback_ms(std::size_t edges);
-// The owner counts a node as out of touch after this long, which is sooner.
+// How long until the owner counts a silent node as out of touch, which is sooner.
 Millis quota_missing_ms(std::size_t edges);
-// How often an edge node asks: with many nodes each asks less often.
+// Interval of an edge node's polls: with more nodes each polls less often.
 Millis edge_poll_ms(std::size_t edges);
 
+// Bounds on the requests of a tenant in any window: (rate x window + burst) x (1 + overage) + slack.
 struct QuotaBounds {
   double window_s = 5;
   double overage = 0.1;
   double slack = 20;
 
-  // What a window allows beyond the steady rate, as tokens are refilled.
+  // Tokens that a window allows beyond the steady rate at which they are refilled.
   double spare_tokens(const Tenant& tenant) const;
-  // How many of a tenant's tokens one of so many nodes may hold unused: a sudden flood uses all of them at
-  // once, so together they have to fit into what is spare. 0: a node asks for each request.
+  // How many unused tokens of a tenant each of `nodes` may hold: a sudden flood uses all of them at once, so
+  // together they must fit into the spare tokens. 0: a node asks for each request.
   double max_held(const Tenant& tenant, std::size_t nodes) const;
 };
 
+// The owner's side: buckets that are refilled, and grants.
 class QuotaOwner {
  public:
-  // `succeeds`: another owner may have granted tokens just before, so that the buckets start nearly empty.
+  // `is_successor`: another owner may have granted tokens just before, so the buckets start nearly empty.
   QuotaOwner(QuotaBounds bounds, bool is_successor) : bounds_(bounds), is_successor_(is_successor) {}
-  // `reachable`: the part of the nodes, 0 to 1, that the owner hears.
+  // `reachable`: fraction of the nodes, 0 to 1, that the owner hears.
   std::vector<TokenGrant> grant(Millis now, const Configuration& configuration, double reachable,
                                 std::size_t nodes, const std::vector<TokenRequest>& requests);
 
@@ -53,25 +54,26 @@
   std::map<std::string, Bucket> buckets_;
 };
 
+// A node's side: the tokens that it holds, and what it asks for.
 class QuotaLease {
  public:
   enum class Result { kTaken, kWait, kDenied };
   explicit QuotaLease(QuotaBounds bounds = {}) : bounds_(bounds) {}
-  // kWait: a grant may come within moments.
+  // Takes a token for a request. kWait: a grant may come within moments.
   Result acquire(Millis now, const Tenant& tenant);
-  // What to ask for, and to give back, with the next poll.
+  // What to request and to return with the next poll.
   std::vector<TokenRequest> requests(Millis now);
-  // `asked_at`: when the poll was sent that is answered. A grant that comes so late that this node has fallen
-  // back on its fixed part meanwhile is passed over: the owner has counted it as used.
+  // Takes over the answer to a poll that was sent at `asked_at`. A grant that is so late that the node has
+  // fallen back on its fixed share meanwhile is dropped: the owner has counted that share as used.
   void on_grants(Millis now, Millis asked_at, const std::vector<TokenGrant>& grants, std::size_t edges);
-  // Whether a tenant ran out of tokens that a poll may bring.
+  // Whether a tenant ran out of tokens, so that a poll should not wait.
   bool is_urgent() const { return urgent_; }
 
  private:
   struct HeldTokens {
     double tokens = 0;
     double rate = 0;                // requests per second, smoothed
-    double max_unused = 0;          // that this node may hold unused
+    double max_unused = 0;          // that this node may hold
     std::size_t requests_seen = 0;  // since the last request for tokens
     std::size_t waiting = 0;
     Millis measured_at = 0;
--- a/src/server_table.h
+++ b/src/server_table.h
@@ -1,5 +1,4 @@
-// Who is there: the servers that a copy has been told of, and what it has seen of each. A change in the list
-// costs by what has changed, not by how many servers there are.
+// The servers that a balancer knows, and what it measured of each. Changes cost by their number.
 #pragma once
 
 #include <algorithm>
@@ -15,29 +14,29 @@
 
 namespace quinceusher {
 
-constexpr double kLatencyMemory = 8;  // s; older answers tell nothing: a shunned server is tried again
-constexpr double kMaxAnswers = 4;     // calls; more would hide a change from a copy with many calls
+constexpr double kLatencyMemory = 8;  // s; older answers fade, so that an avoided server is tried again
+constexpr double kMaxAnswers = 4;     // calls; more would hide a change from a balancer with many calls
 
+// One server as listed and as measured.
 struct ServerRecord {
   Server info;
-  double started = 0;  // when it started as far as this copy's clock goes: clocks may differ
+  double started = 0;  // start time, capped by this balancer's clock: clocks may differ
   std::uint64_t ring_key = 0;
-  int in_flight = 0;    // at this process
-  int outstanding = 0;  // the same, and what is still out at processes before it
+  int in_flight = 0;    // at the present process
+  int outstanding = 0;  // in flight there and at earlier processes
   double cold_tokens = 0, cold_tokens_at = 0;
   ThroughputMeter meter;
-  DecayingMean latency{kLatencyMemory, kMaxAnswers};  // answer times, in the tier's usual ones
+  DecayingMean latency{kLatencyMemory, kMaxAnswers};  // relative to the tier's
   ServerHealth health;
-  double send_time_sum = 0;  // send times of the calls in flight, added up
-  double rounding = 0;
-  std::uint64_t last_list = 0,
-                listed_in_batch = 0;  // the full list that named it last; when it was listed
-  bool listed = false;                // in the ring: told to be ready
-  std::size_t healthy_index = static_cast<std::size_t>(-1);  // its place among those that are well
+  double send_time_sum = 0;  // over the calls in flight
+  double rounding = 0;       // random part of a call, against synchronous decisions of many balancers
+  std::uint64_t last_list = 0, listed_in_batch = 0;
+  bool listed = false;  // in the rings: ready
+  std::size_t healthy_index = static_cast<std::size_t>(-1);
 };
 
-// Each server has a slot for as long as it is there or has calls in flight. Danger: where servers are
-// replaced all day, slots that are never used again, and what was seen of those servers, grow without end.
+// Each server has a slot while it is listed or has calls in flight. Slots are reused: where servers are
+// replaced all day, the table would otherwise grow without end.
 class ServerTable {
  public:
   explicit ServerTable(int own_zone) : own_zone_(own_zone) {}
@@ -46,12 +45,13 @@
   ServerRecord& operator[](std::size_t slot) { return slots_[slot]; }
   const ServerRecord& operator[](std::size_t slot) const { return slots_[slot]; }
 
-  const Ring& ready_ring() const { return ready_; }   // all that are ready
-  const Ring& own_ring() const { return own_ring_; }  // of these, the ones in the copy's own zone
+  const Ring& ready_ring() const { return ready_; }
+  const Ring& own_ring() const { return own_ring_; }  // ready servers in the own zone
   const Ring& remote_ring() const { return remote_ring_; }
-  const std::vector<std::size_t>& healthy() const { return healthy_; }  // ready and not left out, in no order
+  const std::vector<std::size_t>& healthy() const { return healthy_; }  // ready and not ejected, in no order
   double ready_weight() const { return ready_weight_; }
 
+  // Takes over one entry of a list; takes effect with commit().
   void apply(const Server& server, double now, Random& random) {
     const auto [it, is_new] = by_address_.try_emplace(server.address, next_slot());
     if (is_new) {
@@ -64,16 +64,16 @@
     const std::size_t slot = it->second;
     const bool ready = server.state == ServerState::kReady;
     ServerRecord& s = slots_[slot];
-    // Another process, another zone, or a drain that is over: it starts anew.
+    // A new process, a new zone or the end of a drain starts the server anew.
     if (s.listed && (!ready || server.zone != s.info.zone || server.started != s.info.started)) unlist(slot);
     if (is_new || server.started != s.info.started) {
-      ServerRecord fresh;  // another process: what the last one did says nothing
+      ServerRecord fresh;  // a new process: measurements of the last one do not apply
       fresh.ring_key = hash_of(server.address);
       fresh.outstanding = s.outstanding;
       fresh.started = std::min(server.started, now);
       fresh.cold_tokens_at = now;
       fresh.rounding = random.unit();
-      fresh.cold_tokens = random.unit();  // copies hear of a start together and must not send together
+      fresh.cold_tokens = random.unit();  // balancers hear of a start together but must not send together
       s = fresh;
     }
     if (s.listed) ready_weight_ -= s.info.weight;
@@ -85,7 +85,7 @@
     if (server.state == ServerState::kGone) gone_.push_back(slot);
   }
 
-  // A full list begins: what it does not name until it ends is gone.
+  // Between these two calls all servers of a full list are applied; the others are gone.
   void begin_full_list() { ++full_list_; }
   void end_full_list() {
     for (std::size_t slot = 0; slot < slots_.size(); ++slot) {
@@ -97,7 +97,7 @@
     }
   }
 
-  // What has been told takes effect, and those that are gone and have nothing in flight lose their slots.
+  // Applies gathered changes, and frees the slots of servers that are gone with nothing in flight.
   void commit() {
     commit_rings();
     std::erase_if(gone_, [this](std::size_t slot) {
@@ -112,7 +112,7 @@
     });
   }
 
-  // Follows a change of a server's standing.
+  // Updates healthy() after a change of a server's health.
   void update_health(std::size_t slot) {
     ServerRecord& s = slots_[slot];
     const bool is_healthy = s.listed && !s.health.ejected;
@@ -137,7 +137,7 @@
     ready_.commit();
     own_ring_.commit();
     remote_ring_.commit();
-    if (ready_.size() <= kMaxExactSum) {  // what was added and taken away leaves an error behind
+    if (ready_.size() <= kMaxExactSum) {  // adding and subtracting leaves a rounding error
       ready_weight_ = 0;
       for (std::size_t i = 0; i < ready_.size(); ++i) ready_weight_ += slots_[ready_.at(i)].info.weight;
     }
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -1,4 +1,4 @@
-// Which settings can be used at all.
+// Validation of Settings.
 #include <stdexcept>
 #include <string>
 
--- a/src/support.h
+++ b/src/support.h
@@ -1,4 +1,4 @@
-// What the decisions count and draw with; nothing here decides.
+// Building blocks of the decision module: rates, estimates, pending requests, weighted choice, shedding log.
 #pragma once
 
 #include <algorithm>
@@ -16,10 +16,10 @@
 
 namespace quinceusher {
 
-// Throws std::invalid_argument, naming the field, when the settings cannot be used.
+// Throws std::invalid_argument, which names the field, if the settings are unusable.
 void validate(const Settings& settings);
 
-// Events per second, with exponential forgetting.
+// Events per second, with exponential decay.
 class DecayingRate {
  public:
   explicit DecayingRate(double memory_s) : memory_s_(memory_s) {}
@@ -33,7 +33,7 @@
   double memory_s_, rate_ = 0, last_at_ = 0;
 };
 
-// Mean and mean deviation, with exponential forgetting; the first samples count for more.
+// Mean and mean absolute deviation with exponential decay; the first samples weigh more.
 struct RunningEstimate {
   double mean = 0, deviation = 0, samples = 0;
   void add(double value, double min_gain) {
@@ -44,24 +44,24 @@
   }
 };
 
-// How quickly calls are answered: answers against the time in which calls were out, with forgetting by the
-// number of answers. So it holds at any rate, and falls by itself while calls are out and nothing comes.
+// Rate and latency of answers by the time in which calls were in flight. Decays by the number of answers, so
+// it works at any rate, and falls by itself while calls are in flight and nothing comes.
 class ThroughputMeter {
  public:
   int in_flight() const { return in_flight_; }
   double ended_calls() const { return ended_calls_; }
-  // Calls out, on average over the time in which there are any.
+  // Calls in flight, averaged over the time in which there are any.
   double mean_calls() const { return busy_seconds_ > 0 ? call_seconds_ / busy_seconds_ : 0; }
-  // Answers per second while calls are out.
+  // Answers per second while calls are in flight.
   double rate(double now) const {
     return answers_ / std::max(busy_seconds_ + (in_flight_ > 0 ? now - updated_at_ : 0), 1e-9);
   }
-  // Seconds that calls are out for each answer; `prior` more answers of `prior_time` count too.
+  // Call seconds per answer; `prior` answers of `prior_time` are added.
   double mean_latency(double now, double prior, double prior_time) const {
     return (prior * prior_time + call_seconds_ + (now - updated_at_) * in_flight_) / (prior + answers_);
   }
 
-  // Seconds for which nothing has been out.
+  // Seconds for which nothing has been in flight.
   double idle_seconds(double now) const { return in_flight_ > 0 ? 0 : now - updated_at_; }
 
   void forget(double part) {
@@ -70,8 +70,8 @@
     call_seconds_ *= 1 - part;
   }
 
-  // Calls that were out for longer count as if they had been out for `longest`. Danger: the longer an outage
-  // was, the longer what was seen in it would outweigh what is seen after it.
+  // Caps the time that calls count for at `longest`. Otherwise measurements of an outage would outweigh those
+  // after it the more, the longer it was.
   void cap_call_time(double longest, double prior) {
     call_seconds_ = std::min(call_seconds_, longest * (prior + answers_));
     busy_seconds_ = std::min(busy_seconds_, longest * std::max(1.0, answers_));
@@ -81,8 +81,8 @@
     advance(now);
     in_flight_ += 1;
   }
-  // `surplus`: so much of the call's time tells nothing of how calls are dealt with; `reached`: it was with
-  // the server.
+  // `surplus`: part of the call's time that tells nothing of how calls are handled; `reached`: whether it
+  // came to the server.
   void on_ended(double now, bool answered, bool reached, double surplus, double min_memory) {
     advance(now);
     in_flight_ -= 1;
@@ -95,7 +95,7 @@
   }
 
  private:
-  static constexpr double kMemoryLatencies = 2;  // the memory is as many answer times long, or more
+  static constexpr double kMemoryLatencies = 2;  // the memory spans so many latencies, or more
   void advance(double now) {
     if (in_flight_ > 0) {
       busy_seconds_ += now - updated_at_;
@@ -107,12 +107,12 @@
   double updated_at_ = 0, answers_ = 0, busy_seconds_ = 0, call_seconds_ = 0, ended_calls_ = 0;
 };
 
-// Calls out by when they were sent: how many of them are young.
+// Calls in flight by the time they were sent, to count the young ones.
 class CallAges {
  public:
-  // The longest that is told apart.
+  // Older calls are not told apart by age.
   void set_max_age(double max_age) { width_ = max_age / static_cast<double>(kBuckets); }
-  // Sent within `age`.
+  // Calls that were sent within `age`.
   int younger_than(double now, double age) const {
     const std::int64_t newest = slot_of(now);
     const auto count = std::min<std::int64_t>(kBuckets, static_cast<std::int64_t>(std::ceil(age / width_)));
@@ -146,11 +146,11 @@
   int at(std::int64_t slot) const { return buckets_[place(slot)]; }
 
   double width_ = 1;
-  std::int64_t newest_slot_ = std::numeric_limits<std::int64_t>::min() / 2;  // the latest that was sent in
+  std::int64_t newest_slot_ = std::numeric_limits<std::int64_t>::min() / 2;  // of the newest call
   std::array<int, kBuckets> buckets_{};
 };
 
-// Mean with forgetting by time, and by count where samples are many.
+// Mean that decays by time, and by count where samples are many.
 class DecayingMean {
  public:
   struct Sum {
@@ -174,24 +174,22 @@
   Sum decayed_;
 };
 
-constexpr double kInitialIdleFraction =
-    0.15;                                 // of the aim; taken for the usual answer time until it is learned
-constexpr double kMaxIdleFraction = 0.4;  // of the aim; a start under load takes no queue for usual
-constexpr double kMinIdleSamples = 20;    // calls; answers before the usual answer time counts as learned
+constexpr double kInitialIdleFraction = 0.15;  // of the aim; latency without queues until it is learned
+constexpr double kMaxIdleFraction = 0.4;  // of the aim; a start under load must not take its queue for normal
+constexpr double kMinIdleSamples = 20;    // answers before the latency counts as learned
 constexpr double kIdleGain = 0.02;        // weight of one answer
-constexpr double kIdleSettleLatencies =
-    10;  // answer times; before it the answers are those of the quickest calls only,
-constexpr double kMaxIdleSettleSeconds = 3;    // s at most
-constexpr double kIdleFallLatencies = 16;      // answer times; how fast a quicker tier becomes the usual,
-constexpr double kMaxIdleFallSeconds = 5;      // s at most
-constexpr double kMinIdleRiseSeconds = 60;     // s; how fast a slower one does: queues must not,
-constexpr double kMinIdleRiseLatencies = 160;  // answer times at least
+constexpr double kIdleSettleLatencies = 10;  // latencies; before, only the quickest calls have been answered,
+constexpr double kMaxIdleSettleSeconds = 3;  // s at most
+constexpr double kIdleFallLatencies = 16;    // latencies; how fast the estimate follows a quicker tier,
+constexpr double kMaxIdleFallSeconds = 5;    // s at most
+constexpr double kMinIdleRiseSeconds = 60;   // s; how fast it follows a slower one: queues must not raise it,
+constexpr double kMinIdleRiseLatencies = 160;  // latencies at least
 
-// The answer time without queues: falls soon, rises slowly. Danger: the first answers
-// of a start are those of the quickest calls; a bound learned from them starves the tier.
+// Latency without queues: falls soon and rises slowly. The first answers after a start are those of the
+// quickest calls; a limit learned from them would starve the tier.
 struct IdleLatency {
   RunningEstimate recent;                             // s
-  double learned = -1, first_at = 0, learned_at = 0;  // base: s; below 0: not learned yet
+  double learned = -1, first_at = 0, learned_at = 0;  // learned: s; below 0: not yet
   double estimate(double aim) const {
     return learned < 0 ? kInitialIdleFraction * aim : std::min(learned, kMaxIdleFraction * aim);
   }
@@ -209,23 +207,24 @@
   }
 };
 
+// One attempt of a pending request.
 struct Attempt {
-  std::size_t server = 0;      // its slot; another's once the attempt has ended
-  std::uint64_t ring_key = 0;  // tells the server for good
-  int zone = 0, cell = 0;      // of the server, when it was sent to
-  double started = 0;          // of the server's process that it was sent to
+  std::size_t server = 0;      // its slot; it may be another server's once the attempt has ended
+  std::uint64_t ring_key = 0;  // identifies the server for good
+  int zone = 0, cell = 0;      // of the server, when it was sent
+  double started = 0;          // of the server process that it was sent to
   double sent_at = 0;
   bool open = true, may_have_run = true;
 };
 
-// A request that still owes an answer, or has attempts out.
+// A request without a final answer, or with attempts in flight.
 struct Pending {
   std::size_t tenant = 0, request_class = 0;
   double useful_until = 0;  // when the answer becomes worthless
   std::vector<Attempt> attempts;
   bool finished = false, streaming = false;
-  bool within_share = true;  // its tenant's part
-  bool nothing_ran = false;  // of the last attempt: it came to no server, or was turned away
+  bool within_share = true;  // of its tenant
+  bool nothing_ran = false;  // of the last attempt: it reached no server, or was turned away
 
   bool any_open() const {
     return std::any_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.open; });
@@ -239,7 +238,7 @@
   }
 };
 
-// Things to choose from by chance, each in proportion to its worth.
+// Random choice in proportion to weights.
 class WeightedChoice {
  public:
   void clear() {
@@ -264,13 +263,13 @@
   double total_weight_ = 0;
 };
 
-// What a period's shedding looks like in the log.
+// The log line on the shedding of one period.
 inline LogLine shedding_line(int denied, int unplaced, int ejected, int restored, int ejected_now,
                              int servers) {
   const auto n = [](int value) { return std::to_string(value); };
   return {"shedding: " + n(denied) + " over their tenant's limit, " + n(unplaced) +
-              " without a server with room; servers: " + n(ejected) + " left out, " + n(restored) +
-              " taken back, " + n(ejected_now) + " of " + n(servers) + " out",
+              " without server capacity; servers: " + n(ejected) + " ejected, " + n(restored) +
+              " restored, " + n(ejected_now) + " of " + n(servers) + " ejected now",
           {{"denied", denied},
            {"unplaced", unplaced},
            {"left_out", ejected},
@@ -279,7 +278,7 @@
            {"servers", servers}}};
 }
 
-// Counts what is shed, left out and taken back, and makes one line of it in a period.
+// Counts shed calls, ejections and restorations, and logs them once per period.
 class SheddingLog {
  public:
   int denied = 0, unplaced = 0, ejected = 0, restored = 0;  // since the last line
