--- a/adapter/drill.cpp
+++ b/adapter/drill.cpp
@@ -1,5 +1,5 @@
-// quinceusher_drill: hosts balancer copies on the bench's wire (one JSON line in, one out). It parses,
-// translates, writes and flushes; every decision is the library's.
+// quinceusher_drill: hosts balancers on the bench's protocol (one JSON line in, one out). It only parses,
+// translates and writes; all decisions are the library's.
 #include <cstdio>
 #include <iostream>
 #include <map>
@@ -111,7 +111,7 @@
     out.Int(a.attempt);
     out.EndObject();
   }
-  void operator()(const qu::Extend&) const {}  // only answers that are told of as they arrive bring one about
+  void operator()(const qu::Extend&) const {}  // the bench reports no progress of answers, so none is sent
   void operator()(const qu::SetTimer& a) const {
     start("TIMER");
     field("dueAt", a.at);
@@ -134,7 +134,7 @@
 
 class Host {
  public:
-  // Answers one batch; returns the reply line.
+  // Processes one batch and returns the reply line.
   const rapidjson::StringBuffer& answer(const Json& batch) {
     const double now = number(batch, "clock");
     buffer_.Clear();
@@ -161,7 +161,7 @@
         handle(now, item, balancer);
       } catch (const BadMessage&) {
         throw;
-      } catch (const std::exception& problem) {  // the library's own: the bench wants to hear of it
+      } catch (const std::exception& problem) {  // the library's own: reported to the bench
         if (!fault) fault = problem.what();
       }
     }
@@ -193,7 +193,7 @@
     if (kind == "OPEN_INSTANCE") {
       balancer.reset();
       balancer = std::make_unique<qu::Balancer>(read_settings(need(item, "config")), token(item, "initSeed"));
-      actions_.clear();  // what an instance said before it was stopped in this batch is void
+      actions_.clear();  // an instance's actions before its stop in this batch are void
       balancer->handle(now, qu::Started{}, actions_);
     } else if (kind == "POWER_OFF") {
       balancer.reset();
@@ -223,7 +223,7 @@
       return qu::AnswerStarted{std::string(text(item, "txn")), whole_or(item, "try", 0),
                                number_or(item, "lag", 0)};
     }
-    return std::nullopt;  // STATUS_BACK, MEMO and kinds of later wires: nothing here asks for them
+    return std::nullopt;  // STATUS_BACK, MEMO and kinds of later protocols are not used here
   }
 
   qu::MembershipUpdate read_update(const Json& item) const {
@@ -245,7 +245,7 @@
   }
 
   std::map<int, std::unique_ptr<qu::Balancer>> balancers_;
-  std::map<int, std::vector<qu::Server>> tables_;  // the numbered lists, shared by the whole process
+  std::map<int, std::vector<qu::Server>> tables_;  // numbered lists, shared by the whole process
   std::vector<qu::Action> actions_;
   rapidjson::StringBuffer buffer_;
   Writer writer_;
--- a/core/engine.cpp
+++ b/core/engine.cpp
@@ -15,16 +15,14 @@
 namespace qu = quinceusher;
 using boost::system::error_code;
 
-// A client counts from when it sent and until the answer's last byte has come; this much of its time is for
-// the ways there and back, and for a busy moment of this process.
-constexpr double kNetworkReserveSeconds = 0.025;  // s
-constexpr double kMaxReserveFraction = 0.25;      // of the timeout, at most
-constexpr double kDeadlineReserveFraction =
-    0.4;  // of the reserve: the node's own deadline is that long before the limit
-constexpr double kFirstListWaitSeconds =
-    1;  // s; a node that knows servers waits so long for newer word of them
-
-// The module's names of requests are the engine's numbers.
+// A client's time runs from its sending until the answer's last byte has arrived; this much of it is reserved
+// for the network and for a busy moment of this process.
+constexpr double kNetworkReserveSeconds = 0.025;
+constexpr double kMaxReserveFraction = 0.25;      // of the timeout
+constexpr double kDeadlineReserveFraction = 0.4;  // of the reserve, kept after the node's own deadline
+constexpr double kFirstListWaitSeconds = 1;  // how long a node with last known servers waits for a newer list
+
+// The decision module's request ids are the engine's numbers.
 std::uint64_t number_of(const std::string& id) {
   std::uint64_t out = 0;
   std::from_chars(id.data(), id.data() + id.size(), out);
@@ -50,7 +48,7 @@
 
 void Engine::start() {
   post(qu::Started{});
-  if (!options_.settings.must_watch) watch_();  // lists that are pushed come on the same stream
+  if (!options_.settings.must_watch) watch_();  // pushed lists come on the same stream
   if (!options_.last_known_servers) return;
   ServerList known = *options_.last_known_servers;
   known.is_full = true;
@@ -61,7 +59,7 @@
   });
 }
 
-// The module is not re-entered: what its actions bring about at once waits here until they are all done.
+// The decision module is not re-entered: events caused by its actions wait until all actions are done.
 void Engine::post(qu::Event event) {
   if (shut_down_) return;
   events_.push_back(std::move(event));
@@ -75,7 +73,7 @@
     const qu::Event next = std::move(events_.front());
     events_.pop_front();
     actions.clear();
-    // Guards the loop, which may be an application's: what one event runs into ends that event alone.
+    // An exception ends only its own event: the event loop may belong to an application.
     try {
       balancer_.handle(now(), next, actions);
       for (const qu::Action& action : actions) {
@@ -90,7 +88,7 @@
 }
 
 std::uint64_t Engine::submit(Call call, std::shared_ptr<Caller> caller) {
-  const std::uint64_t number = ++last_id_;  // not the client's id, which may come twice
+  const std::uint64_t number = ++last_id_;  // not the client's id, which may be used twice
   if (shut_down_) {
     caller->answered({Reply::Kind::kShutDown, 0, nullptr});
     return number;
@@ -102,7 +100,7 @@
       open_requests_.try_emplace(number, io_, std::move(call), std::move(caller)).first->second;
   client_ids_.insert(entry.call.client_id);
   ++open_count_;
-  // Guards against work that nobody waits for any more, where this loop was held up: it is never begun.
+  // If the event loop was held up, the client may no longer wait: the work is never begun.
   if (entry.call.request.time_left <= 0) {
     answer(number, refusal());
     return number;
@@ -124,7 +122,7 @@
   withdraw_attempts(request);
 }
 
-// Guards against a module that has not ended a request in time: the client gets a final answer all the same.
+// Ends a request that the decision module has not ended in time: the client gets a final answer anyway.
 void Engine::expire(std::uint64_t request, Reply::Kind kind) {
   OpenRequest* entry = find(request);
   if (entry == nullptr || !entry->caller) return;
@@ -164,7 +162,7 @@
   asked_ = true;
 }
 
-// Guards the memory against lists without end.
+// Bounds the memory that server lists can take.
 void Engine::check_server_limit(const ServerList& list) {
   std::unordered_set<std::string_view> more;
   for (const ListedServer& server : list.servers) {
@@ -189,8 +187,8 @@
   qu::MembershipUpdate update;
   update.form = list.is_full ? qu::MembershipUpdate::Form::kFull : qu::MembershipUpdate::Form::kChanges;
   for (const ListedServer& server : list.servers) update.servers.push_back(server.info);
-  // The module hears of a drain before it hears of the sends that the drain has stopped. New servers are
-  // there before it can choose them.
+  // The decision module learns of a drain before the sends that it stopped end. The transport knows new
+  // servers before the module can choose them.
   const std::vector<AttemptId> stopped = transport_.apply(list);
   servers_known_ = transport_.servers() > 0;
   post(update);
@@ -213,8 +211,8 @@
   return it == open_requests_.end() ? nullptr : &it->second;
 }
 
-// Guards the one final answer, and clients that have gone: what still waits for its connection, or is half
-// written, must not be begun for a request that nobody waits for. Ending one may forget the request.
+// Withdraws the open attempts of a request that nobody waits for: those that await a connection or are half
+// written must not be begun or completed. Ending one may forget the request.
 void Engine::withdraw_attempts(std::uint64_t request) {
   for (std::size_t i = 0;; ++i) {
     const OpenRequest* entry = find(request);
@@ -236,8 +234,8 @@
   }
 }
 
-// The only way to a final answer: whoever takes the caller answers it, and whatever comes second finds none.
-// It is answered last of all, since it may have its next request there.
+// The only way to a final answer: whoever takes the caller answers it, and later ones find none. The answer
+// comes last of all, as the caller may submit its next request in it.
 std::shared_ptr<Caller> Engine::take_caller(OpenRequest& entry) {
   if (!entry.caller) return nullptr;
   --open_count_;
@@ -282,7 +280,7 @@
   if (entry == nullptr) return;
   const AttemptId attempt{request, static_cast<int>(entry->attempts.size())};
   entry->attempts.push_back({now(), true, true});
-  // Guards the one final answer: nothing is sent for a request that has it, or that nobody waits for.
+  // Nothing is sent for a request that has its final answer, or whose client has left.
   if (entry->caller && entry->caller->left()) {
     take_caller(*entry);
     post(qu::RequestGone{action.id});
--- a/core/engine.h
+++ b/core/engine.h
@@ -1,6 +1,6 @@
-// The decision module's host: owns the Balancer and the open requests, turns what fronts and the transport
-// tell into events and actions into attempts and answers, and keeps each request's deadline. It knows no
-// protocol.
+// Host of the decision module: owns the Balancer and the open requests, turns reports of front ends and the
+// transport into events, and actions into attempts and answers, and enforces each request's deadline. It
+// knows no protocol.
 #pragma once
 
 #include <atomic>
@@ -26,35 +26,36 @@
 // The final answer to a request.
 struct Reply {
   enum class Kind {
-    kServed,    // `cargo` is the answer
-    kRefused,   // nothing has run: trying again is harmless
-    kFailed,    // nothing is promised
-    kTimedOut,  // failed, as its time was up
-    kShutDown   // failed, as the node ends
+    kServed,    // `payload` is the answer
+    kRefused,   // nothing has run: a retry is harmless
+    kFailed,    // nothing is promised: it may have run
+    kTimedOut,  // failed, as its deadline passed
+    kShutDown   // failed, as the node shuts down
   };
   Kind kind = Kind::kFailed;
   double retry_after = 0;  // s, of a refusal; 0: no advice
   std::unique_ptr<Payload> payload;
 };
 
-// Who is owed an answer: a front's side of one request. The core holds it until it has answered.
+// A front end's side of one request, which awaits the answer. The core holds it until it has answered.
 class Caller {
  public:
-  // Exactly once, perhaps before submit() returns, unless gone() comes first. Must not throw.
+  // Called exactly once, perhaps before submit() returns, unless on_client_gone() comes first. Must not
+  // throw.
   virtual void answered(Reply&& reply) = 0;
-  // Whether it has gone away by now, also where it has not been told to the core yet: asked before each
-  // attempt, so that a busy loop's timers don't overtake a close that lies in its socket. Must not throw.
+  // Whether the client has left by now, even if the core was not told yet: asked before each attempt, as a
+  // busy loop's timers can overtake a close that waits in its socket. Must not throw.
   virtual bool left() const { return false; }
 
  protected:
   ~Caller() = default;
 };
 
-// A caller's request, read and found to be sound.
+// A caller's request, parsed and valid.
 struct Call {
-  quinceusher::Request request;  // id and time_left are the engine's to fill in
+  quinceusher::Request request;  // the engine sets id and time_left
   std::shared_ptr<const Payload> payload;
-  std::string client_id;   // what the client calls it
+  std::string client_id;   // the client's id for it
   double received_at = 0;  // on the steady clock
   double timeout = 0;      // s, from when the client sent it
 };
@@ -62,48 +63,48 @@
 struct EngineOptions {
   quinceusher::Settings settings;
   std::uint64_t seed = 0;
-  std::size_t max_servers = 8192;                // that may be listed, ready or leaving
-  std::optional<ServerList> last_known_servers;  // the servers as last known
-  // Told of each final answer, before its caller is: who asked what, and how it ended. Must not throw.
+  std::size_t max_servers = 8192;                // listed, ready or draining
+  std::optional<ServerList> last_known_servers;  // used until discovery delivers a list
+  // Called before each final answer, with the request and how it ended. Must not throw.
   std::function<void(const Call&, Reply::Kind)> answered;
 };
 
-// Everything on the thread of the one event loop, but ready() and refusal(), which any thread may call.
+// Used on the event loop's thread only, except ready() and refusal(), which any thread may call.
 class Engine final : private Transport::Sink {
  public:
-  // `watch` asks discovery for its lists. Throws std::invalid_argument for settings that the module can't
-  // use.
+  // `watch` asks discovery for its lists. Throws std::invalid_argument for settings that the decision module
+  // can't use.
   Engine(boost::asio::io_context& io, EngineOptions options, Transport& transport, Log log,
          std::function<void()> watch);
 
   void start();
 
-  // Takes a request.
+  // Starts a request and returns its number.
   std::uint64_t submit(Call call, std::shared_ptr<Caller> caller);
 
-  // Whether a request with this client's id is open, or has attempts out.
+  // Whether a request with this client id is open or has attempts in flight.
   bool has_request(std::string_view client_id) const { return client_ids_.contains(client_id); }
 
-  // The client has gone away: nothing more is owed.
+  // The client has left: no answer is needed any more.
   void on_client_gone(std::uint64_t request);
 
-  // Answers everything that is open, as for a deadline that has come.
+  // Ends all open requests as if their deadlines had passed.
   void expire_all();
-  // The end: answers everything that is open as shut down, and handles nothing more.
+  // Answers all open requests as shut down, and handles nothing more.
   void shut_down();
 
-  // For what a front itself has to turn away, unsent.
+  // For requests that a front end turns away itself, unsent.
   Reply refusal() const;
 
-  // Throws std::length_error, and changes nothing, for a list that would make the servers too many.
+  // Throws std::length_error, and changes nothing, if the list would bring too many servers.
   void on_server_list(const ServerList& list);
   void on_watch_failed();
-  // Other copies than the settings say: how many, and which of them this is.
+  // The number of balancers, and the index of this one, differ from the settings.
   void on_balancers_changed(int index, int count, double sharers);
 
-  // Whether requests can be served: there is a server to send to, and discovery has been heard or asked.
+  // Whether requests can be served: there is a server, and discovery has delivered a list or had its time.
   bool ready() const { return asked_ && servers_known_; }
-  std::size_t open() const { return open_count_; }  // requests that have no answer yet
+  std::size_t open() const { return open_count_; }  // requests without an answer
 
  private:
   struct AttemptRecord {
@@ -114,7 +115,7 @@
     OpenRequest(boost::asio::io_context& io, Call&& taken, std::shared_ptr<Caller>&& from)
         : call(std::move(taken)), caller(std::move(from)), deadline(io) {}
     Call call;
-    std::shared_ptr<Caller> caller;  // none once the request has its final answer
+    std::shared_ptr<Caller> caller;  // null once the request has its final answer
     boost::asio::steady_timer deadline;
     std::vector<AttemptRecord> attempts;
   };
@@ -150,8 +151,8 @@
   const Log log_;
   const std::function<void()> watch_;
   OpenRequestMap open_requests_;
-  std::unordered_set<std::string_view> client_ids_;  // of all that is in live_, and views into it
-  std::unordered_set<std::string> listed_;           // the names of all servers, ready or leaving
+  std::unordered_set<std::string_view> client_ids_;  // of all open_requests_, as views into them
+  std::unordered_set<std::string> listed_;           // names of all servers, ready or draining
   std::deque<quinceusher::Event> events_;
   std::uint64_t last_timer_ = 0;
   std::unordered_map<std::uint64_t, boost::asio::steady_timer> timers_;
--- a/core/server_list.h
+++ b/core/server_list.h
@@ -1,4 +1,4 @@
-// Lists of servers, as the core and its transports take them.
+// Server lists, as the core and its transports take them.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -9,11 +9,13 @@
 
 namespace nettlestand {
 
+// A server and where to connect to it.
 struct ListedServer {
-  quinceusher::Server info;  // its address is the name that is the same at every node
+  quinceusher::Server info;  // its address is a name that is the same at every node
   boost::asio::ip::tcp::endpoint endpoint;
 };
 
+// A numbered list: all servers, or the changes since the list before.
 struct ServerList {
   std::uint64_t seq = 0;
   bool is_full = false;
