--- a/tests/adapter_test.cpp
+++ b/tests/adapter_test.cpp
@@ -1,4 +1,4 @@
-// The adapter as a program: a conversation, bad lines, and one process against three.
+// The adapter as a program: a conversation, malformed lines, and one process compared with three.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -149,8 +149,7 @@
   panics(R"("effect":"unsafe")", R"("effect":"odd")", "effect");
 }
 
-// Odd but legal: outcomes and report values of later wires, lists without entries, no time left, many
-// restarts.
+// Odd but legal input: unknown outcomes and report values, empty lists, no time left, many restarts.
 TEST(Adapter, TakesOddButLegalLines) {
   const std::string restart = open_node(4).substr(open_node(4).find("{\"kind\":\"OPEN"));
   std::string restarts;
@@ -180,7 +179,7 @@
   EXPECT_TRUE(has(r.lines[4], R"({"kind":"SAY_NO","txn":"d")"));
 }
 
-// Sharing nothing: the actions of an instance do not depend on who else lives in its process.
+// The actions of an instance must not depend on the others in its process.
 TEST(Adapter, OneProcessOrThreeMakesNoDifference) {
   const auto lines_for = [](const std::vector<int>& whos) {
     std::vector<std::string> lines;
--- a/tests/balancer_harness.h
+++ b/tests/balancer_harness.h
@@ -1,4 +1,4 @@
-// What the tests share: a balancer that remembers its clock and hands back the actions of each event.
+// Shared by the tests: a balancer that keeps its clock and returns the actions of each event.
 #pragma once
 
 #include <string>
--- a/tests/copies_test.cpp
+++ b/tests/copies_test.cpp
@@ -1,5 +1,4 @@
-// The event that tells of other copies than the settings say: subsets, allowances and what was learned follow
-// it.
+// BalancersChanged: subsets, allowances and learned limits follow the number of balancers.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -34,7 +33,7 @@
   return m;
 }
 
-// Sends calls that are answered at once; the servers that they went to.
+// Sends calls that are answered at once; returns the servers that got them.
 std::set<std::string> reached(Balancer& b, double& now, int calls, const std::string& run) {
   std::set<std::string> out;
   for (int i = 0; i < calls; ++i) {
@@ -63,7 +62,7 @@
   told.handle(now, list_of(80), ignored);
   born.handle(other, list_of(80), ignored);
   const auto before = reached(told, now, 400, "a");
-  EXPECT_EQ(before.size(), 16U);  // 80 servers by 10 copies, each used by two
+  EXPECT_EQ(before.size(), 16U);  // 80 servers by 10 balancers, each used by two
   told.handle(now, BalancersChanged{1, 4, 4}, ignored);
   const auto after = reached(told, now, 800, "b");
   EXPECT_EQ(after, reached(born, other, 800, "b")) << "as if it had started so";
--- a/tests/defects_test.cpp
+++ b/tests/defects_test.cpp
@@ -1,4 +1,4 @@
-// What the decisions once got wrong, each with the run that shows it.
+// Regression tests: faults of earlier versions, each with the run that shows it.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -11,11 +11,11 @@
 namespace quinceusher {
 namespace {
 
-// Poisson calls to servers that answer any number in the same time; counts by second what is sent.
+// Poisson calls to servers whose latency does not depend on load; counts by second what was served.
 struct Simulation {
   explicit Simulation(const Settings& settings) : balancer(settings) {}
 
-  // `time_of` tells how long a server takes, or ends an attempt otherwise by a negative outcome.
+  // `end_of` yields a server's outcome and latency; 0: the attempt ends at once.
   template <class End>
   void play(double from, double until, double rate, End&& end_of) {
     for (double now = from; (now += -std::log(1 - draw()) / rate) < until;) {
@@ -85,7 +85,7 @@
 using AttemptEnd = std::pair<Outcome, double>;
 AttemptEnd answer_in(double seconds) { return {Outcome::kDelivered, seconds}; }
 
-// Danger: without tenants the limit dropped by refusals that were the copy's own, to 2 calls a second.
+// Without tenants, the balancer's own refusals lowered the limit to 2 calls a second.
 TEST(Defects, WithoutTenantsTheStartDoesNotDestroyTheLimit) {
   for (const auto& [servers, rate] : std::vector<std::pair<int, double>>{{1, 200}, {2, 200}, {2, 1000}}) {
     Simulation simulation(basic_settings());
@@ -96,9 +96,9 @@
   }
 }
 
-// Danger: where one call in seven fails whatever is sent, a limit that nobody has told fell to next to
-// nothing: seen with a customer without tenants, whose nodes turned 4 of 10 away at half of the capacity.
-// Where there is nobody to be fair to, and past the first tier, room alone decides.
+// Where one call in seven fails whatever is sent, a limit without a configured share fell to almost nothing:
+// the nodes of a customer without tenants refused 4 of 10 calls at half of the capacity. Where there is
+// nobody to be fair to, and past the first tier, only capacity limits.
 TEST(Defects, FailuresThatAreNoOverloadDoNotCutWhomNobodyHasToldAPart) {
   for (const int tier : {0, 1}) {
     for (const std::size_t tenants : {0U, 3U}) {
@@ -118,8 +118,8 @@
   }
 }
 
-// Danger: what is there to be told counts as told 6 s after discovery could have been asked, so however long
-// it has been down, and whatever time the settings give for asking, the next call is never far off.
+// A list counts as known 6 s after discovery could have been asked. So the next request to discovery is never
+// far off, however long it was down and whatever `ask_within` is.
 TEST(Defects, DiscoveryIsAskedAgainSoonHoweverOftenItFailed) {
   Settings settings = basic_settings();
   settings.must_watch = true;
@@ -150,7 +150,7 @@
   EXPECT_GE(simulation.part(1, 11), 0.99);
 }
 
-// Danger: where servers are many, one of the group that drops repeats is hardly met by chance.
+// Among many servers, a random choice hardly ever finds one of the dedup group.
 TEST(Defects, AKeyedRequestIsSentAgainWithinItsCellAtAnySize) {
   for (const int servers : {8, 33, 100, 1000}) {
     TestBalancer balancer(basic_settings(class_of(Effect::kKeyed, DedupScope::kCell)));
@@ -175,7 +175,7 @@
   }
 }
 
-// Danger: a far zone that was never tried looked better than a near one with quick answers.
+// A remote zone that was never tried looked better than the own one with its quick answers.
 TEST(Defects, ZonesThatAreAlikeKeepTheirTraffic) {
   for (const double took : {0.001, 0.02, 0.2}) {
     Settings settings = basic_settings();
@@ -192,7 +192,7 @@
   }
 }
 
-// Danger: one time-out counted as two hundred usual answers, and its server was shunned for half a minute.
+// One timeout counted like two hundred usual answers, and its server was avoided for half a minute.
 TEST(Defects, OneLateEndShunsAQuickServerForSecondsOnly) {
   Settings settings = basic_settings(class_of(Effect::kUnsafe));
   Simulation simulation(settings);
@@ -212,7 +212,7 @@
   EXPECT_GT(simulation.sent[sends[0].server], 10);
 }
 
-// Danger: what the process before has lost was held against the one that took its place.
+// Losses of the previous process counted against its successor.
 TEST(Defects, ANewProcessAnswersForItselfAlone) {
   Settings settings = basic_settings(class_of(Effect::kUnsafe));
   Simulation simulation(settings);
@@ -239,7 +239,7 @@
   EXPECT_GT(simulation.sent["s0"], 10);
 }
 
-// Danger: a server that drains turns all away at once, has nothing in flight, and is the least busy of all.
+// A draining server rejects all at once, has nothing in flight, and is the least busy of all.
 TEST(Defects, AServerThatTurnsAllAwayDrawsNoTraffic) {
   for (const int servers : {2, 4, 10}) {
     Settings settings = basic_settings(class_of(Effect::kUnsafe));
@@ -264,7 +264,7 @@
   for (const char* name : {"s0", "s1", "s2", "s3"}) EXPECT_GT(simulation.sent[name], 150) << name;
 }
 
-// Danger: a weight that is added to a huge one and left alone is lost, and a cold server's part is all.
+// Beside a huge weight a small one was lost in the sum, and a cold server's share became everything.
 TEST(Defects, AServerOfHugeWeightLeavesTheOthersTheirs) {
   TestBalancer balancer(basic_settings());
   MembershipUpdate list = members(2);
@@ -289,7 +289,7 @@
   EXPECT_GE(simulation.part(1, 10), 0.99);
 }
 
-// Danger: by the mean of the aims, calls that must be quick wait in a queue that is made for the others.
+// By the mean of the aims, calls that must be quick waited in a queue sized for the others.
 TEST(Defects, AShortAimIsKeptBesideALongOne) {
   RequestClass quick = class_of(Effect::kUnsafe), patient = quick;
   quick.aim = 0.05;
@@ -303,7 +303,7 @@
   simulation.balancer.at(0, members(4));
   simulation.play(0, 20, 200, [](const std::string&) { return answer_in(0.02); });
   simulation.finish(30);
-  // A crowd of calls that may wait, at once; those that may not find no room behind them.
+  // A crowd of calls that may wait, at once; quick ones find no capacity behind them.
   simulation.balancer.now = 30;
   int patient_sent = 0, quick_sent = 0;
   for (int i = 0; i < 200; ++i) {
@@ -318,7 +318,7 @@
   EXPECT_EQ(quick_sent, 0);
 }
 
-// A start time ahead of this clock: clocks differ, and the server warms up all the same.
+// Clocks differ: a server whose start time lies ahead of this clock warms up all the same.
 TEST(Defects, AStartTimeInTheFutureDoesNotKeepAServerCold) {
   Settings settings = basic_settings();
   settings.start_capacity = 0.1;
--- a/tests/fleet_minimums.h
+++ b/tests/fleet_minimums.h
@@ -1,6 +1,6 @@
-// The cells of the grid that fall short of what all others reach, each with what it must reach all the same:
-// a little less than it does. At part load that is the part served; past capacity the part of capacity served
-// within the aim, and the part that the worst tenant within its share gets within its aim.
+// Cells of the grid that miss the common minimums, each with its own, a little below what it reaches. At part
+// load that is the fraction served; past capacity the fraction of capacity served within the aim, and the
+// fraction of its requests that the worst tenant within its share gets within its aim.
 #pragma once
 
 #include <map>
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -1,5 +1,5 @@
-// The module in a fleet of simulated servers: the grid of sizes, and what happens to a fleet. Every run is
-// the same, so each figure here is what the module does and not what the machine did.
+// The decision module with simulated servers: a grid of sizes, load changes, faults and random scenarios. The
+// simulation is deterministic, so its figures do not depend on the machine.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -21,7 +21,7 @@
 using quinceusher::Effect;
 using quinceusher::ServerState;
 
-// Servers of two cores; `load` is of their capacity, from four tenants with even allowances.
+// Servers of two cores; `load` is a fraction of their capacity, from four tenants with equal allowances.
 Spec fleet_of(std::size_t servers, double work, double aim, double load, std::size_t copies = 1) {
   Spec out;
   out.servers = servers;
@@ -36,7 +36,7 @@
   return out;
 }
 
-// Holds in every run, whatever happens to the fleet.
+// Plays a run and checks what must hold in each, whatever happens.
 Result play_and_check_rules(const Spec& spec) {
   Result out = play(spec);
   EXPECT_EQ(out.unanswered, 0U);
@@ -121,7 +121,7 @@
 INSTANTIATE_TEST_SUITE_P(Load, Jump,
                          ::testing::Combine(::testing::Values(0.1, 2.0), ::testing::Values(1, 10)));
 
-// Danger: what was learned in a quiet minute binds in a busy one.
+// What was learned in a quiet minute must not limit a busy one.
 TEST(Load, FromOneCallInFlightToAThousand) {
   for (const double aim : {0.1, 2.0}) {
     Spec spec = fleet_of(100, 0.01, aim, 0.5);
@@ -131,8 +131,7 @@
   }
 }
 
-// 20,000 calls a second, and servers that can suddenly do 66: what is let in feeds a queue that nothing
-// stops.
+// 20,000 calls a second, and servers that can suddenly do 66: admitted calls feed a queue that nothing stops.
 TEST(Load, AnswersOfATenthOfAMillisecondTurnIntoThreeHundred) {
   for (const std::size_t copies : {1U, 4U}) {
     Spec spec = fleet_of(10, 0.0003, 2, 0.3, copies);
@@ -168,7 +167,7 @@
   }
 }
 
-// ---------------------------------------------------------------- copies
+// ---------------------------------------------------------------- balancers
 
 class Together : public ::testing::TestWithParam<double> {};
 
@@ -178,7 +177,7 @@
   EXPECT_GE(served(r, 1, 15), 0.99);
 }
 
-// Danger: each copy takes its first call for no load at all, and a hundred push a cold server over.
+// If each of a hundred balancers takes its first call for no load, they overload a cold server.
 TEST_P(Together, AHundredCopiesStartBeforeTenServersThatAreCold) {
   Spec spec = fleet_of(10, 0.05, 2, GetParam(), 100);
   spec.cold = true;
@@ -228,7 +227,7 @@
   spec.faults = {{5, 10, 0, static_cast<std::size_t>(count), kind}};
   const Result r = play_and_check_rules(spec);
   if (count < 4) {
-    // Some calls find it out; what may not be repeated is lost with them.
+    // Some calls detect the fault; those that may not be repeated are lost.
     EXPECT_GE(served(r, 5, 7), 0.8);
     EXPECT_GE(served(r, 7, 10), 0.97);
   }
@@ -298,7 +297,7 @@
   double recovered_at = 0;  // s; from then on nothing has been wrong for 10 s
 };
 
-// Random fleets with random faults, drains and restarts. `load` is of capacity, bounded by 4,000 calls a
+// Random servers with random faults, drains and restarts. `load` is of capacity, at most 4,000 calls a
 // second.
 RandomScenario random_scenario(std::uint64_t seed, double load, double cold) {
   std::mt19937_64 random(seed);
@@ -330,7 +329,7 @@
     f.factor = spread(2, 100);
     f.every = unit() < 0.3 ? 2 + below(3) : 1;
     f.copy = unit() < 0.3 ? static_cast<int>(below(s.copies)) : -1;
-    // What a slow server has begun takes its time.
+    // Calls that a slow server has begun still take their time.
     const double goes_on = f.kind == FaultKind::kSlow ? 4 * f.factor * s.work : 0;
     last = std::max(last, f.until + goes_on);
     s.faults.push_back(f);
@@ -365,7 +364,7 @@
   return out;
 }
 
-// Plays stories on all cores; `wrong` says what is wrong with one, or nothing.
+// Plays scenarios on all cores; `wrong` describes what is wrong with one, or returns nothing.
 template <class Wrong>
 std::string check_scenarios(std::uint64_t first, std::uint64_t count, double load, double cold,
                             Wrong&& wrong) {
@@ -394,7 +393,7 @@
   return joined(out);
 }
 
-// Danger: what a copy has learned in an outage holds it back for good, or for much longer than that lasted.
+// What was learned in an outage must not hold a balancer back for good, or for much longer than it lasted.
 TEST(Stories, TenSecondsAfterTheLastFaultAlmostAllIsServed) {
   EXPECT_EQ(check_scenarios(1, 300, 0.3, 0.2,
                             [](const RandomScenario& scenario, const Result& r) -> std::string {
@@ -414,9 +413,9 @@
   }
 }
 
-// A third of a large tier is lost and returns cold before many copies with small subsets. Each copy budgets
-// for the servers that it uses by the traffic that it sends to those: by a like part of all servers, as it
-// was, a server's few copies together gave it a twentieth of what it could do, and it stood idle until it was
+// A third of a large tier fails and returns cold, before many balancers with small subsets. Each budgets for
+// its members by the traffic that it sends to them. When it was by a proportional part of all servers, the
+// few balancers of a server together gave it a twentieth of what it could do, and it stood idle until it was
 // warm (zone+mass).
 TEST(Returns, AThirdThatReturnsColdCarriesWhatItCan) {
   Spec spec;
--- a/tests/health_test.cpp
+++ b/tests/health_test.cpp
@@ -1,4 +1,4 @@
-// Health, time-outs and further attempts.
+// Server health, capacity, timeouts and retries.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -9,14 +9,14 @@
 namespace quinceusher {
 namespace {
 
-// An allowance that no test here reaches: admission stays out of the way.
+// Settings with an allowance that no test here reaches, so that admission never denies.
 Settings unlimited_settings() {
   Settings s = basic_settings();
   s.tenants = {{1000.0}};
   return s;
 }
 
-// Plays calls of which those to `sick` end with `outcome`; counts the first sends to each server.
+// Plays calls; those to `sick` end with `outcome`. Returns the number of first sends to each server.
 std::map<std::string, int> play(TestBalancer& balancer, const std::string& sick, Outcome outcome, double from,
                                 double seconds, double rate, const std::string& prefix) {
   std::map<std::string, int> firsts;
@@ -32,7 +32,7 @@
   return firsts;
 }
 
-// Danger: a server that fails at once has nothing in flight and looks the least busy of all.
+// A server that fails at once has nothing in flight and looks the least busy of all.
 TEST(Health, AFastFailingServerIsShunnedAndComesBack) {
   TestBalancer balancer(unlimited_settings());
   balancer.at(0, members(6));
@@ -42,7 +42,7 @@
   EXPECT_GT(back.at("s2"), 100);
 }
 
-// Danger: a server that crowding has slowed keeps its share, and stays crowded.
+// A server that is slow because it is crowded must not keep its share, or it stays crowded.
 TEST(Health, ASlowServerGetsFewerCalls) {
   TestBalancer balancer(unlimited_settings());
   balancer.at(0, members(4));
@@ -60,7 +60,7 @@
   EXPECT_GT(used["s1"], 3) << "it must be tried now and then, or it never comes back";
 }
 
-// Danger: a silent server was judged only when its calls ended, for unsafe classes at the end of their time.
+// A silent server was judged only when its calls ended, for unsafe classes at the end of their time.
 TEST(Health, ASilentServerIsSparedBeforeItsCallsEnd) {
   TestBalancer balancer(basic_settings(class_of(Effect::kUnsafe)));
   balancer.at(0, members(4));
@@ -81,7 +81,7 @@
   EXPECT_LE(silent, 4);
 }
 
-// Danger: judging each server alone would leave nobody to send to when the cause is shared.
+// Where the cause is shared, judging each server alone would leave nobody to send to.
 TEST(Health, WhenAllFailTheFleetIsNotEmptied) {
   TestBalancer balancer(unlimited_settings());
   balancer.at(0, members(4));
@@ -125,7 +125,7 @@
   EXPECT_NE(first[0].server, second[0].server);
 }
 
-// Danger: calls to a server that has stopped answering wait for nothing, and behind each other.
+// Calls to a server that has stopped answering only wait, behind each other.
 TEST(Room, CallsInFlightAreBoundByWhatAServerAnswers) {
   TestBalancer balancer(unlimited_settings());
   balancer.at(0, members(3));
@@ -142,7 +142,7 @@
   EXPECT_LT(sent, 40);
 }
 
-// Danger: what each of many copies takes for a small start is a crowd when all of them start together.
+// What each of many balancers takes for a small start is a crowd when all start together.
 TEST(Room, TheStartIsSharedOutOverTheCopies) {
   std::map<std::string, int> held;
   for (int index = 0; index < 8; ++index) {
@@ -159,7 +159,7 @@
   for (const auto& [address, calls] : held) EXPECT_LE(calls, 16) << address;
 }
 
-// Danger: a refusal past the first tier throws away the work that was done above it.
+// A refusal past the first tier throws away the work that was done above it.
 TEST(Room, PastTheFirstTierNothingIsRefusedForIt) {
   Settings s = unlimited_settings();
   s.tier = 1;
@@ -168,8 +168,7 @@
   for (int i = 0; i < 300; ++i) EXPECT_EQ(all<Send>(balancer.request(std::to_string(i))).size(), 1U);
 }
 
-// A copy of many: a few calls a second, out one or two at a time. Calls come at uneven times, answered late
-// or never.
+// One of many balancers: a few calls a second at random times, one or two in flight, answered late or never.
 struct SparseRun {
   int sent = 0;
   int refused = 0;
@@ -205,14 +204,14 @@
   return run;
 }
 
-// Danger: a sparse copy took two calls out at once for a queue and refused a tenth of a calm day.
+// A sparse balancer took two calls in flight at once for a queue, and refused a tenth on a calm day.
 TEST(Room, ASparseCopyDoesNotRefuseForChance) {
   const SparseRun calm = run_sparse(0.3, 60);
   EXPECT_GT(calm.sent, 120);
   EXPECT_LE(calm.refused, calm.sent / 50);
 }
 
-// Danger: with bounds of a call or so, none of many sparse copies ever holds back and a jam never runs off.
+// With limits of a call or so, no sparse balancer ever held back, and a backlog never drained.
 TEST(Room, ASparseCopyHoldsBackWhenAnswersTakeTooLong) {
   const SparseRun jammed = run_sparse(5, 60);
   EXPECT_GT(jammed.refused, 2 * jammed.sent);
--- a/tests/mechanism_test.cpp
+++ b/tests/mechanism_test.cpp
@@ -1,4 +1,4 @@
-// The mechanism on its own: suppression, limits, subsets, the pick.
+// Unit tests of suppression, rate limits, subsets, server choice and settings validation.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -33,7 +33,7 @@
   return s;
 }
 
-// Calls at a steady rate, each answered at once; returns how many were admitted.
+// Plays calls at a steady rate, each answered at once; returns how many were admitted.
 int offer(TestBalancer& balancer, double from, double seconds, double rate, const std::string& prefix,
           Outcome outcome = Outcome::kDelivered) {
   int admitted = 0;
@@ -95,7 +95,7 @@
   EXPECT_DOUBLE_EQ(balancer.subject.tenant(1.65, 0).suppression_factor, 0);
 }
 
-// The factor is kept for 100 ms: a flood within that time is met with the factor from before it.
+// The factor is cached for 100 ms: a flood within that time is met with the factor from before it.
 TEST(Admission, TheFactorIsCached) {
   Settings s = one_tenant(100);
   s.over_share_worth = 0;
@@ -166,10 +166,8 @@
   EXPECT_DOUBLE_EQ(balancer.subject.tenant(balancer.now, 0).rate_limit, once);
 }
 
-// Danger: at the rate for traffic beyond a share, a limit that an overload had pushed under the tenant's part
-// stayed there for the rest of the day.
-// A tenant of which nothing is told: a mishap among its first calls, when the window has hardly begun to
-// fill, is no rate to cut it to.
+// Without a configured share: a failure among the first calls, when the window has hardly begun to fill, must
+// not cut the limit to the rate of that window.
 TEST(Limit, IsNotLearnedFromAWindowThatHasHardlyBegun) {
   TestBalancer balancer(basic_settings());
   balancer.at(0, members(4));
@@ -190,6 +188,8 @@
   }
 }
 
+// At the rise for traffic beyond a share, a limit that an overload had pushed below the tenant's share stayed
+// there for the rest of the day.
 TEST(Limit, BelowThePartItRisesAtTheFullRate) {
   Settings s = one_tenant(400);
   s.over_share_worth = 0.05;
@@ -203,7 +203,7 @@
   EXPECT_GT(balancer.subject.tenant(balancer.now, 0).rate_limit, 1.5 * low);
 }
 
-// Danger: with its own zone alone, a zone with more traffic than servers drowns beside an idle one.
+// With its own zone alone, a zone with more traffic than servers is overloaded beside an idle one.
 TEST(Subset, ACrowdedZoneUsesOtherZonesToo) {
   const auto far_share = [](double near_answer) {
     Settings s = basic_settings();
@@ -239,7 +239,7 @@
           for (const std::size_t at : subset) ++uses[at];
         }
         const auto [least, most] = std::minmax_element(uses.begin(), uses.end());
-        // Starts of one copy or of evenly spread ones: no server is used by over one copy more than another.
+        // Starts are evenly spread: no server is used by over one balancer more than another.
         EXPECT_LE(*most - *least, 1) << copies << " copies, " << servers << " servers, size " << size;
       }
     }
@@ -275,7 +275,7 @@
   }
 }
 
-// Danger: with a subset of fixed size a lone copy would leave most of a large tier without work.
+// With a subset of fixed size, a lone balancer would leave most of a large tier without work.
 TEST(Subset, FewCopiesStillReachEveryServer) {
   std::set<std::string> used;
   for (int index = 0; index < 2; ++index) {
@@ -303,7 +303,7 @@
   EXPECT_EQ(held["s1"], 5);
 }
 
-// Danger: comparing sizes, a copy with nothing in flight gave every call to the largest server.
+// When sizes were compared, a balancer with nothing in flight sent every call to the largest server.
 TEST(Pick, SizeCountsInTheDraw) {
   TestBalancer balancer(basic_settings());
   MembershipUpdate m = members(2);
--- a/tests/members_test.cpp
+++ b/tests/members_test.cpp
@@ -1,4 +1,4 @@
-// Who is there, over a long day.
+// The server table: slots, rings and the set of healthy servers over many list changes.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -19,7 +19,7 @@
   return s;
 }
 
-// Danger: servers are replaced by others under new names all day.
+// Servers are replaced by others under new names all day; the table must not grow.
 TEST(Members, SlotsOfServersThatAreGoneAreUsedAgain) {
   ServerTable table(0);
   Random random(1);
@@ -38,7 +38,7 @@
   EXPECT_LE(table.size(), 5U);
 }
 
-// Danger: an attempt that ends late would be booked to a server that has nothing to do with it.
+// An attempt that ends late would be counted for a server that has nothing to do with it.
 TEST(Members, ASlotWithCallsInFlightIsKept) {
   ServerTable table(0);
   Random random(1);
@@ -69,7 +69,7 @@
   return out;
 }
 
-// Random changes, some lists whole, some naming a server twice, against what a plain look at the whole says.
+// Random changes, some as full lists, some naming a server twice, compared with a plain model.
 TEST(Members, RingsFollowEveryChange) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     ServerTable table(0);
--- a/tests/outliers_test.cpp
+++ b/tests/outliers_test.cpp
@@ -1,4 +1,4 @@
-// Who is left out and taken back.
+// Ejection, probing and restoration of servers.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -49,7 +49,7 @@
   }
 }
 
-// Danger: a server that drains, before the list says so, looks like the least busy of all.
+// A server that drains before the list says so looks like the least busy of all.
 TEST(Outliers, BeingTurnedAwayInARowLeavesAServerOut) {
   DetectorFixture o;
   for (int i = 1; i < kMaxRejections; ++i)
@@ -58,7 +58,7 @@
   EXPECT_TRUE(o.s.fails_unrun) << "nothing ran there";
 }
 
-// Danger: where all are full, leaving each out leaves nobody.
+// Where all are full, ejecting each would leave nobody.
 TEST(Outliers, WhereAllAreFullNobodyIsLeftOut) {
   OutlierDetector detector;
   Random random(1);
@@ -79,7 +79,7 @@
   }
 }
 
-// Danger: judging each server alone would leave nobody to send to when the cause is shared.
+// Where the cause is shared, judging each server alone would leave nobody to send to.
 TEST(Outliers, WhereMostCallsFailTheCauseIsShared) {
   OutlierDetector detector;
   Random random(1);
@@ -147,7 +147,7 @@
   EXPECT_GE(o.s.backoff, std::min(2 * pause, kMaxProbeBackoff));
 }
 
-// Danger: an answer to what was sent before says nothing of a server that refuses now.
+// An answer to an earlier call says nothing of a server that refuses now.
 TEST(Outliers, WhatWasSentBeforeDoesNotTakeAServerBack) {
   DetectorFixture o;
   const double before = o.now - 1;
@@ -166,7 +166,7 @@
   EXPECT_TRUE(o.probe());
 }
 
-// Danger: a server that is only shunned was known to answer again 13 s later.
+// Without probes, the recovery of an avoided server was noticed only 13 s later.
 TEST(Outliers, AShunnedServerIsTriedUntilItsAnswersTell) {
   DetectorFixture o;
   o.unhealthy = true;
@@ -199,7 +199,7 @@
   }
 }
 
-// Danger: one server that a request may not try would keep it from all the others.
+// One server that a request may not probe must not keep it from all the others.
 TEST(Outliers, AProbeThatMayNotBeMadeDoesNotHideThoseBehindIt) {
   OutlierDetector detector;
   Random random(1);
@@ -214,7 +214,7 @@
   EXPECT_EQ(detector.probe(false, true, 4, find, any), std::optional<std::size_t>(1));
 }
 
-// Danger: a probe that one request could not make must be there for the next.
+// A probe that one request could not make must remain for the next.
 TEST(Outliers, AProbeThatMayNotBeMadeStaysDue) {
   DetectorFixture o;
   o.end(Outcome::kDialFailed);
@@ -237,7 +237,7 @@
   }
 }
 
-// Where nothing else comes, what can't have run may find out whether a server accepts again.
+// Where no other requests come, ones that can't have run may find out whether a server accepts again.
 TEST(Outliers, WithUnsafeRequestsAloneServersThatRefuseAreStillTried) {
   DetectorFixture o;
   o.end(Outcome::kDialFailed);
@@ -247,7 +247,7 @@
   EXPECT_LT(o.now, from + kNoRepeatableSeconds + 1);
 }
 
-// Danger: where all are left out, who is back first must not wait for a pause.
+// Where all are ejected, the first to recover must not wait for a backoff.
 TEST(Outliers, WhereNoServerIsWellOneIsTriedAgainAndAgain) {
   for (const bool repeatable : {true, false}) {
     DetectorFixture o;
@@ -286,7 +286,7 @@
   EXPECT_GE(probes, 1000 * kProbeBudgetRatio / 2);
 }
 
-// The whole module: three good servers, the others refuse.
+// The whole decision module: three good servers, the others refuse.
 class Refusing : public ::testing::TestWithParam<std::tuple<int, int, Effect>> {};
 
 TEST_P(Refusing, AreLeftOutWithinAFewCalls) {
--- a/tests/progress_test.cpp
+++ b/tests/progress_test.cpp
@@ -1,4 +1,4 @@
-// Answers that are arriving: how long they may go on.
+// How long answers that are arriving may take.
 #include <gtest/gtest.h>
 
 #include "../src/answer_progress.h"
@@ -14,7 +14,7 @@
 constexpr double kFirstByteLimit = 0.05;
 
 TEST(Progress, WhatArrivesInTimeGoesOnUntilItIsThere) {
-  // 1 MB at 20 KB/s takes 50 s of the 60 that are left; it is looked at again and again.
+  // 1 MB at 20 KB/s takes 50 s of the remaining 60; it is checked again and again.
   double at = 0;
   int checks = 0;
   while (at < 49.9) {
@@ -52,8 +52,7 @@
   EXPECT_GT(extension_for(arriving(2, 40e3, 400e3), 5, kFirstByteLimit, false), 0);
 }
 
-// Danger: a crowd of answers that begin late spent all further tries, and the rest was refused with seconds
-// to go.
+// A crowd of answers that began late spent all retries, and the rest was refused with seconds to go.
 TEST(Progress, NothingIsGivenUpEarlyWhereNoOtherTryCanFollow) {
   EXPECT_EQ(extension_for(arriving(-1, 0, 0), 5, kFirstByteLimit, true), 0);
   EXPECT_EQ(extension_for(arriving(-1, 0, 0), 5, kFirstByteLimit, false), 5);
@@ -86,7 +85,7 @@
   EXPECT_EQ(extension_for(arriving(1, 1e5, 2e5), -1, kFirstByteLimit, true), 0);
 }
 
-// Danger: time-outs learned from small answers cut large ones off in the middle.
+// Timeouts learned from small answers cut large ones off in the middle.
 TEST(Progress, ALargeAnswerAfterSmallOnesIsExtended) {
   Settings settings = basic_settings();
   TestBalancer balancer(settings);
@@ -117,7 +116,7 @@
   EXPECT_TRUE(balancer.at(0, AnswerProgress{"r", 0, 0, 0, 10, 100}).empty());
 }
 
-// Danger: whatever an answer's progress, an unsafe request is not sent twice, and none beyond its time.
+// Whatever an answer's progress, an unsafe request is not sent twice, and none beyond its time.
 TEST(Progress, AnUnsafeRequestThatStopsArrivingIsNotSentAgain) {
   TestBalancer balancer(basic_settings(class_of(Effect::kUnsafe)));
   balancer.at(0, members(4));
--- a/tests/random_test.cpp
+++ b/tests/random_test.cpp
@@ -1,5 +1,6 @@
-// The four rules under random legal orders of events, with fixed seeds: restarts of copies and servers,
-// drains, stale, partial, failed, empty and full lists, early leavers, late and doubled outcomes.
+// The four rules under random legal orders of events with fixed seeds: restarts of balancers and servers,
+// drains, stale, partial, failed, empty and full lists, clients that leave early, late and duplicate
+// outcomes.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -141,7 +142,7 @@
     }
   }
 
-  // Ends a random open attempt, or one whose time is up.
+  // Ends an open attempt: a random one, or one whose time is up.
   void end(const std::string& id, std::size_t at, Outcome outcome) {
     OpenRequest& r = requests_.at(id);
     SentAttempt& s = r.sent[at];
@@ -174,7 +175,7 @@
     if (r.finished) requests_.erase(it);
   }
 
-  // Attempts end at their time-out; none may be out, and none unanswered, after the client's time.
+  // Ends attempts at their timeouts; after the client's time none may be in flight and no request unanswered.
   void check_deadlines() {
     std::vector<std::pair<std::string, std::size_t>> due;
     for (const auto& [id, r] : requests_) {
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -1,4 +1,5 @@
-// The four rules, each on its own.
+// The four rules, each on its own: no double effect, no request lost, drains kept, cold servers within
+// budget.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -27,7 +28,7 @@
   return m;
 }
 
-// Every effect and scope against every failure: what may be sent again, where, and what may be refused.
+// Every effect and scope with every failure: what may be sent again, where to, and what may be refused.
 TEST(NoDoubleEffect, RepeatMatrix) {
   const std::pair<Effect, DedupScope> kinds[] = {{Effect::kSafe, DedupScope::kCell},
                                                  {Effect::kKeyed, DedupScope::kAll},
@@ -85,7 +86,7 @@
   EXPECT_TRUE(all<Send>(balancer.end("r", Outcome::kError)).empty());
 }
 
-// Orders in which an outcome, the deadline and the client's leaving can meet: one final answer, none after.
+// An outcome, the deadline and the client's leaving may come in any order: one final answer, then none.
 TEST(NoneLost, OneFinalAnswerUnderEveryOrder) {
   for (const Outcome outcome : kFailures) {
     for (const bool gone_first : {false, true}) {
@@ -222,11 +223,11 @@
   EXPECT_TRUE(balancer.at(0, failed).empty());
 }
 
-// Several copies, one server that has just started: together they stay within what it can take.
+// Several balancers and one server that has just started: together they stay within what it can take.
 TEST(ColdServer, TheCopiesTogetherKeepTheBudget) {
   constexpr int kCopies = 10;
   constexpr int kServers = 10;
-  constexpr double kRate = 20;  // a copy; a server's part is 20 a second over all copies
+  constexpr double kRate = 20;  // per balancer; a server's share is 20 a second over all balancers
   Settings s = basic_settings();
   s.copy_count = kCopies;
   s.start_capacity = 0.14;
@@ -262,13 +263,12 @@
     EXPECT_LE(static_cast<double>(in_window), 3 * able * 2) << "at " << t;
   }
   EXPECT_GT(sends.size(), 50U) << "a cold server must get some work, or it never warms";
-  // Danger: held to a warm one's load, a server that warms with its work stays cold while the rest is
-  // crowded.
+  // Held to the load of a warm one, a server that warms by its work stays cold while the rest is crowded.
   const auto early = std::count_if(sends.begin(), sends.end(), [](double at) { return at < 118; });
   EXPECT_GE(early, 28);
 }
 
-// Danger: with a call each to start with, a crowd of copies spends a cold fleet's budget at once.
+// If each of many balancers starts with a call, they spend a cold tier's budget at once.
 TEST(ColdServer, ManyCopiesDoNotStartTogether) {
   Settings s = basic_settings();
   s.copy_count = 29;
--- a/tests/system/quota_test.cpp
+++ b/tests/system/quota_test.cpp
@@ -1,4 +1,4 @@
-// Tenants' quotas over many nodes: never more than the bounds allow, and hardly less than the limit.
+// Tenant quotas over many nodes: never more than the bounds allow, and hardly less than the limit.
 #include "routing/quota.h"
 
 #include <catch2/catch.hpp>
@@ -24,7 +24,7 @@
   std::size_t most_in_window = 0, taken = 0, asked = 0;
 };
 
-// Nodes that ask an owner for tokens, some of which lose touch with it; owners that are succeeded.
+// Nodes that ask an owner for tokens, some of which lose contact with it, and owners with successors.
 QuotaRun play(std::uint64_t seed, double rate, double burst, double demand, std::size_t nodes, bool faults) {
   std::mt19937_64 random(seed);
   const auto configuration = configuration_with(rate, burst);
@@ -56,7 +56,7 @@
             nodes);
       }
     }
-    // Uneven: the first nodes get more, and demand swings, so that buckets fill up before each flood.
+    // Uneven: the first nodes get more, and demand swings, so that buckets fill before each flood.
     const double now_demand = demand * (now / swing_ms % 2 == 0 ? 1.9 : 0.1);
     const auto call = [&](std::size_t node, Millis until) {
       switch (leases[node].acquire(now, tenant)) {
@@ -74,7 +74,7 @@
     std::vector<std::pair<std::size_t, Millis>> again;
     again.swap(waiting);
     for (const auto& [node, until] : again) call(node, until);
-    // Calls come in clumps, as users' do, and wait a moment for a grant.
+    // Calls come in bursts, and wait a moment for a grant.
     constexpr int kClump = 5;
     for (double due = now_demand * 0.005 / kClump; due > 0; due -= 1) {
       if (due < 1 && static_cast<double>(random() % 1000) / 1000 > due) break;
@@ -105,7 +105,7 @@
   }
 }
 
-// Nodes fill up while a tenant asks for little; then a flood comes to all of them at once.
+// Nodes collect tokens while a tenant asks for little; then a flood comes to all of them at once.
 TEST_CASE("what many nodes hold unused fits into a window beside the rate") {
   const std::size_t nodes = GENERATE(10, 30, 81, 340);
   const double rate = GENERATE(30.0, 56.0, 81.0, 330.0);
@@ -148,7 +148,7 @@
   CHECK(static_cast<double>(run.taken) >= 0.97 * static_cast<double>(run.asked));
 }
 
-// A leader whose link is full hears the polls and answers them seconds later.
+// A leader with a congested link receives the polls and answers them seconds later.
 TEST_CASE("a grant that comes after the node fell back on its fixed part is not used as well") {
   const auto configuration = configuration_with(40, 40);
   const Tenant& tenant = *configuration->tenant_named("t");
