--- a/tests/system/batch_test.cpp
+++ b/tests/system/batch_test.cpp
@@ -98,16 +98,16 @@
   const std::string body(200000, 'b');
   int next = 0;
   StoreId identity = 0;
-  for (int life = 0; life < 4; ++life) {
+  for (int start = 0; start < 4; ++start) {
     JobTable table;
     JobJournal::Options options;
     options.directory = folder.path();
     options.disk_mb = 84;
-    auto journal = JobJournal::open(options, 55 + static_cast<StoreId>(life), table, 5);
+    auto journal = JobJournal::open(options, 55 + static_cast<StoreId>(start), table, 5);
     REQUIRE(journal.ok());
-    if (life == 0) identity = (*journal)->disk_id();
+    if (start == 0) identity = (*journal)->disk_id();
     CHECK((*journal)->disk_id() == identity);
-    CHECK(table.jobs().size() == (life == 0 ? 0 : 2));
+    CHECK(table.jobs().size() == (start == 0 ? 0 : 2));
     const auto change = [&](const JobChange& c) {
       const absl::Status status = (*journal)->append(c);
       INFO(status.message());
@@ -118,7 +118,7 @@
         if (!(*journal)->reclaim(*plan).ok()) break;
       }
     };
-    if (life == 0) change(new_job("stays", 1));
+    if (start == 0) change(new_job("stays", 1));
     // Writes far more than fits: 40 jobs of 8 MB after each start, on 84 MB of disk.
     for (int i = 0; i < 40; ++i, ++next) {
       JobChange job = new_job("job" + std::to_string(next), 40);
--- a/tests/system/storage_test.cpp
+++ b/tests/system/storage_test.cpp
@@ -70,14 +70,14 @@
 TEST_CASE("synced records are shown in order after each start, over several segments") {
   TempDirectory folder;
   std::vector<std::string> written;
-  for (int life = 0; life < 3; ++life) {
+  for (int start = 0; start < 3; ++start) {
     std::vector<std::string> seen;
     auto ring = SegmentRing::open(options_in(folder.path(), 600, 16),
                                   [&](std::string_view record, Generation) { seen.emplace_back(record); });
     REQUIRE(ring.ok());
     CHECK(seen == written);
     for (int i = 0; i < 12; ++i) {
-      written.push_back("life " + std::to_string(life) + " record " + std::to_string(i) +
+      written.push_back("life " + std::to_string(start) + " record " + std::to_string(i) +
                         std::string(60, '.'));
       REQUIRE((*ring)->append(written.back()).ok());
       REQUIRE((*ring)->sync().ok());
