--- a/tests/peers/processes_test.cpp
+++ b/tests/peers/processes_test.cpp
@@ -69,18 +69,18 @@
   }
   return true;
 }
-std::vector<std::size_t> up_to(std::size_t count) {
+std::vector<std::size_t> first_nodes(std::size_t count) {
   std::vector<std::size_t> out;
   for (std::size_t i = 0; i < count; ++i) out.push_back(i);
   return out;
 }
-bool hold(ProcessWorld& w, const std::vector<std::size_t>& who, const std::string& member,
-          const std::string& state) {
+bool all_hold(ProcessWorld& w, const std::vector<std::size_t>& who, const std::string& member,
+              const std::string& state) {
   return std::all_of(who.begin(), who.end(),
                      [&](std::size_t i) { return view(w, i).state(member) == state; });
 }
 
-#define UNTIL(...) ASSERT_TRUE(ProcessWorld::until([&] { return __VA_ARGS__; })) << #__VA_ARGS__
+#define ASSERT_EVENTUALLY(...) ASSERT_TRUE(ProcessWorld::until([&] { return __VA_ARGS__; })) << #__VA_ARGS__
 
 std::uint64_t cut(ProcessWorld& w, std::size_t from, std::size_t to) {
   WayFaults f;
@@ -93,16 +93,16 @@
 TEST(PeersProcesses, FindEachOtherAndHearOfDeathsAndGoodbyes) {
   ProcessWorld w(world_with_control(5));
   w.start();
-  UNTIL(all_see_alive(w, up_to(5)));
+  ASSERT_EVENTUALLY(all_see_alive(w, first_nodes(5)));
   w.end_node(3, SIGKILL);
-  UNTIL(hold(w, {0, 1, 2, 4}, "n3", "dead"));
+  ASSERT_EVENTUALLY(all_hold(w, {0, 1, 2, 4}, "n3", "dead"));
   w.node(4).signal(SIGTERM);
-  UNTIL(hold(w, {0, 1, 2}, "n4", "leaving"));
+  ASSERT_EVENTUALLY(all_hold(w, {0, 1, 2}, "n4", "leaving"));
   EXPECT_EQ(w.node(4).exit_code(), 0);
-  UNTIL(hold(w, {0, 1, 2}, "n4", "left"));
+  ASSERT_EVENTUALLY(all_hold(w, {0, 1, 2}, "n4", "left"));
   w.end_node(4, SIGKILL);
   for (const std::size_t i : {3, 4}) w.start_node(i);
-  UNTIL(all_see_alive(w, up_to(5)));
+  ASSERT_EVENTUALLY(all_see_alive(w, first_nodes(5)));
   const Timeline t = w.finish();
   EXPECT_EQ(broken_rules(membership_rules(bounds()), t), "");
 }
@@ -110,13 +110,13 @@
 TEST(PeersProcesses, TheDecisionModuleFollowsTheLiving) {
   ProcessWorld w(world_with_control(4));
   w.start();
-  UNTIL(all_see_alive(w, up_to(4)));
+  ASSERT_EVENTUALLY(all_see_alive(w, first_nodes(4)));
   w.end_node(0, SIGKILL);
-  UNTIL(count_events(w.node(3).log(), "copies") >= 1);
+  ASSERT_EVENTUALLY(count_events(w.node(3).log(), "copies") >= 1);
   EXPECT_NE(w.node(3).log().find(R"("event":"copies","index":2,"count":3)"), std::string::npos)
       << w.node(3).log();
   w.start_node(0);
-  UNTIL(w.node(3).log().find(R"("event":"copies","index":3,"count":4)") != std::string::npos);
+  ASSERT_EVENTUALLY(w.node(3).log().find(R"("event":"copies","index":3,"count":4)") != std::string::npos);
   w.finish();
 }
 
@@ -125,9 +125,9 @@
   s.process.operator_file = peers_file("follow = false\n[control]\nsocket = \"{state}/control\"\n");
   ProcessWorld w(s);
   w.start();
-  UNTIL(all_see_alive(w, up_to(3)));
+  ASSERT_EVENTUALLY(all_see_alive(w, first_nodes(3)));
   w.end_node(0, SIGKILL);
-  UNTIL(view(w, 2).copies() == 2);  // it knows the count,
+  ASSERT_EVENTUALLY(view(w, 2).copies() == 2);  // it knows the count,
   EXPECT_EQ(count_events(w.node(2).log(), "copies"), 0U) << "and reports it to nobody";
   EXPECT_FALSE(view(w, 2).report["copies"]["followed"].GetBool());
   w.finish();
@@ -137,7 +137,7 @@
 TEST(PeersProcesses, TakeOverAddressesAfterSighup) {
   ProcessWorld w(world_with_control(2));
   w.start();
-  UNTIL(all_see_alive(w, up_to(2)));
+  ASSERT_EVENTUALLY(all_see_alive(w, first_nodes(2)));
   std::vector<std::unique_ptr<NodeProcess>> nodes;
   for (std::size_t i = 0; i < 2; ++i) {
     w.end_node(i, SIGKILL);
@@ -146,10 +146,10 @@
     nodes.push_back(std::make_unique<NodeProcess>(NODE, config, w.options_of(i)));
     nodes.back()->await_ready();
   }
-  UNTIL(view(w, 0).counter("sent") >= 4);  // it sent requests, and nobody answered
+  ASSERT_EVENTUALLY(view(w, 0).counter("sent") >= 4);  // it sent requests, and nobody answered
   EXPECT_EQ(view(w, 0).report["living"].GetInt(), 1);
   for (std::size_t i = 0; i < 2; ++i) nodes[i]->reload(w.config_of(i));
-  UNTIL(all_see_alive(w, up_to(2)));
+  ASSERT_EVENTUALLY(all_see_alive(w, first_nodes(2)));
   nodes.clear();
   w.finish();
 }
@@ -176,14 +176,14 @@
     config.everyone = w.network().udp_all(w.machine(i), w.peer_port()).text();
     nodes.push_back(std::make_unique<NodeProcess>(NODE, config, w.options_of(i)));
   }
-  UNTIL(count_events(nodes[0]->log(), "member_alive", "n1") +
-            count_events(nodes[0]->log(), "member_described", "n1") >=
-        1);
-  UNTIL(count_events(nodes[1]->log(), "member_alive", "n0") +
-            count_events(nodes[1]->log(), "member_described", "n0") >=
-        1);
+  ASSERT_EVENTUALLY(count_events(nodes[0]->log(), "member_alive", "n1") +
+                        count_events(nodes[0]->log(), "member_described", "n1") >=
+                    1);
+  ASSERT_EVENTUALLY(count_events(nodes[1]->log(), "member_alive", "n0") +
+                        count_events(nodes[1]->log(), "member_described", "n0") >=
+                    1);
   nodes[1]->signal(SIGTERM);
-  UNTIL(count_events(nodes[0]->log(), "member_left", "n1") == 1);
+  ASSERT_EVENTUALLY(count_events(nodes[0]->log(), "member_left", "n1") == 1);
   nodes.clear();
   w.finish();
 }
@@ -193,21 +193,21 @@
 TEST(PeersProcesses, AShortPauseIsForgivenAndALongOneEndsInANewLife) {
   ProcessWorld w(world_with_control(6));
   w.start();
-  UNTIL(all_see_alive(w, up_to(6)));
+  ASSERT_EVENTUALLY(all_see_alive(w, first_nodes(6)));
   w.node(2).pause();
   std::this_thread::sleep_for(std::chrono::milliseconds(200));  // half a probe interval
   w.node(2).resume();
-  UNTIL(all_see_alive(w, up_to(6)));
+  ASSERT_EVENTUALLY(all_see_alive(w, first_nodes(6)));
   EXPECT_EQ(view(w, 2).counter("rebirths"), 0);
   const std::int64_t generation = view(w, 0).generation("n2");
   w.node(2).pause();
-  UNTIL(hold(w, {0, 1, 3, 4, 5}, "n2", "dead"));
+  ASSERT_EVENTUALLY(all_hold(w, {0, 1, 3, 4, 5}, "n2", "dead"));
   std::this_thread::sleep_for(std::chrono::seconds(2));
   const double woke = now();
   w.node(2).resume();
-  UNTIL(view(w, 2).counter("rebirths") >= 1);
+  ASSERT_EVENTUALLY(view(w, 2).counter("rebirths") >= 1);
   EXPECT_LT(now() - woke, 5) << "only a bound for a hanging test; the time is measured by the bench";
-  UNTIL(all_see_alive(w, up_to(6)));
+  ASSERT_EVENTUALLY(all_see_alive(w, first_nodes(6)));
   EXPECT_GT(view(w, 0).generation("n2"), generation);
   // After the stall it must not declare others dead from outdated findings.
   EXPECT_EQ(count_events(w.node(2).log(), "member_dead"), 0U) << w.node(2).log();
@@ -218,7 +218,7 @@
 TEST(PeersProcesses, ASlowNodeDoesNotAccuseTheFleet) {
   ProcessWorld w(world_with_control(8));
   w.start();
-  UNTIL(all_see_alive(w, up_to(8)));
+  ASSERT_EVENTUALLY(all_see_alive(w, first_nodes(8)));
   w.play("at 0.1 n3: starve 0.2 for 6", 7);
   for (std::size_t i = 0; i < 8; ++i) {
     for (std::size_t j = 0; j < 8; ++j) {
@@ -255,7 +255,7 @@
                    const auto& [what, set] = cases[static_cast<std::size_t>(c)];
                    ProcessWorld w(world_with_control(9));
                    w.start();
-                   if (!ProcessWorld::until([&] { return all_see_alive(w, up_to(9)); }))
+                   if (!ProcessWorld::until([&] { return all_see_alive(w, first_nodes(9)); }))
                      return std::string(what) + ": the nodes do not find each other\n";
                    set(w);
                    w.play("", 10);  // 25 probe intervals
@@ -273,26 +273,26 @@
 TEST(PeersProcesses, AQuarterLostAndBurstsOfAllMakeNobodyDead) {
   ProcessWorld w(world_with_control(10));
   w.start();
-  UNTIL(all_see_alive(w, up_to(10)));
+  ASSERT_EVENTUALLY(all_see_alive(w, first_nodes(10)));
   w.play(
       "nodes -> nodes: loss 0.25 for 12\nat 5 nodes -> nodes: cut for 0.5\nat 9 nodes -> nodes: loss 0.3 "
       "burst 4 for 2",
       13);
   for (std::size_t i = 0; i < 10; ++i) EXPECT_EQ(count_events(w.node(i).log(), "member_dead"), 0U) << i;
-  UNTIL(all_see_alive(w, up_to(10)));
+  ASSERT_EVENTUALLY(all_see_alive(w, first_nodes(10)));
   w.finish();
 }
 
 TEST(PeersProcesses, DuplicatesReorderingAndCorruptionAcrossARestartAreBorne) {
   ProcessWorld w(world_with_control(6));
   w.start();
-  UNTIL(all_see_alive(w, up_to(6)));
+  ASSERT_EVENTUALLY(all_see_alive(w, first_nodes(6)));
   w.play(
       "nodes -> nodes: duplicate 0.4 for 6\nnodes -> nodes: delay 0.01 jitter 0.1 for 6\nnodes -> nodes: "
       "reorder 0.4 "
       "for 6\nnodes -> nodes: corrupt 0.1 for 6\nat 2 n2: restart\nat 3 n4: restart",
       7);
-  UNTIL(all_see_alive(w, up_to(6)));
+  ASSERT_EVENTUALLY(all_see_alive(w, first_nodes(6)));
   EXPECT_GT(view(w, 0).counter("refused_seal"), 0) << "corrupted datagrams are counted";
   EXPECT_GT(view(w, 0).counter("refused_replay"), 0) << "so are duplicates";
   const Timeline t = w.finish();
@@ -306,7 +306,7 @@
                    const std::size_t zones = static_cast<std::size_t>(c) + 2;
                    ProcessWorld w(world_with_control(9, 4, zones));
                    w.start();
-                   if (!ProcessWorld::until([&] { return all_see_alive(w, up_to(9)); }))
+                   if (!ProcessWorld::until([&] { return all_see_alive(w, first_nodes(9)); }))
                      return "the nodes do not find each other\n";
                    w.end_node(8, SIGKILL);
                    std::vector<std::uint64_t> faults;
@@ -348,16 +348,16 @@
 TEST(PeersProcesses, SevenInTenKilledAtOnceAndAllRestartedAtOnce) {
   ProcessWorld w(world_with_control(10));
   w.start();
-  UNTIL(all_see_alive(w, up_to(10)));
+  ASSERT_EVENTUALLY(all_see_alive(w, first_nodes(10)));
   for (std::size_t i = 3; i < 10; ++i) w.end_node(i, SIGKILL);
-  UNTIL(all_see_alive(w, {0, 1, 2}));
-  UNTIL(view(w, 1).copies() == 3);
+  ASSERT_EVENTUALLY(all_see_alive(w, {0, 1, 2}));
+  ASSERT_EVENTUALLY(view(w, 1).copies() == 3);
   for (std::size_t i = 3; i < 10; ++i) w.start_node(i);
-  UNTIL(all_see_alive(w, up_to(10)));
-  UNTIL(view(w, 1).copies() == 10);
+  ASSERT_EVENTUALLY(all_see_alive(w, first_nodes(10)));
+  ASSERT_EVENTUALLY(view(w, 1).copies() == 10);
   for (std::size_t i = 0; i < 10; ++i) w.end_node(i, SIGKILL);
   for (std::size_t i = 0; i < 10; ++i) w.start_node(i);
-  UNTIL(all_see_alive(w, up_to(10)));
+  ASSERT_EVENTUALLY(all_see_alive(w, first_nodes(10)));
   w.finish();
 }
 
@@ -367,12 +367,12 @@
   s.process.operator_file.replace(s.process.operator_file.find("hold_lost_ms = 800\n"), 19, "");
   ProcessWorld w(s);
   w.start();
-  UNTIL(all_see_alive(w, up_to(5)));
+  ASSERT_EVENTUALLY(all_see_alive(w, first_nodes(5)));
   w.play(
       "at 0.2 n0: term for 0.1\nat 2.2 n1: term for 0.1\nat 4.2 n2: term for 0.1\nat 6.2 n3: term for "
       "0.1\nat 8.2 n4: term for 0.1",
       11);
-  UNTIL(all_see_alive(w, up_to(5)));
+  ASSERT_EVENTUALLY(all_see_alive(w, first_nodes(5)));
   for (std::size_t i = 0; i < 5; ++i)
     EXPECT_EQ(count_events(w.node(i).log(), "copies"), 0U) << w.node(i).log();
   const Timeline t = w.finish();
@@ -409,30 +409,30 @@
 TEST(PeersProcesses, OfTwoUnderOneNameTheNewcomerIsRefusedAndBothAreTold) {
   ProcessWorld w(world_with_control(5));
   w.start();
-  UNTIL(all_see_alive(w, up_to(5)));
-  UNTIL(view(w, 2).counter("probes") >= 4);  // it has joined
+  ASSERT_EVENTUALLY(all_see_alive(w, first_nodes(5)));
+  ASSERT_EVENTUALLY(view(w, 2).counter("probes") >= 4);  // it has joined
   const std::int64_t generation = view(w, 0).generation("n2");
   ExtraNode twin(w, 5, 2);
   ASSERT_TRUE(ProcessWorld::until([&] { return count_events(twin.process->log(), "refused") == 1; }))
       << twin.process->log() << ask_control(twin.socket, "peers") << w.node(0).log();
   EXPECT_GE(count_events(twin.process->log(), "namesake"), 1U);
-  UNTIL(count_events(w.node(2).log(), "namesake") >= 1);
+  ASSERT_EVENTUALLY(count_events(w.node(2).log(), "namesake") >= 1);
   EXPECT_EQ(count_events(w.node(2).log(), "refused"), 0U);
   EXPECT_EQ(view(w, 0).generation("n2"), generation) << "the holder of the name stays";
   EXPECT_EQ(twin.process->health(), 200) << "the refused one goes on serving";
-  UNTIL(all_see_alive(w, up_to(5)));
+  ASSERT_EVENTUALLY(all_see_alive(w, first_nodes(5)));
   w.finish();
 }
 
 TEST(PeersProcesses, WhoComesBackAtAnotherAddressIsTakenInUnderItsName) {
   ProcessWorld w(world_with_control(5));
   w.start();
-  UNTIL(all_see_alive(w, up_to(5)));
+  ASSERT_EVENTUALLY(all_see_alive(w, first_nodes(5)));
   const std::int64_t generation = view(w, 0).generation("n2");
   w.end_node(2, SIGKILL);
   ExtraNode moved(w, 5, 2);  // before its death is known
   const std::vector<std::size_t> others = {0, 1, 3, 4};
-  UNTIL(std::all_of(others.begin(), others.end(), [&](std::size_t i) {
+  ASSERT_EVENTUALLY(std::all_of(others.begin(), others.end(), [&](std::size_t i) {
     const View v = view(w, i);
     return v.state("n2") == "alive" && v.generation("n2") > generation;
   }));
@@ -446,16 +446,16 @@
   s.seams = std::string("LD_PRELOAD=") + SEAMS;
   ProcessWorld w(s);
   w.start();
-  UNTIL(all_see_alive(w, up_to(5)));
+  ASSERT_EVENTUALLY(all_see_alive(w, first_nodes(5)));
   w.play(
       "at 0.1 n1: clock -7200\nat 0.1 n2: clock 7200\nat 0.5 n1: restart\nat 0.5 n2: restart\nat 1.5 n2: "
       "clock -90000\nat 2 n2: restart\nat 2.5 n1: clock 40",
       4);
-  UNTIL(all_see_alive(w, up_to(5)));
+  ASSERT_EVENTUALLY(all_see_alive(w, first_nodes(5)));
   w.end_node(2, SIGKILL);
-  UNTIL(hold(w, {0, 1, 3, 4}, "n2", "dead"));
+  ASSERT_EVENTUALLY(all_hold(w, {0, 1, 3, 4}, "n2", "dead"));
   w.start_node(2);  // with a generation far below the one that has ended
-  UNTIL(all_see_alive(w, up_to(5)));
+  ASSERT_EVENTUALLY(all_see_alive(w, first_nodes(5)));
   w.finish();
 }
 #endif
@@ -492,7 +492,7 @@
 TEST(PeersProcesses, ALiarInEveryFieldAndAFloodHarmNobodyForLong) {
   ProcessWorld w(world_with_control(5));
   w.start();
-  UNTIL(all_see_alive(w, up_to(5)));
+  ASSERT_EVENTUALLY(all_see_alive(w, first_nodes(5)));
   ForgedSender forger(w, 1);
   peers::DatagramCodec wire({});
   std::mt19937_64 random(5);
@@ -523,7 +523,7 @@
   }
   // The attacked node goes on serving, and its view and those of the others recover.
   const auto serving = [&] { return w.node(1).health() == 200; };
-  UNTIL(serving());
+  ASSERT_EVENTUALLY(serving());
   const auto all_see_all = [&] {
     for (std::size_t i = 0; i < 5; ++i) {
       const View v = view(w, i);
@@ -548,7 +548,7 @@
       peers_file("key_file = \"" + keys + "\"\n[control]\nsocket = \"{state}/control\"\n");
   ProcessWorld w(s);
   w.start();
-  UNTIL(all_see_alive(w, up_to(4)));
+  ASSERT_EVENTUALLY(all_see_alive(w, first_nodes(4)));
   EXPECT_TRUE(view(w, 0).report["sealed"].GetBool());
   ForgedSender forger(w, 1);
   peers::DatagramCodec open({}), other({"nettlestand", {std::string(32, 'x')}});
@@ -560,9 +560,9 @@
     forger.send(open.encode(m));
     forger.send(other.encode(m));
   }
-  UNTIL(view(w, 1).counter("refused_seal") >= 40);
+  ASSERT_EVENTUALLY(view(w, 1).counter("refused_seal") >= 40);
   EXPECT_EQ(view(w, 1).report["living"].GetInt(), 4);
-  UNTIL(count_events(w.node(1).log(), "dropped") >= 1);
+  ASSERT_EVENTUALLY(count_events(w.node(1).log(), "dropped") >= 1);
   // All nodes accept the second key before the first of them authenticates with it; then the first key is
   // dropped.
   for (const std::string& text : {one + "\n" + two + "\n", two + "\n" + one + "\n", two + "\n"}) {
@@ -573,10 +573,10 @@
     }
     for (std::size_t i = 0; i < 4; ++i) {
       const auto before = view(w, i).counter("received");
-      UNTIL(view(w, i).counter("received") > before + 10);
+      ASSERT_EVENTUALLY(view(w, i).counter("received") > before + 10);
     }
   }
-  UNTIL(all_see_alive(w, up_to(4)));
+  ASSERT_EVENTUALLY(all_see_alive(w, first_nodes(4)));
   for (std::size_t i = 0; i < 4; ++i) EXPECT_EQ(count_events(w.node(i).log(), "member_dead"), 0U);
   w.finish();
   std::remove(keys.c_str());
--- a/tests/zones/failover_test.cpp
+++ b/tests/zones/failover_test.cpp
@@ -15,21 +15,22 @@
 namespace nettlestand::zones {
 namespace {
 
-constexpr double kStep = 0.1, kEvery = 0.2;  // s; of the simulation, and of reports and plans
-constexpr double kLease = 3;                 // s
-constexpr double kBears = 100;               // calls/s that a zone's warm servers can take
-constexpr std::size_t kNodes = 3;            // in a zone
+constexpr double kStepSeconds = 0.1,
+                 kReportIntervalSeconds = 0.2;  // s; of the simulation, and of reports and plans
+constexpr double kLeaseSeconds = 3;             // s
+constexpr double kZoneCapacity = 100;           // calls/s that a zone's warm servers can take
+constexpr std::size_t kNodesPerZone = 3;        // in a zone
 
 struct ZoneSimulation {
   explicit ZoneSimulation(std::size_t zones, unsigned seed)
-      : random(seed), capacity(zones, kBears), demand(zones, 50), nodes_gone(zones) {
+      : random(seed), capacity(zones, kZoneCapacity), demand(zones, 50), nodes_gone(zones) {
     s.classes = {Affinity::kNone};
     s.load_per_weight = 1000;
     s.distance.assign(zones, std::vector<double>(zones));
     for (std::size_t a = 0; a < zones; ++a) {
       s.zones.push_back({std::string(1, static_cast<char>('a' + a)), a < 2 ? "west" : "east"});
       for (std::size_t b = 0; b < zones; ++b) s.distance[a][b] = a == b ? 0 : (a < 2) == (b < 2) ? 1 : 8;
-      for (std::size_t i = 0; i < kNodes; ++i) {
+      for (std::size_t i = 0; i < kNodesPerZone; ++i) {
         followers.push_back(
             std::make_unique<PlanFollower>(PlanFollowerSettings{s.zones[a].zone, s.classes, 10}));
       }
@@ -48,37 +49,39 @@
     planner = std::make_unique<Planner>(p);
   }
 
-  struct Late {
+  struct PlanInFlight {
     double at, made;
     std::size_t node;
     Plan plan;
   };
 
   std::size_t zones() const { return s.zones.size(); }
-  double draw(double most) { return std::uniform_real_distribution<>(0, most)(random); }
+  double random_below(double most) { return std::uniform_real_distribution<>(0, most)(random); }
 
   // Runs until `until`; `change` is called at each step.
   void run(double until, const std::function<void(ZoneSimulation&)>& change = {}) {
-    for (; at < until - 1e-9; at += kStep) {
+    for (; at < until - 1e-9; at += kStepSeconds) {
       if (change) change(*this);
-      const auto step = static_cast<std::int64_t>(std::llround(at / kStep));
-      if (step % static_cast<std::int64_t>(std::llround(kEvery / kStep)) == 0) {
-        for (std::size_t i = 0; i < followers.size(); ++i) tell(i);
-        if (decides) decide();
+      const auto step = static_cast<std::int64_t>(std::llround(at / kStepSeconds));
+      if (step % static_cast<std::int64_t>(std::llround(kReportIntervalSeconds / kStepSeconds)) == 0) {
+        for (std::size_t i = 0; i < followers.size(); ++i) send_report(i);
+        if (planner_runs) decide();
       }
-      while (!late.empty() && late.front().at <= at) {
-        followers[late.front().node]->offer(late.front().plan, at - late.front().made, at);
-        late.pop_front();
+      while (!in_flight.empty() && in_flight.front().at <= at) {
+        followers[in_flight.front().node]->offer(in_flight.front().plan, at - in_flight.front().made, at);
+        in_flight.pop_front();
       }
-      flow();
+      route_demand();
     }
   }
 
-  void tell(std::size_t i) {
-    const std::size_t zone = i / kNodes;
-    if (nodes_gone[zone] || draw(1) < loss) return;
-    NodeReport r{
-        "n" + std::to_string(i), s.zones[zone].zone, {static_cast<Load>(1000 * demand[zone] / kNodes)}, {}};
+  void send_report(std::size_t i) {
+    const std::size_t zone = i / kNodesPerZone;
+    if (nodes_gone[zone] || random_below(1) < loss) return;
+    NodeReport r{"n" + std::to_string(i),
+                 s.zones[zone].zone,
+                 {static_cast<Load>(1000 * demand[zone] / kNodesPerZone)},
+                 {}};
     for (std::size_t b = 0; b < zones(); ++b) {
       ZoneView v{std::max(0.0, capacity[b]), 1, 1};
       if (bad_view) bad_view(zone, b, v);
@@ -91,47 +94,48 @@
     Plan plan = planner->make_plan(evidence->plan_input(at));
     plan.token = token;
     plan.epoch = ++epoch;
-    plan.lease = kLease;
+    plan.lease = kLeaseSeconds;
     last = plan;
     for (std::size_t i = 0; i < followers.size(); ++i) {
-      if (draw(1) >= loss) late.push_back({at + draw(0.3), at, i, plan});
+      if (random_below(1) >= loss) in_flight.push_back({at + random_below(0.3), at, i, plan});
     }
-    std::stable_sort(late.begin(), late.end(), [](const Late& x, const Late& y) { return x.at < y.at; });
+    std::stable_sort(in_flight.begin(), in_flight.end(),
+                     [](const PlanInFlight& x, const PlanInFlight& y) { return x.at < y.at; });
   }
 
-  void flow() {
+  void route_demand() {
     const std::size_t n = zones();
-    std::vector<double> near(n), came(n);
+    std::vector<double> near(n), moved_in(n);
     double asked = 0;
     for (std::size_t i = 0; i < followers.size(); ++i) {
-      const std::size_t a = i / kNodes;
+      const std::size_t a = i / kNodesPerZone;
       if (nodes_gone[a]) continue;
-      const double mine = demand[a] / kNodes;
+      const double mine = demand[a] / kNodesPerZone;
       asked += mine;
       const TrafficSplit shares = followers[i]->split(std::min(1.0, capacity[a] / std::max(demand[a], 1e-9)),
                                                       growth(a), s.distance[a], at);
       for (std::size_t z = 0; z < shares.zones.size(); ++z) {
         const auto b = static_cast<std::size_t>(shares.zones[z][0] - 'a');
-        (a == b ? near[a] : came[b]) += mine * shares.fractions[0][z];
+        (a == b ? near[a] : moved_in[b]) += mine * shares.fractions[0][z];
       }
     }
     moved = served = 0;
     for (std::size_t b = 0; b < n; ++b) {
       // The decision module admits no more in its own zone.
       const double kept = std::min(near[b], capacity[b]);
-      moved += came[b];
-      served += std::min(capacity[b], kept + came[b]);
-      const double over = kept + came[b] - 1.05 * capacity[b];
-      if (came[b] <= 0.01 || over <= 0.01)
+      moved += moved_in[b];
+      served += std::min(capacity[b], kept + moved_in[b]);
+      const double over = kept + moved_in[b] - 1.05 * capacity[b];
+      if (moved_in[b] <= 0.01 || over <= 0.01)
         over_since[b] = -1;
       else if (over_since[b] < 0)
         over_since[b] = at;
-      if (over_since[b] >= 0) longest_over = std::max(longest_over, at - over_since[b] + kStep);
+      if (over_since[b] >= 0) longest_over = std::max(longest_over, at - over_since[b] + kStepSeconds);
     }
     refused = asked - served;
     // A reversal counts if it exceeds a tenth of a zone's capacity.
     if (rising ? moved > extreme : moved < extreme) extreme = moved;
-    if (std::abs(moved - extreme) > 0.1 * kBears) {
+    if (std::abs(moved - extreme) > 0.1 * kZoneCapacity) {
       if (turned) ++reversals;
       turned = true;
       rising = moved > extreme;
@@ -152,14 +156,14 @@
   std::vector<bool> nodes_gone;
   std::function<void(std::size_t, std::size_t, ZoneView&)> bad_view;
   double loss = 0;
-  bool decides = true;
+  bool planner_runs = true;
 
   double at = 0;
   std::uint64_t token = 0, epoch = 0;
   std::unique_ptr<ReportAggregator> evidence;
   std::unique_ptr<Planner> planner;
   std::vector<std::unique_ptr<PlanFollower>> followers;
-  std::deque<Late> late;
+  std::deque<PlanInFlight> in_flight;
   Plan last;
 
   double moved = 0, served = 0, refused = 0, longest_over = 0;
@@ -170,7 +174,7 @@
 };
 
 // A third of the capacity at first, all of it after 9 s.
-double ramp(double since) { return kBears * std::min(1.0, 0.33 + 0.67 * since / 9); }
+double ramp(double since) { return kZoneCapacity * std::min(1.0, 0.33 + 0.67 * since / 9); }
 
 class Courses : public ::testing::TestWithParam<unsigned> {
  protected:
@@ -248,18 +252,18 @@
   ZoneSimulation w = three();
   w.run(10);
   w.run(10.6, [](ZoneSimulation& x) { x.capacity[0] = 0; });
-  w.decides = false;
+  w.planner_runs = false;
   const Plan old = w.last;
   w.run(16, [](ZoneSimulation& x) { x.capacity[0] = 0; });
   EXPECT_LE(w.longest_over, 1);
   for (const auto& f : w.followers) EXPECT_EQ(f->plan(w.at), nullptr) << "it has expired";
   w.elect();
-  w.decides = true;
+  w.planner_runs = true;
   w.run(20, [](ZoneSimulation& x) { x.capacity[0] = 0; });
   for (const auto& f : w.followers) {
-    Plan late = old;
-    late.epoch += 100;
-    EXPECT_FALSE(f->offer(late, 0, w.at));
+    Plan outdated = old;
+    outdated.epoch += 100;
+    EXPECT_FALSE(f->offer(outdated, 0, w.at));
     EXPECT_EQ(f->plan(w.at)->token, 2U);
   }
   w.run(30, [](ZoneSimulation& x) { x.capacity[0] = 0; });
@@ -270,7 +274,7 @@
 TEST_P(Courses, NobodyDecidesAnyMore) {
   ZoneSimulation w = three();
   w.run(10);
-  w.decides = false;
+  w.planner_runs = false;
   double sent = 1e9;
   w.run(60, [&](ZoneSimulation& x) {
     x.capacity[0] = 0;
@@ -295,7 +299,7 @@
 TEST_P(Courses, AZoneThatFlapsEveryFourSeconds) {
   ZoneSimulation w = three();
   w.run(10);
-  w.run(70, [](ZoneSimulation& x) { x.capacity[0] = std::fmod(x.at, 4) < 2 ? 0 : kBears; });
+  w.run(70, [](ZoneSimulation& x) { x.capacity[0] = std::fmod(x.at, 4) < 2 ? 0 : kZoneCapacity; });
   EXPECT_NEAR(w.refused, 0, 0.5);
   EXPECT_NEAR(w.moved, 50, 0.5);
   EXPECT_EQ(w.reversals, 0);
@@ -307,8 +311,8 @@
   w.run(10);
   w.run(70, [](ZoneSimulation& x) {
     const bool first = std::fmod(x.at, 12) < 6;
-    x.capacity[0] = first ? 0 : kBears;
-    x.capacity[1] = first ? kBears : 0;
+    x.capacity[0] = first ? 0 : kZoneCapacity;
+    x.capacity[1] = first ? kZoneCapacity : 0;
   });
   EXPECT_LE(w.longest_over, 1);
   EXPECT_LE(w.reversals, 2);
--- a/tests/zones/plan_follower_test.cpp
+++ b/tests/zones/plan_follower_test.cpp
@@ -42,12 +42,12 @@
   return out;
 }
 
-PlanFollowerSettings in(const std::string& zone) { return {zone, kClasses, 10}; }
+PlanFollowerSettings settings_of(const std::string& zone) { return {zone, kClasses, 10}; }
 
 TEST(Follower, TakesNewerPlansAloneInWhateverOrderTheyCome) {
   std::vector<std::pair<std::uint64_t, std::uint64_t>> order = {{1, 1}, {1, 2}, {2, 1}, {2, 9}, {3, 1}};
   do {
-    PlanFollower follower(in("a"));
+    PlanFollower follower(settings_of("a"));
     auto newest = std::pair<std::uint64_t, std::uint64_t>(0, 0);
     for (const auto& [token, epoch] : order) {
       const bool newer = std::pair(token, epoch) > newest;
@@ -61,7 +61,7 @@
 }
 
 TEST(Follower, FollowsAPlanForItsLeaseFromWhenItWasMade) {
-  PlanFollower follower(in("a"));
+  PlanFollower follower(settings_of("a"));
   EXPECT_EQ(follower.plan(0), nullptr);
   EXPECT_EQ(follower.lease_end(), std::numeric_limits<double>::infinity());
   ASSERT_TRUE(follower.offer(plan_of(1, 1, 3), 1, 10));
@@ -77,7 +77,7 @@
 }
 
 TEST(Follower, SendsItsDemandWhereThePlanHasIt) {
-  PlanFollower follower(in("a"));
+  PlanFollower follower(settings_of("a"));
   ASSERT_TRUE(follower.offer(plan_of(1, 1), 0, 10));
   const TrafficSplit s = follower.split(1, 1, kDistance, 10);
   EXPECT_TRUE(s.from_plan);
@@ -85,7 +85,7 @@
   EXPECT_EQ(s.fractions[0], (std::vector<double>{0, 0.75, 0.25}))
       << "30 of 40 to b, up to its headroom, 10 to c";
   EXPECT_EQ(s.fractions[1], (std::vector<double>{0, 0, 0})) << "bound to its zone: refused rather than moved";
-  PlanFollower other(in("b"));
+  PlanFollower other(settings_of("b"));
   ASSERT_TRUE(other.offer(plan_of(1, 1), 0, 10));
   EXPECT_EQ(other.split(1, 1, {1, 0, 7}, 10).fractions[0], (std::vector<double>{0, 1, 0}));
   EXPECT_EQ(other.split(1, 1, {1, 0, 7}, 10).fractions[1], (std::vector<double>{0, 1, 0}))
@@ -94,7 +94,7 @@
 
 // Ten times the demand and no new plan yet: other zones get what was planned, and no more.
 TEST(Follower, WhatGoesToOthersDoesNotGrowWithTheDemand) {
-  PlanFollower follower(in("a"));
+  PlanFollower follower(settings_of("a"));
   ASSERT_TRUE(follower.offer(plan_of(1, 1), 0, 10));
   const TrafficSplit s = follower.split(1, 10, kDistance, 10);
   EXPECT_NEAR(s.fractions[0][1], 0.075, 1e-9);
@@ -105,7 +105,7 @@
 }
 
 TEST(Follower, WithoutAPlanAllStaysNear) {
-  const PlanFollower follower(in("a"));
+  const PlanFollower follower(settings_of("a"));
   const TrafficSplit s = follower.split(0, 1, kDistance, 10);
   EXPECT_FALSE(s.from_plan);
   EXPECT_EQ(s.zones, std::vector<std::string>{"a"});
@@ -168,7 +168,7 @@
 }
 
 TEST(Follower, AwayGoesOnlyWhatFailsNearAndTheNearestWayFirst) {
-  PlanFollower follower(in("a"));
+  PlanFollower follower(settings_of("a"));
   ASSERT_TRUE(follower.offer(plan_of(1, 1, 3), 0, 0));
   EXPECT_EQ(follower.split(1, 1, kDistance, 3).fractions[0], (std::vector<double>{1, 0, 0}));
   const TrafficSplit half = follower.split(0.9, 1, kDistance, 3);
@@ -198,7 +198,7 @@
 }
 
 TEST(Follower, TurnsAwayWhatIsNoPlan) {
-  PlanFollower follower(in("a"));
+  PlanFollower follower(settings_of("a"));
   ASSERT_TRUE(follower.offer(plan_of(5, 5), 0, 10));
   for (const auto& spoil : std::vector<void (*)(Plan&)>{
            [](Plan& p) { p.token = 0; }, [](Plan& p) { p.lease = 0; },
--- a/tests/zones/planner_test.cpp
+++ b/tests/zones/planner_test.cpp
@@ -40,7 +40,7 @@
 }
 
 struct Sums {
-  std::vector<Load> own, came, went;  // by zone: kept in the zone, moved in, moved out
+  std::vector<Load> own, moved_in, moved_out;  // by zone: kept in the zone, moved in, moved out
   Load moved = 0, refused = 0;
 };
 Sums sums(const Plan& p) {
@@ -50,8 +50,8 @@
     out.refused += sum(p.refused[a]);
     for (const auto& to : p.load[a]) {
       for (std::size_t b = 0; b < n; ++b) {
-        (a == b ? out.own[a] : out.came[b]) += to[b];
-        if (a != b) out.went[a] += to[b];
+        (a == b ? out.own[a] : out.moved_in[b]) += to[b];
+        if (a != b) out.moved_out[a] += to[b];
         if (a != b) out.moved += to[b];
       }
     }
@@ -60,7 +60,7 @@
 }
 
 // The invariants of every plan, whatever came before it. Empty if they hold.
-std::string broken(const PlannerSettings& s, const PlanInput& f, const Plan& p) {
+std::string violated_invariant(const PlannerSettings& s, const PlanInput& f, const Plan& p) {
   const std::size_t n = f.zones.size();
   const Sums all = sums(p);
   for (std::size_t a = 0; a < n; ++a) {
@@ -81,11 +81,11 @@
       if (kept != z.demand[c]) return z.zone + ": demand is lost or invented";
     }
     const Load can = capacity_of(z);
-    if (all.own[a] + all.came[a] > can) return z.zone + ": gets more than its capacity";
-    if (all.came[a] > 0 &&
-        static_cast<double>(all.own[a] + all.came[a]) > (1 - s.headroom) * static_cast<double>(can) + 1)
+    if (all.own[a] + all.moved_in[a] > can) return z.zone + ": gets more than its capacity";
+    if (all.moved_in[a] > 0 &&
+        static_cast<double>(all.own[a] + all.moved_in[a]) > (1 - s.headroom) * static_cast<double>(can) + 1)
       return z.zone + ": moved traffic uses its headroom";
-    if (sum(p.refused[a]) > 0 && all.own[a] + all.came[a] < can)
+    if (sum(p.refused[a]) > 0 && all.own[a] + all.moved_in[a] < can)
       return z.zone + ": refuses demand that it could serve itself";
     Load together = 0;
     for (std::size_t b = 0; b < n; ++b) together += p.fallback_limits[b][a];
@@ -98,19 +98,19 @@
 
 // Where all capacity is trusted and the rates don't limit: no further unit could be served, kept in its zone
 // or moved over a shorter distance. Searches for an improvement through any number of zones.
-std::string could_be_better(const PlannerSettings& s, const PlanInput& f, const Plan& p) {
+std::string possible_improvement(const PlannerSettings& s, const PlanInput& f, const Plan& p) {
   const std::size_t n = f.zones.size();
   const Sums all = sums(p);
   // Nodes: each zone's demand by affinity, then each zone as a target. The flow over an edge can be taken
   // back.
-  const std::vector<Affinity> holds = {Affinity::kZone, Affinity::kRegion, Affinity::kNone};
+  const std::vector<Affinity> affinities = {Affinity::kZone, Affinity::kRegion, Affinity::kNone};
   const std::size_t nodes = 4 * n;
   std::vector<std::vector<Load>> flow(3 * n, std::vector<Load>(n));
   std::vector<Load> refused(3 * n);
   for (std::size_t a = 0; a < n; ++a) {
     for (std::size_t c = 0; c < s.classes.size(); ++c) {
-      const std::size_t h =
-          static_cast<std::size_t>(std::find(holds.begin(), holds.end(), s.classes[c]) - holds.begin());
+      const std::size_t h = static_cast<std::size_t>(
+          std::find(affinities.begin(), affinities.end(), s.classes[c]) - affinities.begin());
       refused[a * 3 + h] += p.refused[a][c];
       for (std::size_t b = 0; b < n; ++b) flow[a * 3 + h][b] += p.load[a][c][b];
     }
@@ -118,20 +118,20 @@
   const auto may = [&](std::size_t from, std::size_t b) {
     const std::size_t a = from / 3;
     if (a == b) return true;
-    if (!std::isfinite(f.distance[a][b]) || holds[from % 3] == Affinity::kZone) return false;
-    return holds[from % 3] == Affinity::kNone || f.zones[a].region == f.zones[b].region;
+    if (!std::isfinite(f.distance[a][b]) || affinities[from % 3] == Affinity::kZone) return false;
+    return affinities[from % 3] == Affinity::kNone || f.zones[a].region == f.zones[b].region;
   };
   // Moved traffic leaves the headroom free; a zone's own demand does not.
-  const auto room = [&](std::size_t b, bool moved) {
+  const auto spare = [&](std::size_t b, bool moved) {
     const double part = moved ? 1 - s.headroom : 1;
     return static_cast<Load>(std::floor(static_cast<double>(capacity_of(f.zones[b])) * part + 1e-9)) -
-           all.own[b] - all.came[b];
+           all.own[b] - all.moved_in[b];
   };
   // Distances from each demand, over edges that could be used (adding the cost) or taken back (subtracting
   // it).
-  constexpr double kFar = 1e18;
+  constexpr double kInfiniteCost = 1e18;
   for (std::size_t from = 0; from < 3 * n; ++from) {
-    std::vector<double> cost(nodes, kFar);
+    std::vector<double> cost(nodes, kInfiniteCost);
     std::vector<std::size_t> last(nodes, nodes);
     cost[from] = 0;
     for (std::size_t round = 0; round <= nodes; ++round) {
@@ -141,13 +141,13 @@
           if (!may(x, b)) continue;
           // The own zone is always better than any other.
           const double way = x / 3 == b ? 0 : 1e6 + f.distance[x / 3][b];
-          if (cost[x] < kFar && cost[x] + way < cost[3 * n + b] - 1e-6) {
+          if (cost[x] < kInfiniteCost && cost[x] + way < cost[3 * n + b] - 1e-6) {
             cost[3 * n + b] = cost[x] + way;
             last[3 * n + b] = x;
             changed = true;
           }
           // Demand that is served in its own zone stays there.
-          if (x / 3 != b && flow[x][b] > 0 && cost[3 * n + b] < kFar &&
+          if (x / 3 != b && flow[x][b] > 0 && cost[3 * n + b] < kInfiniteCost &&
               cost[3 * n + b] - way < cost[x] - 1e-6) {
             cost[x] = cost[3 * n + b] - way;
             last[x] = 3 * n + b;
@@ -159,10 +159,10 @@
       if (round == nodes) return "a cycle of moves would be shorter";
     }
     for (std::size_t b = 0; b < n; ++b) {
-      if (cost[3 * n + b] >= kFar) continue;
-      const std::size_t into = last[3 * n + b];
-      const bool moved = into / 3 != b;
-      if (refused[from] > 0 && room(b, moved) > 0) return "more could be served";
+      if (cost[3 * n + b] >= kInfiniteCost) continue;
+      const std::size_t previous = last[3 * n + b];
+      const bool moved = previous / 3 != b;
+      if (refused[from] > 0 && spare(b, moved) > 0) return "more could be served";
     }
   }
   return "";
@@ -187,8 +187,8 @@
             for (const Load cc : capacities) {
               const PlanInput f = three(0, {ca, cb, cc}, {da, db, dc});
               const Plan p = Planner(s).make_plan(f);
-              ASSERT_EQ(broken(s, f, p), "");
-              ASSERT_EQ(could_be_better(s, f, p), "")
+              ASSERT_EQ(violated_invariant(s, f, p), "");
+              ASSERT_EQ(possible_improvement(s, f, p), "")
                   << ca << ' ' << cb << ' ' << cc << " d " << sum(da) << ' ' << sum(db) << ' ' << sum(dc);
               ++worlds;
             }
@@ -229,7 +229,7 @@
       for (int i = 1; i <= 30; ++i) {
         const PlanInput f = world(to, i);
         now = planner.make_plan(f);
-        ASSERT_EQ(broken(s, f, now), "") << from << " to " << to << " at " << i;
+        ASSERT_EQ(violated_invariant(s, f, now), "") << from << " to " << to << " at " << i;
         // The flow over an edge rises, and may fall once other zones have capacity again; it never rises a
         // second time.
         for (std::size_t w = 0; w < 9; ++w) {
@@ -243,7 +243,7 @@
       }
       ASSERT_EQ(turned_again, 0) << from << " to " << to;
       ASSERT_EQ(before.load, now.load) << from << " to " << to;
-      ASSERT_EQ(could_be_better(s, world(to, 30), now), "") << from << " to " << to;
+      ASSERT_EQ(possible_improvement(s, world(to, 30), now), "") << from << " to " << to;
     }
   }
 }
@@ -268,7 +268,7 @@
       for (std::size_t b = 0; b < n; ++b)
         f.distance[a][b] = a == b ? 0 : 1 + static_cast<double>(random() % 50);
     }
-    std::vector<Load> into;
+    std::vector<Load> moved_in_before;
     for (int step = 0; step < 150; ++step) {
       f.now += 0.2 + static_cast<double>(random() % 10) / 10;
       ZoneInput& z = f.zones[random() % n];
@@ -296,15 +296,15 @@
           break;
       }
       const Plan p = planner.make_plan(f);
-      ASSERT_EQ(broken(s, f, p), "") << "seed " << seed << " step " << step;
+      ASSERT_EQ(violated_invariant(s, f, p), "") << "seed " << seed << " step " << step;
       // The traffic moved to a zone grows at no more than the maximum rate.
       const Sums all = sums(p);
-      for (std::size_t b = 0; b < n && !into.empty(); ++b) {
-        const double most = static_cast<double>(into[b]) +
+      for (std::size_t b = 0; b < n && !moved_in_before.empty(); ++b) {
+        const double most = static_cast<double>(moved_in_before[b]) +
                             s.max_move_rate * 1.2 * static_cast<double>(capacity_of(f.zones[b])) + 1;
-        ASSERT_LE(static_cast<double>(all.came[b]), most) << "seed " << seed << " step " << step;
+        ASSERT_LE(static_cast<double>(all.moved_in[b]), most) << "seed " << seed << " step " << step;
       }
-      into = all.came;
+      moved_in_before = all.moved_in;
     }
   }
 }
@@ -316,8 +316,8 @@
   Sums s;
   for (int i = 1; i <= 4; ++i) s = sums(planner.make_plan(three(i * 0.5, {0, 100'000, 100'000}, demand)));
   EXPECT_EQ(s.refused, 0);
-  EXPECT_EQ(s.came[1], 40'000) << "the nearest first, up to its headroom";
-  EXPECT_EQ(s.came[2], 10'000);
+  EXPECT_EQ(s.moved_in[1], 40'000) << "the nearest first, up to its headroom";
+  EXPECT_EQ(s.moved_in[2], 10'000);
 }
 
 // The traffic does not go back at once or all together, and the other zones go on serving it meanwhile.
@@ -423,8 +423,8 @@
     const Sums s = sums(p);
     EXPECT_EQ(s.own[1], 80'000);
     EXPECT_EQ(s.own[2], 80'000);
-    EXPECT_EQ(s.came[1], 10'000);
-    EXPECT_EQ(s.came[2], 10'000);
+    EXPECT_EQ(s.moved_in[1], 10'000);
+    EXPECT_EQ(s.moved_in[2], 10'000);
     EXPECT_EQ(sum(p.refused[0]), 60'000);
     ASSERT_EQ(p.explanations.size(), 1U);
     EXPECT_EQ(p.explanations[0], "a (calls/s): demand 80, capacity 0, trusted 0; moved 20, refused 60");
@@ -453,8 +453,8 @@
       planner.make_plan(three(0.2, {100'000, 100'000, 100'000}, {{200'000}, {20'000}, {20'000}}));
   const Sums s = sums(first);
   EXPECT_EQ(s.own[0], 100'000);
-  EXPECT_EQ(s.came[1], 10'000) << "a fifth of a second's part";
-  EXPECT_EQ(s.came[2], 10'000);
+  EXPECT_EQ(s.moved_in[1], 10'000) << "a fifth of a second's part";
+  EXPECT_EQ(s.moved_in[2], 10'000);
   EXPECT_EQ(s.refused, 80'000);
   Sums later;
   for (int i = 1; i <= 10; ++i)
@@ -470,8 +470,8 @@
   f.distance[0][1] = kUnreachable;
   Sums s;
   for (int i = 0; i < 3; ++i, f.now += 1) s = sums(planner.make_plan(f));
-  EXPECT_EQ(s.came[1], 0);
-  EXPECT_EQ(s.came[2], 30'000);
+  EXPECT_EQ(s.moved_in[1], 0);
+  EXPECT_EQ(s.moved_in[2], 30'000);
   EXPECT_EQ(s.own[1], 20'000);
 }
 
@@ -526,9 +526,9 @@
     for (Load a = 0; a <= 6; ++a) {
       for (Load b = 0; b <= 6; ++b) {
         for (Load c = 0; c <= 6; ++c) {
-          for (Load room = -1; room <= 20; ++room) {
-            const std::vector<Load> demand = {a, b, c}, got = max_min_fair_shares(demand, share, room);
-            ASSERT_EQ(sum(got), std::clamp<Load>(room, 0, a + b + c));
+          for (Load spare = -1; spare <= 20; ++spare) {
+            const std::vector<Load> demand = {a, b, c}, got = max_min_fair_shares(demand, share, spare);
+            ASSERT_EQ(sum(got), std::clamp<Load>(spare, 0, a + b + c));
             for (std::size_t i = 0; i < 3; ++i) {
               ASSERT_GE(got[i], 0);
               ASSERT_LE(got[i], demand[i]);
--- a/tests/zones/report_aggregator_test.cpp
+++ b/tests/zones/report_aggregator_test.cpp
@@ -23,14 +23,15 @@
   return {node, zone, {10'000}, {{"a", a}, {"b", b}, {"c", c}}};
 }
 
-const ZoneView kWell{100, 1, 1}, kSlow{100, 1, 4}, kFailing{100, 0.5, 1}, kDark{100, 0, 1}, kLost{0, 1, 1};
+const ZoneView kHealthy{100, 1, 1}, kSlow{100, 1, 4}, kFailing{100, 0.5, 1}, kUnreachableView{100, 0, 1},
+    kLost{0, 1, 1};
 
 TEST(Evidence, AddsUpDemandAndTakesCapacityFromTheZonesOwnNodes) {
   ReportAggregator e(settings());
-  EXPECT_TRUE(e.add_report(report("n0", "a", kWell, kSlow, kWell), 0));
-  EXPECT_TRUE(e.add_report(report("n1", "a", kWell, kSlow, kWell), 0));
-  EXPECT_TRUE(e.add_report(report("n2", "b", kFailing, kWell, kWell), 0));
-  EXPECT_TRUE(e.add_report(report("n3", "c", kWell, kWell, kSlow), 0));
+  EXPECT_TRUE(e.add_report(report("n0", "a", kHealthy, kSlow, kHealthy), 0));
+  EXPECT_TRUE(e.add_report(report("n1", "a", kHealthy, kSlow, kHealthy), 0));
+  EXPECT_TRUE(e.add_report(report("n2", "b", kFailing, kHealthy, kHealthy), 0));
+  EXPECT_TRUE(e.add_report(report("n3", "c", kHealthy, kHealthy, kSlow), 0));
   const PlanInput f = e.plan_input(1);
   EXPECT_EQ(f.now, 1);
   EXPECT_EQ(f.zones[0].demand[0], 20'000);
@@ -45,19 +46,19 @@
 // Each zone's view of each zone, out of five: no view from another zone changes a zone's capacity while its
 // own nodes are heard, and a single view never does while two others agree.
 TEST(Evidence, OneZonesViewOfAnotherDecidesNothing) {
-  const std::vector<ZoneView> views = {kWell, kSlow, kFailing, kDark, kLost};
-  const auto bears = [](const ZoneView& v) {
+  const std::vector<ZoneView> views = {kHealthy, kSlow, kFailing, kUnreachableView, kLost};
+  const auto capacity_of = [](const ZoneView& v) {
     return static_cast<Load>(1000 * v.weight * v.success_ratio / v.latency_factor);
   };
   for (std::size_t own = 0; own < 5; ++own) {
     for (std::size_t from_b = 0; from_b < 5; ++from_b) {
       for (std::size_t from_c = 0; from_c < 5; ++from_c) {
         ReportAggregator e(settings());
-        e.add_report(report("n0", "a", views[own], kWell, kWell), 0);
-        e.add_report(report("n1", "b", views[from_b], kWell, kWell), 0);
-        e.add_report(report("n2", "c", views[from_c], kWell, kWell), 0);
+        e.add_report(report("n0", "a", views[own], kHealthy, kHealthy), 0);
+        e.add_report(report("n1", "b", views[from_b], kHealthy, kHealthy), 0);
+        e.add_report(report("n2", "c", views[from_c], kHealthy, kHealthy), 0);
         const PlanInput f = e.plan_input(0);
-        ASSERT_EQ(f.zones[0].capacity, bears(views[own]));
+        ASSERT_EQ(f.zones[0].capacity, capacity_of(views[own]));
         ASSERT_EQ(f.zones[1].capacity, 100'000);
         // A path counts as cut only for the zone for which nothing gets through.
         ASSERT_EQ(std::isfinite(f.distance[1][0]), !(from_b == 3 && f.zones[0].capacity > 0));
@@ -65,10 +66,10 @@
         ASSERT_EQ(f.distance[0][1], 1);
         // Its own nodes fall silent: the worse of two views counts.
         ReportAggregator alone(settings());
-        alone.add_report(report("n1", "b", views[from_b], kWell, kWell), 0);
-        alone.add_report(report("n2", "c", views[from_c], kWell, kWell), 0);
+        alone.add_report(report("n1", "b", views[from_b], kHealthy, kHealthy), 0);
+        alone.add_report(report("n2", "c", views[from_c], kHealthy, kHealthy), 0);
         ASSERT_EQ(alone.plan_input(0).zones[0].capacity,
-                  std::min(bears(views[from_b]), bears(views[from_c])));
+                  std::min(capacity_of(views[from_b]), capacity_of(views[from_c])));
       }
     }
   }
@@ -76,9 +77,10 @@
 
 TEST(Evidence, AMinorityOfAZonesNodesDecidesNothing) {
   ReportAggregator e(settings());
-  e.add_report(report("n0", "a", kWell, kWell, kWell), 0);
-  e.add_report(report("n1", "a", kDark, kDark, kDark), 0);  // its own link is faulty
-  e.add_report(report("n2", "a", kWell, kWell, kWell), 0);
+  e.add_report(report("n0", "a", kHealthy, kHealthy, kHealthy), 0);
+  e.add_report(report("n1", "a", kUnreachableView, kUnreachableView, kUnreachableView),
+               0);  // its own link is faulty
+  e.add_report(report("n2", "a", kHealthy, kHealthy, kHealthy), 0);
   const PlanInput f = e.plan_input(0);
   EXPECT_EQ(f.zones[0].capacity, 100'000);
   EXPECT_EQ(f.distance[0][1], 1);
@@ -86,9 +88,9 @@
 
 TEST(Evidence, OtherZonesStandInForNodesThatAreGone) {
   ReportAggregator e(settings());
-  e.add_report(report("n0", "a", kWell, kWell, kWell), 0);
-  e.add_report(report("n1", "b", kWell, kWell, kWell), 2);
-  e.add_report(report("n2", "c", kFailing, kWell, kWell), 2);
+  e.add_report(report("n0", "a", kHealthy, kHealthy, kHealthy), 0);
+  e.add_report(report("n1", "b", kHealthy, kHealthy, kHealthy), 2);
+  e.add_report(report("n2", "c", kFailing, kHealthy, kHealthy), 2);
   EXPECT_EQ(e.plan_input(2.9).zones[0].capacity, 100'000);
   const PlanInput f = e.plan_input(3);
   EXPECT_EQ(f.zones[0].demand[0], 0);
@@ -115,13 +117,14 @@
 
 TEST(Evidence, TurnsAwayWhatCantBe) {
   ReportAggregator e(settings());
-  ASSERT_TRUE(e.add_report(report("n0", "a", kWell, kWell, kWell), 0));
+  ASSERT_TRUE(e.add_report(report("n0", "a", kHealthy, kHealthy, kHealthy), 0));
   for (const NodeReport& bad :
-       {report("n0", "x", kWell, kWell, kWell), report("", "a", kWell, kWell, kWell),
-        report("n0", "a", {-1, 1, 1}, kWell, kWell), report("n0", "a", {1, 2, 1}, kWell, kWell),
-        report("n0", "a", {1, 1, 0.5}, kWell, kWell), report("n0", "a", {std::nan(""), 1, 1}, kWell, kWell),
-        report("n0", "a", {1, 1, INFINITY}, kWell, kWell), NodeReport{"n0", "a", {1, 2}, {}},
-        NodeReport{"n0", "a", {-1}, {}}, NodeReport{"n0", "a", {1}, {{"x", kWell}}}}) {
+       {report("n0", "x", kHealthy, kHealthy, kHealthy), report("", "a", kHealthy, kHealthy, kHealthy),
+        report("n0", "a", {-1, 1, 1}, kHealthy, kHealthy), report("n0", "a", {1, 2, 1}, kHealthy, kHealthy),
+        report("n0", "a", {1, 1, 0.5}, kHealthy, kHealthy),
+        report("n0", "a", {std::nan(""), 1, 1}, kHealthy, kHealthy),
+        report("n0", "a", {1, 1, INFINITY}, kHealthy, kHealthy), NodeReport{"n0", "a", {1, 2}, {}},
+        NodeReport{"n0", "a", {-1}, {}}, NodeReport{"n0", "a", {1}, {{"x", kHealthy}}}}) {
     EXPECT_FALSE(e.add_report(bad, 0));
   }
   EXPECT_EQ(e.plan_input(0).zones[0].capacity, 100'000) << "the earlier report stays";
