--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -259,7 +259,7 @@
   spec.faults[0].copy = 0;
   const Result r = play_and_check_rules(spec);
   EXPECT_GE(served(r, 1, 15), 0.995);
-  EXPECT_GT(r.sent_by_second[0][8] * 2, r.sent_by_second[1][8]) << "three of four copies still use it";
+  EXPECT_GT(r.sent_by_second[0][8] * 2, r.sent_by_second[1][8]) << "three of four balancers still use it";
 }
 
 TEST(Faults, NineHundredAndNinetyOfAThousandServersAreGone) {
--- a/tests/health_test.cpp
+++ b/tests/health_test.cpp
@@ -36,8 +36,8 @@
 TEST(Health, AFastFailingServerIsShunnedAndComesBack) {
   TestBalancer balancer(unlimited_settings());
   balancer.at(0, members(6));
-  const auto ill = play(balancer, "s2", Outcome::kError, 0, 10, 50, "a");
-  EXPECT_LT(ill.at("s2"), 25);
+  const auto unhealthy = play(balancer, "s2", Outcome::kError, 0, 10, 50, "a");
+  EXPECT_LT(unhealthy.at("s2"), 25);
   const auto back = play(balancer, "", Outcome::kDelivered, 10, 30, 50, "b");
   EXPECT_GT(back.at("s2"), 100);
 }
--- a/tests/members_test.cpp
+++ b/tests/members_test.cpp
@@ -112,7 +112,7 @@
       expect(near, table.own_ring());
       expect(far, table.remote_ring());
       EXPECT_NEAR(table.ready_weight(), weight, 1e-9);
-      EXPECT_EQ(table.healthy().size(), all.size()) << "none is left out here";
+      EXPECT_EQ(table.healthy().size(), all.size()) << "none is ejected here";
     }
   }
 }
--- a/tests/outliers_test.cpp
+++ b/tests/outliers_test.cpp
@@ -185,7 +185,7 @@
     EXPECT_EQ(o.end(Outcome::kDelivered), OutlierDetector::Change::kNone);
   }
   o.now += 100;
-  EXPECT_FALSE(o.probe()) << "it is no longer shunned";
+  EXPECT_FALSE(o.probe()) << "it is no longer avoided";
   o.unhealthy = true;
   EXPECT_EQ(o.end(Outcome::kReset), OutlierDetector::Change::kNone);
   double last = 0;
