--- a/peers/balancer_tracker.h
+++ b/peers/balancer_tracker.h
@@ -1,6 +1,6 @@
 // Tracks how many balancers share the servers and the rate limits, and which of them this node is, from
 // membership changes with hysteresis. No I/O, no clock. The result becomes an event of the decision module
-// (CopiesChanged); nothing else of membership affects routing.
+// (BalancersChanged); nothing else of membership affects routing.
 //   - A balancer that joined or was lost counts so only after a delay, which is longer for one that flaps.
 //   - A node that hears nobody any more keeps its assignment: it can't tell its own isolation from the death
 //     of all.
