--- a/tests/system/traffic_world.cpp
+++ b/tests/system/traffic_world.cpp
@@ -221,7 +221,7 @@
     if (ended_ || disconnected_) return;
     disconnected_ = true;
     world_.sent_request(id_).client_gone = true;
-    if (on_gone) on_gone();
+    if (on_disconnect) on_disconnect();
   }
   bool has_ended() const { return ended_ || disconnected_; }
 
