--- a/bench/reading.cpp
+++ b/bench/reading.cpp
@@ -1,7 +1,7 @@
 // What it costs to read a request as every front does: bytes in, a call for the core out.
 #include <benchmark/benchmark.h>
 
-#include "http/reader.h"
+#include "http/request_reader.h"
 
 namespace {
 
@@ -19,9 +19,9 @@
 }
 
 void read_a_request(benchmark::State& state) {
-  const ns::Intake intake(settings(), {"lookup"}, {"acme"});
+  const ns::RequestValidator request_validator(settings(), {"lookup"}, {"acme"});
   ns::ByteBudget budget(1 << 20);
-  ns::RequestReader reader(intake, budget, 0);
+  ns::RequestReader reader(request_validator, budget, 0);
   std::string text =
       "GET /api?x=1 HTTP/1.1\r\nHost: service.internal\r\nRequest-Id: 9b1f03aa5c7e2d41\r\n"
       "Request-Class: lookup\r\nTenant: acme\r\nCookie: user=7f3a9c21e0b4d655\r\nRequest-Timeout-Ms: 480\r\n";
@@ -36,7 +36,7 @@
       break;
     }
     benchmark::DoNotOptimize(reader.take_call(1.0));
-    reader.forget();
+    reader.reset();
   }
   state.SetItemsProcessed(state.iterations());
 }
--- a/daemon/config.cpp
+++ b/daemon/config.cpp
@@ -6,7 +6,7 @@
 #include <set>
 #include <stdexcept>
 
-#include "discovery/lists.h"
+#include "discovery/server_list_parser.h"
 #include "json/read.h"
 
 namespace nettlestand {
@@ -141,7 +141,7 @@
   json::check(out.idle_close, "bounds.idleClose", 0.01, 86400);
   out.peers = read_peers(in, bounds, out.settings.copy_index);
   identify(out);
-  if (const Json* known = json::find(in, "known")) out.known = list_of(*known, out.zones);
+  if (const Json* known = json::find(in, "known")) out.known = server_list_from_json(*known, out.zones);
   if (out.known && out.known->servers.size() > out.max_servers()) {
     json::wrong("known", "a list of at most 128 servers for each MB of memory");
   }
--- a/daemon/node.cpp
+++ b/daemon/node.cpp
@@ -52,8 +52,8 @@
                 if (discovery_) discovery_->watch();
               }),
       listener_(io_, poller_, config.listen,
-                Intake(config.settings, config.classes, config.tenants, config.duties.has_value()), engine_,
-                budget_, sockets_ * 11 / 20, config.listener, log_),
+                RequestValidator(config.settings, config.classes, config.tenants, config.duties.has_value()),
+                engine_, budget_, sockets_ * 11 / 20, config.listener, log_),
       signals_(io_, SIGTERM, SIGINT),
       reload_(io_, SIGHUP),
       look_(io_) {
@@ -85,7 +85,7 @@
                      DiscoveryOptions{*config.discovery, config.zones, config.seed,
                                       config.known ? std::optional(config.known->seq) : std::nullopt,
                                       !config.settings.must_watch, config.max_servers()},
-                     Discovery::Listeners{[this](const ServerList& list) { engine_.on_server_list(list); },
+                     Discovery::Callbacks{[this](const ServerList& list) { engine_.on_server_list(list); },
                                           [this] { engine_.on_watch_failed(); }},
                      log_);
 }
@@ -158,7 +158,7 @@
   }
   if (peers_ && next.peers) peers_->reload(*next.peers);  // throws before anything is changed
   if (discovery_) {
-    discovery_->move(*next.discovery);
+    discovery_->set_address(*next.discovery);
   } else {
     engine_.on_server_list(*next.servers);
   }
@@ -181,9 +181,9 @@
     if (accepting_) listener_.stop_accepting();
     accepting_ = false;
   }
-  if (plan_.finishing(since)) listener_.finish();
+  if (plan_.finishing(since)) listener_.close_idle_connections();
   if (plan_.last_answers(since)) {
-    listener_.finish_reading();
+    listener_.stop_reading();
     engine_.expire_all();
   }
   if (plan_.over(since, listener_.connections() > 0)) {
--- a/discovery/discovery.cpp
+++ b/discovery/discovery.cpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <utility>
 
-#include "discovery/lists.h"
+#include "discovery/server_list_parser.h"
 
 namespace nettlestand {
 namespace {
@@ -20,12 +20,12 @@
 // What discovery has to tell counts as told 6 s after it could have been asked, or after a watch fell silent,
 // whatever came in between. So silence is noticed, and a call that comes to nothing is given up, soon enough
 // for another call within that time.
-constexpr auto kConnectLimit = std::chrono::seconds(2);
-constexpr auto kAnswerLimit = std::chrono::seconds(3);   // calls wait in discovery's queue
-constexpr auto kSilenceLimit = std::chrono::seconds(3);  // an empty line's period of 2 s, and half of that
-constexpr std::size_t kLineOfServer = 512;               // bytes of a list, for each server there may be
+constexpr auto kConnectTimeout = std::chrono::seconds(2);
+constexpr auto kResponseTimeout = std::chrono::seconds(3);  // calls wait in discovery's queue
+constexpr auto kSilenceTimeout = std::chrono::seconds(3);   // an empty line's period of 2 s, and half of that
+constexpr std::size_t kMaxBytesPerServer = 512;             // bytes of a list, for each server there may be
 // s. Where a fleet that has lost discovery asks more often, its calls keep discovery busy and all fail.
-constexpr double kFirstBackoff = 0.25, kMostBackoff = 4;
+constexpr double kMinBackoffSeconds = 0.25, kMaxBackoffSeconds = 4;
 
 }  // namespace
 
@@ -39,14 +39,14 @@
   void start() {
     request_.method(http::verb::get);
     request_.target("/v1/servers?stream=1" +
-                    (owner_.seq_ ? "&index=" + std::to_string(*owner_.seq_) : std::string()));
+                    (owner_.last_seq_ ? "&index=" + std::to_string(*owner_.last_seq_) : std::string()));
     request_.version(11);
     request_.set(http::field::host,
                  owner_.address_.address().to_string() + ":" + std::to_string(owner_.address_.port()));
-    stream_.expires_after(kConnectLimit);
+    stream_.expires_after(kConnectTimeout);
     stream_.async_connect(owner_.address_, [self = shared_from_this()](const error_code& error) {
       if (error) return self->fail("connect: " + error.message());
-      self->ask();
+      self->send_request();
     });
   }
 
@@ -56,58 +56,59 @@
   }
 
  private:
-  void ask() {
-    stream_.expires_after(kAnswerLimit);
+  void send_request() {
+    stream_.expires_after(kResponseTimeout);
     http::async_write(stream_, request_, [self = shared_from_this()](const error_code& error, std::size_t) {
       if (error) return self->fail("write: " + error.message());
-      self->await_answer();
+      self->read_response_head();
     });
   }
 
-  void await_answer() {
+  void read_response_head() {
     http::async_read_header(stream_, buffer_, parser_,
                             [self = shared_from_this()](const error_code& error, std::size_t) {
                               if (error) return self->fail("answer: " + error.message());
                               const unsigned status = self->parser_.get().result_int();
                               if (status != 200)
                                 return self->fail("answer: status " + std::to_string(status));
-                              self->take_lines();
+                              self->process_lines();
                             });
   }
 
   // Guards against a watch that is silent but up: without its empty lines for so long it counts as broken.
   void read() {
-    stream_.expires_after(kSilenceLimit);
+    stream_.expires_after(kSilenceTimeout);
     http::async_read_some(stream_, buffer_, parser_,
                           [self = shared_from_this()](const error_code& error, std::size_t) {
                             if (error) return self->fail("watch: " + error.message());
-                            self->take_lines();
+                            self->process_lines();
                           });
   }
 
   // What is cut in the middle of a line is dropped with its connection; only whole lines count.
-  void take_lines() {
-    lists_.add(parser_.get().body());
+  void process_lines() {
+    splitter_.add(parser_.get().body());
     parser_.get().body().clear();
-    while (const auto text = closed_ ? std::nullopt : lists_.next()) {
+    while (const auto text = closed_ ? std::nullopt : splitter_.next()) {
       // Guards against a list that can't be read or taken over: it must not leave this watch without a wait.
       try {
-        owner_.came(this, read_list(*text, owner_.options_.zones));
+        owner_.on_list_received(this, parse_server_list(*text, owner_.options_.zones));
       } catch (const std::exception& problem) {
-        owner_.seq_.reset();  // the whole list next time, or the same line would come for ever
+        owner_.last_seq_.reset();  // the whole list next time, or the same line would come for ever
         return fail(std::string("watch: ") + problem.what());
       }
     }
     if (closed_) return;
-    if (lists_.held() > owner_.options_.max_servers * kLineOfServer) return fail("watch: a list too long");
+    if (splitter_.buffered_bytes() > owner_.options_.max_servers * kMaxBytesPerServer)
+      return fail("watch: a list too long");
     if (parser_.is_done()) return fail("watch: ended");
     read();
   }
 
-  void fail(const std::string& why) {
+  void fail(const std::string& reason) {
     if (closed_) return;
     close();
-    owner_.failed(this, why);
+    owner_.on_watch_failed(this, reason);
   }
 
   Discovery& owner_;
@@ -115,25 +116,25 @@
   beast::flat_buffer buffer_;
   http::request<http::empty_body> request_;
   http::response_parser<http::string_body> parser_;
-  ListCutter lists_;
+  ServerListSplitter splitter_;
   bool closed_ = false;
 };
 
-Discovery::Discovery(boost::asio::io_context& io, DiscoveryOptions options, Listeners listeners, Log log)
+Discovery::Discovery(boost::asio::io_context& io, DiscoveryOptions options, Callbacks callbacks, Log log)
     : io_(io),
       options_(std::move(options)),
-      listeners_(std::move(listeners)),
+      callbacks_(std::move(callbacks)),
       log_(std::move(log)),
       address_(options_.address),
-      seq_(options_.seq),
+      last_seq_(options_.seq),
       random_(static_cast<std::minstd_rand::result_type>(options_.seed)),
-      again_(io) {}
+      retry_timer_(io) {}
 
-Discovery::~Discovery() { shut(); }
+Discovery::~Discovery() { shut_down(); }
 
-void Discovery::shut() {
-  shut_ = true;
-  again_.cancel();
+void Discovery::shut_down() {
+  is_shut_down_ = true;
+  retry_timer_.cancel();
   for (const std::shared_ptr<Watch>& watch :
        {std::exchange(current_, nullptr), std::exchange(next_, nullptr)}) {
     if (watch) watch->close();
@@ -141,76 +142,77 @@
 }
 
 void Discovery::watch() {
-  if (current_ || moving_ || shut_) return;
+  if (current_ || address_pending_ || is_shut_down_) return;
   current_ = std::make_shared<Watch>(*this);
   current_->start();
 }
 
 // Guards the drains and the list over a move: the new address is asked at once and for the whole list, since
 // its versions need not be those of the old one, and nothing is given up before it has spoken.
-void Discovery::move(const boost::asio::ip::tcp::endpoint& address) {
-  if (shut_) return;
+void Discovery::set_address(const boost::asio::ip::tcp::endpoint& address) {
+  if (is_shut_down_) return;
   if (address == address_) {  // asked at once all the same, where it has failed and a pause is on
-    if (!moving_) return watch();
+    if (!address_pending_) return watch();
     if (next_) return;
   }
   const std::string to = address.address().to_string() + ":" + std::to_string(address.port());
   log_({LogLevel::kInfo, "discovery", "moved", "discovery: moves to " + to, {{"address", to}}});
   address_ = address;
-  seq_.reset();
-  moving_ = true;
-  backoff_ = 0;
-  again_.cancel();
+  last_seq_.reset();
+  address_pending_ = true;
+  backoff_seconds_ = 0;
+  retry_timer_.cancel();
   if (next_) next_->close();
-  reach();
+  open_next_watch();
 }
 
-void Discovery::reach() {
+void Discovery::open_next_watch() {
   next_ = std::make_shared<Watch>(*this);
   next_->start();
 }
 
 // Jittered: all nodes lose it at once and must not come back at once.
-void Discovery::retry(std::function<void()> what) {
+void Discovery::retry_after_backoff(std::function<void()> action) {
   // An agent on the node's own machine answers at no cost, and what it has counts as told at once.
-  backoff_ = std::clamp(backoff_ * 2, kFirstBackoff, options_.ask_again ? kFirstBackoff : kMostBackoff);
-  again_.expires_after(std::chrono::milliseconds(
-      static_cast<int>(1000 * backoff_ * std::uniform_real_distribution<>(0.5, 1.0)(random_))));
-  again_.async_wait([this, what = std::move(what)](const error_code& error) {
-    if (!error && !shut_) what();
+  backoff_seconds_ = std::clamp(backoff_seconds_ * 2, kMinBackoffSeconds,
+                                options_.auto_retry ? kMinBackoffSeconds : kMaxBackoffSeconds);
+  retry_timer_.expires_after(std::chrono::milliseconds(
+      static_cast<int>(1000 * backoff_seconds_ * std::uniform_real_distribution<>(0.5, 1.0)(random_))));
+  retry_timer_.async_wait([this, action = std::move(action)](const error_code& error) {
+    if (!error && !is_shut_down_) action();
   });
 }
 
-void Discovery::came(Watch* which, ServerList&& list) {
-  listeners_.list(list);  // throws for what can't be taken over: the watch has not spoken well then
+void Discovery::on_list_received(Watch* which, ServerList&& list) {
+  callbacks_.on_list(list);  // throws for what can't be taken over: the watch has not spoken well then
   if (which == next_.get()) {
     if (current_) current_->close();  // what an abandoned watch says later is old
     current_ = std::exchange(next_, nullptr);
-    moving_ = false;
+    address_pending_ = false;
   }
-  if (!well_) log_({LogLevel::kInfo, "discovery", "heard", "discovery: heard again", {}});
-  well_ = true;
-  backoff_ = 0;
-  if (!moving_) seq_ = list.seq;
+  if (!is_healthy_) log_({LogLevel::kInfo, "discovery", "heard", "discovery: heard again", {}});
+  is_healthy_ = true;
+  backoff_seconds_ = 0;
+  if (!address_pending_) last_seq_ = list.seq;
 }
 
-void Discovery::failed(const Watch* which, const std::string& why) {
+void Discovery::on_watch_failed(const Watch* which, const std::string& reason) {
   if (which != current_.get() && which != next_.get()) return;
-  if (well_)
+  if (is_healthy_)
     log_({LogLevel::kWarning,
           "discovery",
           "lost",
-          "discovery: " + why + "; the last list is kept",
-          {{"why", why}}});
-  well_ = false;
+          "discovery: " + reason + "; the last list is kept",
+          {{"why", reason}}});
+  is_healthy_ = false;
   if (which == next_.get()) {  // the module has not asked for this one: it is asked for again here
     next_.reset();
-    return retry([this] { reach(); });
+    return retry_after_backoff([this] { open_next_watch(); });
   }
   current_.reset();
-  if (moving_) return;
-  if (options_.ask_again) retry([this] { watch(); });
-  listeners_.failed();
+  if (address_pending_) return;
+  if (options_.auto_retry) retry_after_backoff([this] { watch(); });
+  callbacks_.on_failure();
 }
 
 }  // namespace nettlestand
--- a/discovery/lists.cpp
+++ b/discovery/server_list_parser.cpp
@@ -1,4 +1,4 @@
-#include "discovery/lists.h"
+#include "discovery/server_list_parser.h"
 
 #include <chrono>
 #include <string>
@@ -13,9 +13,9 @@
 namespace json = quinceusher::json;
 using json::Json;
 
-constexpr std::size_t kLongestHost = 255;  // bytes of a server's name
+constexpr std::size_t kMaxHostBytes = 255;  // bytes of a server's name
 
-int zone_of(std::string_view name, const std::vector<std::string>& zones) {
+int zone_index_of(std::string_view name, const std::vector<std::string>& zones) {
   for (std::size_t i = 0; i < zones.size(); ++i) {
     if (zones[i] == name) return static_cast<int>(i);
   }
@@ -25,7 +25,7 @@
 ListedServer read_server(const Json& in, const std::vector<std::string>& zones) {
   ListedServer out;
   out.info.address = json::text(in, "host");
-  if (out.info.address.empty() || out.info.address.size() > kLongestHost) {
+  if (out.info.address.empty() || out.info.address.size() > kMaxHostBytes) {
     json::wrong("host", "a name of 1 to 255 bytes");
   }
   const std::string_view health = json::text(in, "health");
@@ -39,19 +39,19 @@
     json::wrong("health", "active, leaving or left");
   }
   if (out.info.state != quinceusher::ServerState::kGone) out.endpoint = read_endpoint(json::text(in, "dial"));
-  if (json::find(in, "site") != nullptr) out.info.zone = zone_of(json::text(in, "site"), zones);
+  if (json::find(in, "site") != nullptr) out.info.zone = zone_index_of(json::text(in, "site"), zones);
   out.info.cell = json::whole_or(in, "block", 0);
   out.info.weight = json::number_or(in, "share", 1);
   json::check(out.info.weight, "share", 0, 1e6);
-  const double born_ms = json::number_or(in, "born_ms", 0);
-  json::check(born_ms, "born_ms", 0, 1e15);
-  out.info.started = steady_of_unix_ms(born_ms);
+  const double start_unix_ms = json::number_or(in, "born_ms", 0);
+  json::check(start_unix_ms, "born_ms", 0, 1e15);
+  out.info.started = unix_ms_to_steady(start_unix_ms);
   return out;
 }
 
 }  // namespace
 
-ServerList list_of(const Json& in, const std::vector<std::string>& zones) {
+ServerList server_list_from_json(const Json& in, const std::vector<std::string>& zones) {
   ServerList out;
   out.seq = json::token(in, "seq");
   out.is_full = json::flag(in, "whole");
@@ -60,32 +60,32 @@
   return out;
 }
 
-ServerList read_list(std::string_view text, const std::vector<std::string>& zones) {
-  return list_of(json::parse(text), zones);
+ServerList parse_server_list(std::string_view text, const std::vector<std::string>& zones) {
+  return server_list_from_json(json::parse(text), zones);
 }
 
 // Guards against a list that never ends: discovery writes nothing inside of one, so an empty line there,
 // which tells that nothing has changed, tells that the list was cut. So does a line's end inside of a string.
-std::optional<std::string_view> ListCutter::next() {
-  held_.erase(0, from_);
-  seen_ -= from_;
-  from_ = 0;
-  while (seen_ < held_.size()) {
-    const char c = held_[seen_++];
+std::optional<std::string_view> ServerListSplitter::next() {
+  buffer_.erase(0, text_end_);
+  scanned_ -= text_end_;
+  text_end_ = 0;
+  while (scanned_ < buffer_.size()) {
+    const char c = buffer_[scanned_++];
     if (c == '\n') {
-      const bool whole = depth_ == 0 || in_string_ || line_blank_;
-      line_blank_ = true;
+      const bool whole = depth_ == 0 || in_string_ || is_line_blank_;
+      is_line_blank_ = true;
       if (!whole) continue;
       depth_ = 0;
       in_string_ = escaped_ = false;
-      from_ = seen_;
-      if (!std::exchange(blank_, true)) return std::string_view(held_).substr(0, from_ - 1);
-      held_.erase(0, from_);
-      seen_ = from_ = 0;
+      text_end_ = scanned_;
+      if (!std::exchange(is_blank_, true)) return std::string_view(buffer_).substr(0, text_end_ - 1);
+      buffer_.erase(0, text_end_);
+      scanned_ = text_end_ = 0;
       continue;
     }
     if (c == ' ' || c == '\t' || c == '\r') continue;
-    blank_ = line_blank_ = false;
+    is_blank_ = is_line_blank_ = false;
     if (in_string_) {
       const bool escaped = std::exchange(escaped_, !escaped_ && c == '\\');
       if (c == '"' && !escaped) in_string_ = false;
@@ -100,7 +100,7 @@
   return std::nullopt;
 }
 
-double steady_of_unix_ms(double unix_ms) {
+double unix_ms_to_steady(double unix_ms) {
   static const double offset =
       now() - std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count();
   return unix_ms == 0 ? 0 : unix_ms / 1000 + offset;
--- a/gateway/convert.cpp
+++ b/gateway/convert.cpp
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <utility>
 
-#include "http/answers.h"
+#include "http/responses.h"
 #include "util/endpoint.h"
 
 namespace nettlestand {
@@ -285,22 +285,23 @@
   return error;
 }
 
-Call call_of(Request&& request, const Intake& intake, const std::vector<std::string>& classes,
-             const qu::Settings& settings, ByteBudget& budget, double received_at, std::uint64_t token) {
+Call call_of(Request&& request, const RequestValidator& request_validator,
+             const std::vector<std::string>& classes, const qu::Settings& settings, ByteBudget& budget,
+             double received_at, std::uint64_t token) {
   // Guards against lines that an application's client wrote into a value.
   for (const std::string* text : {&request.id, &request.idempotency_key, &request.target, &request.host,
                                   &request.cookie, &request.content_type, &request.tenant}) {
     const auto control = [](char c) { return static_cast<unsigned char>(c) < 0x20 || c == 0x7f; };
     if (std::any_of(text->begin(), text->end(), control))
-      throw BadRequest{400, "a control character in a value"};
+      throw RequestRejection{400, "a control character in a value"};
   }
-  if (request.body.size() > kBodyLimit) throw BadRequest{413, "a body over 64 KiB"};
+  if (request.body.size() > kBodyLimit) throw RequestRejection{413, "a body over 64 KiB"};
   const auto named = std::find(classes.begin(), classes.end(), request.request_class);
-  if (named == classes.end()) throw BadRequest{400, "unknown Request-Class"};
+  if (named == classes.end()) throw RequestRejection{400, "unknown Request-Class"};
   const auto& facts = settings.classes[static_cast<std::size_t>(named - classes.begin())];
   const bool safe = facts.effect == qu::Effect::kSafe;
-  if (safe && !request.body.empty()) throw BadRequest{400, "a body where none belongs"};
-  Intake::Head head;
+  if (safe && !request.body.empty()) throw RequestRejection{400, "a body where none belongs"};
+  RequestValidator::Head head;
   head.version(11);
   head.method(safe ? http::verb::get : http::verb::post);
   head.target(request.target);
@@ -315,19 +316,19 @@
   set("Cookie", request.cookie);
   set("Content-Type", request.content_type);
   if (token != 0) set("Fencing-Token", std::to_string(token));
-  if (request.timeout.count() < 0) throw BadRequest{400, "bad Request-Timeout-Ms"};
+  if (request.timeout.count() < 0) throw RequestRejection{400, "bad Request-Timeout-Ms"};
   if (request.timeout.count() > 0) set("Request-Timeout-Ms", std::to_string(request.timeout.count()));
   if (request.work.count() > 0) set("Work-Hint", std::to_string(request.work.count()));
   if (request.is_repeat) set("Client-Retry", "1");
-  const Intake::Lines lines(head);
-  Intake::check_address(head, lines);
-  if (request.target.empty() || request.target.front() != '/') throw BadRequest{400, "bad target"};
-  auto forward = std::make_shared<Forward>();
-  Call out = intake.read(head, lines, *forward);
+  const RequestValidator::FieldValues lines(head);
+  RequestValidator::check_target_and_host(head, lines);
+  if (request.target.empty() || request.target.front() != '/') throw RequestRejection{400, "bad target"};
+  auto forward = std::make_shared<UpstreamRequest>();
+  Call out = request_validator.read_call(head, lines, *forward);
   forward->claim = Claim(budget);
   // Guards the memory limit: answers need room too, so requests leave half of the budget to them.
   if (!forward->claim.grow_to(request.body.size(), budget.size() / 2))
-    throw BadRequest{503, "no memory to spare"};
+    throw RequestRejection{503, "no memory to spare"};
   if (!safe) forward->head += "Content-Length: " + std::to_string(request.body.size()) + "\r\n";
   forward->body = std::move(request.body);
   out.payload = std::move(forward);
@@ -335,7 +336,7 @@
   return out;
 }
 
-Error error_of(const BadRequest& bad) {
+Error error_of(const RequestRejection& bad) {
   const std::string_view what = bad.what == nullptr ? "can't be read" : bad.what;
   Errc code = Errc::kBadRequest;
   if (bad.status == 503) code = Errc::kFull;
@@ -350,7 +351,7 @@
   Response out;
   switch (reply.kind) {
     case Reply::Kind::kServed: {
-      auto& whole = static_cast<WholeAnswer&>(*reply.payload);
+      auto& whole = static_cast<UpstreamResponse&>(*reply.payload);
       out.outcome = Outcome::kServed;
       out.body = std::move(whole.body);
       out.content_type = std::move(whole.content_type);
--- a/gateway/convert.h
+++ b/gateway/convert.h
@@ -6,8 +6,8 @@
 
 #include "core/engine.h"
 #include "duties/client_service.h"
-#include "http/intake.h"
-#include "http/payload.h"
+#include "http/request_validator.h"
+#include "http/upstream_payload.h"
 #include "nettlestand/gateway.h"
 #include "nettlestand/options.h"
 #include "peers/service.h"
@@ -30,12 +30,12 @@
                  std::size_t most, std::uint64_t seq, ServerList& out);
 
 // A request as it came at `came_at`, with its id filled in, and the token of its duty, where it has one.
-// Throws BadRequest.
-Call call_of(Request&& request, const Intake& intake, const std::vector<std::string>& classes,
-             const quinceusher::Settings& settings, ByteBudget& budget, double received_at,
-             std::uint64_t token = 0);
+// Throws RequestRejection.
+Call call_of(Request&& request, const RequestValidator& request_validator,
+             const std::vector<std::string>& classes, const quinceusher::Settings& settings,
+             ByteBudget& budget, double received_at, std::uint64_t token = 0);
 
-Error error_of(const BadRequest& bad);
+Error error_of(const RequestRejection& bad);
 Response response_of(Reply&& reply);
 
 }  // namespace nettlestand
--- a/gateway/http.cpp
+++ b/gateway/http.cpp
@@ -4,8 +4,8 @@
 #include <utility>
 
 #include "gateway/impl.h"
-#include "http/answers.h"
-#include "http/reader.h"
+#include "http/request_reader.h"
+#include "http/responses.h"
 #include "util/clock.h"
 
 namespace nettlestand {
@@ -13,11 +13,11 @@
 
 std::string_view view(boost::beast::string_view text) { return {text.data(), text.size()}; }
 
-Answer plain(const HttpAnswer& answer) {
+FinalResponse plain(const HttpAnswer& answer) {
   return {static_cast<unsigned>(answer.status), 0, answer.body, answer.content_type, {}};
 }
 
-HttpAnswer public_of(Answer&& answer, bool close) {
+HttpAnswer public_of(FinalResponse&& answer, bool close) {
   return {static_cast<int>(answer.status), answer.retry_after > 0 ? retry_after_text(answer.retry_after) : "",
           std::move(answer.content_type), std::move(answer.body), close};
 }
@@ -30,7 +30,7 @@
 HttpCall::~HttpCall() = default;
 
 std::string HttpAnswer::bytes() const {
-  std::string out = head_of(plain(*this), close);
+  std::string out = response_head(plain(*this), close);
   if (!retry_after.empty()) out.insert(out.size() - 2, "Retry-After: " + retry_after + "\r\n");
   return out + body;
 }
@@ -53,10 +53,10 @@
 
 struct HttpReader::Impl {
   Impl(Gateway::Impl& gateway, std::size_t other)
-      : gateway(gateway), reader(gateway.intake(), gateway.budget(), other) {}
+      : gateway(gateway), reader(gateway.request_validator(), gateway.budget(), other) {}
   Gateway::Impl& gateway;
   RequestReader reader;
-  BadRequest bad{400, nullptr};
+  RequestRejection bad{400, nullptr};
   bool begun = false;
   double received_at = 0;
 };
@@ -68,16 +68,16 @@
 HttpReader::Step HttpReader::read(std::string& in) {
   if (!std::exchange(impl_->begun, true)) impl_->received_at = now();
   switch (impl_->reader.read(in)) {
-    case RequestReader::Step::kMore:
+    case RequestReader::Step::kNeedMore:
       return Step::kMore;
     case RequestReader::Step::kHead:
       return Step::kHead;
     case RequestReader::Step::kRequest:
       return Step::kRequest;
-    case RequestReader::Step::kTurnedAway:
+    case RequestReader::Step::kRejected:
       break;
   }
-  impl_->bad = impl_->reader.verdict();
+  impl_->bad = impl_->reader.rejection();
   return Step::kTurnedAway;
 }
 
@@ -102,14 +102,14 @@
     out.impl = std::make_unique<HttpCall::Impl>();
     out.impl->call = impl_->reader.take_call(impl_->received_at);
     return true;
-  } catch (const BadRequest& bad) {
+  } catch (const RequestRejection& bad) {
     impl_->bad = bad;
     return false;
   }
 }
 
 HttpAnswer HttpReader::verdict() const {
-  return public_of(answer_to(impl_->bad, impl_->gateway.engine()), true);
+  return public_of(response_to(impl_->bad, impl_->gateway.engine()), true);
 }
 
 bool HttpReader::upgrades() const {
@@ -151,7 +151,7 @@
 }
 
 void HttpReader::forget() {
-  impl_->reader.forget();
+  impl_->reader.reset();
   impl_->begun = false;
 }
 
--- a/gateway/impl.cpp
+++ b/gateway/impl.cpp
@@ -55,7 +55,8 @@
       checked_(std::move(checked)),
       own_(loop == nullptr ? std::make_unique<asio::io_context>(1) : nullptr),
       loop_(loop == nullptr ? *own_ : *loop),
-      intake_(checked_.engine.settings, checked_.classes, checked_.tenants, checked_.duties.has_value()),
+      request_validator_(checked_.engine.settings, checked_.classes, checked_.tenants,
+                         checked_.duties.has_value()),
       budget_(options_.memory / kBodyPart),
       poller_(loop_),
       upstream_(loop_, poller_,
@@ -73,7 +74,7 @@
     discovery_.emplace(loop_,
                        DiscoveryOptions{*checked_.discovery, options_.zones, options_.seed,
                                         options_.servers_version, false, checked_.engine.max_servers},
-                       Discovery::Listeners{[this](const ServerList& list) { engine_.on_server_list(list); },
+                       Discovery::Callbacks{[this](const ServerList& list) { engine_.on_server_list(list); },
                                             [this] { engine_.on_watch_failed(); }},
                        [this](const LogEvent& event) { log(event); });
   }
@@ -181,7 +182,7 @@
 void Gateway::Impl::shut() {
   if (std::exchange(shut_, true)) return;
   last_answers_.cancel();
-  if (discovery_) discovery_->shut();
+  if (discovery_) discovery_->shut_down();
   if (peers_) peers_->leave();
   if (duties_) duties_->close();
   engine_.shut_down();
@@ -241,9 +242,9 @@
     return ticket;
   }
   try {
-    pending->call = call_of(std::move(request), intake_, checked_.classes, checked_.engine.settings, budget_,
-                            received_at, token);
-  } catch (const BadRequest& bad) {
+    pending->call = call_of(std::move(request), request_validator_, checked_.classes,
+                            checked_.engine.settings, budget_, received_at, token);
+  } catch (const RequestRejection& bad) {
     Response response;
     if (bad.status == 503) response = response_of(engine_.refusal());
     if (bad.status != 503) response.outcome = Outcome::kInvalid;
@@ -389,7 +390,7 @@
   const auto to = endpoint_of(address);
   if (!to) return {Errc::kBadOption, "discovery: '" + address + "' is not an address and a port"};
   if (!discovery_) return {Errc::kBadOption, "discovery: this gateway was opened without one"};
-  on_loop([this, to = *to] { discovery_->move(to); });
+  on_loop([this, to = *to] { discovery_->set_address(to); });
   return {};
 }
 
--- a/gateway/impl.h
+++ b/gateway/impl.h
@@ -19,7 +19,7 @@
 #include "discovery/discovery.h"
 #include "duties/client_service.h"
 #include "gateway/convert.h"
-#include "http/intake.h"
+#include "http/request_validator.h"
 #include "http/upstream.h"
 #include "nettlestand/gateway.h"
 #include "nettlestand/http.h"
@@ -62,7 +62,7 @@
   std::uint64_t duty_token(const std::string& duty) const;
   void duty_failed(const std::string& duty);
 
-  const Intake& intake() const { return intake_; }
+  const RequestValidator& request_validator() const { return request_validator_; }
   ByteBudget& budget() { return budget_; }
   const Engine& engine() const { return engine_; }
 
@@ -104,7 +104,7 @@
   boost::asio::io_context& loop_;
   std::optional<boost::asio::executor_work_guard<boost::asio::io_context::executor_type>> work_;
   std::thread thread_;
-  const Intake intake_;
+  const RequestValidator request_validator_;
   ByteBudget budget_;
   Poller poller_;
   std::optional<Discovery> discovery_;
--- a/http/listener.cpp
+++ b/http/listener.cpp
@@ -11,8 +11,8 @@
 #include <string_view>
 #include <utility>
 
-#include "http/answers.h"
-#include "http/reader.h"
+#include "http/request_reader.h"
+#include "http/responses.h"
 #include "util/clock.h"
 
 namespace nettlestand {
@@ -23,15 +23,17 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-constexpr std::size_t kOtherLimit = 64 * 1024;    // bytes of a body that is not for /api
-constexpr std::size_t kEarlyLimit = 8 * 1024;     // bytes kept of a next request while one is being answered
-constexpr std::size_t kJoined = 4 * 1024;         // bytes of a body that are copied behind its head
-constexpr std::size_t kEndingLimit = 256 * 1024;  // bytes thrown away after the last answer
-constexpr double kEndingLimitS = 1;               // s for a client to close after its last answer
-constexpr double kYoung = 0.25;     // s in which a new connection or a request being read is not evicted
-constexpr int kEvictionLooks = 16;  // connections looked at to find one that can go
+constexpr std::size_t kMaxOtherBodyBytes = 64 * 1024;  // bytes of a body that is not for /api
+constexpr std::size_t kMaxPipelinedBytes =
+    8 * 1024;  // bytes kept of a next request while one is being answered
+constexpr std::size_t kMaxCopiedBodyBytes = 4 * 1024;   // bytes of a body that are copied behind its head
+constexpr std::size_t kMaxDiscardedBytes = 256 * 1024;  // bytes thrown away after the last answer
+constexpr double kEndingTimeoutSeconds = 1;             // s for a client to close after its last answer
+constexpr double kEvictionGraceSeconds =
+    0.25;  // s in which a new connection or a request being read is not evicted
+constexpr int kMaxEvictionCandidates = 16;  // connections looked at to find one that can go
 constexpr auto kSweepPeriod = std::chrono::milliseconds(200);
-constexpr auto kAcceptPause = std::chrono::milliseconds(20);  // after a failed accept: never a busy loop
+constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(20);  // after a failed accept: never a busy loop
 
 }  // namespace
 
@@ -42,31 +44,31 @@
   Connection(Listener& listener, Socket socket)
       : listener_(listener),
         socket_(std::move(socket)),
-        reader_(listener.intake_, listener.budget_, kOtherLimit) {
-    ++listener_.count_;
+        reader_(listener.request_validator_, listener.budget_, kMaxOtherBodyBytes) {
+    ++listener_.connection_count_;
   }
   ~Connection() { close(); }
   Connection(const Connection&) = delete;
   Connection& operator=(const Connection&) = delete;
 
   void start() {
-    watched_ = listener_.poller_.add(socket_.descriptor(), *this);
-    if (watched_ == 0) return;
-    enter(State::kFresh);
+    poller_key_ = listener_.poller_.add(socket_.descriptor(), *this);
+    if (poller_key_ == 0) return;
+    enter(State::kUnused);
   }
 
   // The last look: what has come is answered, and the rest is told that it came too late.
   void end_reading() {
     const auto self = shared_from_this();
-    guarded([&] {
+    run_guarded([&] {
       read();
-      if (state_ == State::kFresh || state_ == State::kIdle || state_ == State::kReading) end_if_slow(0);
+      if (state_ == State::kUnused || state_ == State::kIdle || state_ == State::kReading) end_if_overdue(0);
     });
   }
 
   // Ends it unless a request is being read, waits or is being answered.
   bool end_if_idle() {
-    if (state_ != State::kIdle && state_ != State::kFresh) return false;
+    if (state_ != State::kIdle && state_ != State::kUnused) return false;
     char byte = 0;
     // What has come and is not read yet is a request that this machine has taken.
     if (socket_.read(&byte, 1, MSG_PEEK) > 0) return false;
@@ -75,11 +77,11 @@
   }
 
   // Ends it with an error where it has sent a part of a request and has had its time.
-  bool end_if_slow(double limit) {
-    if (now() - (used_ ? since_ : connected_at_) < limit) return false;
-    static constexpr std::string_view kSlow =
+  bool end_if_overdue(double limit) {
+    if (now() - (has_answered_ ? state_since_ : connected_at_) < limit) return false;
+    static constexpr std::string_view kRequestTimeoutResponse =
         "HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
-    if (state_ == State::kReading) socket_.write(kSlow, {});
+    if (state_ == State::kReading) socket_.write(kRequestTimeoutResponse, {});
     end();
     return true;
   }
@@ -88,7 +90,7 @@
   // connection, and may take an answer with it that the client has not read; a request that crosses this end
   // is never read, so that its client may send it again. So what still comes is thrown away for a while.
   void end() {
-    reader_.forget();
+    reader_.reset();
     socket_.shutdown_send();
     std::string().swap(in_);
     enter(State::kEnding);
@@ -96,9 +98,9 @@
   }
 
   // Closes it where its end has been seen, by all that can be told.
-  bool close_if_seen() {
-    if (!socket_.end_arrived() && now() - since_ < kYoung) return false;
-    guarded([this] { read(); });  // what crossed the end: closing over it would reset the connection
+  bool close_if_end_seen() {
+    if (!socket_.end_arrived() && now() - state_since_ < kEvictionGraceSeconds) return false;
+    run_guarded([this] { read(); });  // what crossed the end: closing over it would reset the connection
     close();
     return true;
   }
@@ -115,22 +117,22 @@
     const bool waiting = state_ == State::kWaiting;
     const auto self = weak_from_this().lock();
     enter(State::kClosed);
-    listener_.poller_.remove(watched_, socket_.descriptor());
+    listener_.poller_.remove(poller_key_, socket_.descriptor());
     socket_.close();
-    reader_.forget();
+    reader_.reset();
     if (waiting) listener_.engine_.on_client_gone(request_);
-    listener_.closed();
+    listener_.on_connection_closed();
   }
 
-  double since() const { return since_; }
+  double state_since() const { return state_since_; }
 
  private:
-  enum class State { kNew, kFresh, kIdle, kReading, kWaiting, kWriting, kEnding, kClosed };
+  enum class State { kNew, kUnused, kIdle, kReading, kWaiting, kWriting, kEnding, kClosed };
 
-  Order* order_of(State state) {
+  ConnectionList* list_for(State state) {
     switch (state) {
-      case State::kFresh:
-        return &listener_.fresh_;
+      case State::kUnused:
+        return &listener_.unused_;
       case State::kIdle:
         return &listener_.idle_;
       case State::kReading:
@@ -143,25 +145,25 @@
         return nullptr;
     }
   }
-  static bool busy(State state) { return state == State::kWaiting || state == State::kWriting; }
+  static bool is_busy(State state) { return state == State::kWaiting || state == State::kWriting; }
 
   void enter(State state) {
     const auto self = weak_from_this().lock();  // its place may be what keeps it
-    if (Order* order = listed_ ? order_of(state_) : nullptr) order->erase(place_);
-    listed_ = false;
-    if (busy(state_)) --listener_.busy_;
-    if (busy(state)) ++listener_.busy_;
+    if (ConnectionList* list = is_listed_ ? list_for(state_) : nullptr) list->erase(list_position_);
+    is_listed_ = false;
+    if (is_busy(state_)) --listener_.busy_count_;
+    if (is_busy(state)) ++listener_.busy_count_;
     state_ = state;
-    since_ = now();
-    if (Order* order = order_of(state)) {
-      place_ = order->insert(order->end(), self);
-      listed_ = true;
+    state_since_ = now();
+    if (ConnectionList* list = list_for(state)) {
+      list_position_ = list->insert(list->end(), self);
+      is_listed_ = true;
     }
   }
 
   // Guards the other connections: what goes wrong in one, be it memory, ends that one alone.
   template <class Step>
-  void guarded(Step&& step) {
+  void run_guarded(Step&& step) {
     try {
       step();
     } catch (const std::exception& problem) {
@@ -176,7 +178,7 @@
 
   void ready(std::uint32_t events) override {
     const auto self = shared_from_this();
-    guarded([&] {
+    run_guarded([&] {
       if ((events & EPOLLOUT) != 0 && state_ == State::kWriting) write();
       // A client that has ended its side has gone, whatever it has left behind unread. But what is being
       // thrown away is so up to its end, for what was written last.
@@ -190,22 +192,22 @@
   void read() {
     while (state_ != State::kClosed) {
       // Guards the memory: so much is kept of a next request, and the rest is read when this one is answered.
-      paused_ = busy(state_) && in_.size() >= kEarlyLimit;
-      if (paused_) return;
+      reading_paused_ = is_busy(state_) && in_.size() >= kMaxPipelinedBytes;
+      if (reading_paused_) return;
       const ssize_t got = socket_.read(listener_.scratch_.data(), listener_.scratch_.size());
       if (got < 0 && Socket::would_block()) return;
       if (got <= 0) return close();
       const auto size = static_cast<std::size_t>(got);
       if (state_ == State::kEnding) {
-        if ((thrown_away_ += size) > kEndingLimit) return close();
+        if ((discarded_bytes_ += size) > kMaxDiscardedBytes) return close();
         continue;
       }
       // A request's time counts from its last byte; of what is kept for later, from the first.
-      if (!busy(state_) || in_.empty()) received_at_ = now();
+      if (!is_busy(state_) || in_.empty()) received_at_ = now();
       in_.append(listener_.scratch_.data(), size);
-      if (!busy(state_)) {  // else the next request's bytes are kept
+      if (!is_busy(state_)) {  // else the next request's bytes are kept
         if (state_ != State::kReading) enter(State::kReading);
-        go_on();
+        parse_pending();
       }
       if (size < listener_.scratch_.size()) return;  // that was all; more makes it ready again
     }
@@ -213,55 +215,55 @@
 
   // Reads requests out of what has come, until one waits or more is needed. Not by recursion: answers that
   // are there at once would nest.
-  void go_on() {
-    more_ = true;
-    if (going_on_) return;
-    going_on_ = true;
-    while (std::exchange(more_, false) && state_ == State::kReading) parse();
-    going_on_ = false;
+  void parse_pending() {
+    parse_again_ = true;
+    if (is_parsing_) return;
+    is_parsing_ = true;
+    while (std::exchange(parse_again_, false) && state_ == State::kReading) parse();
+    is_parsing_ = false;
   }
 
   void parse() {
     switch (reader_.read(in_)) {
-      case RequestReader::Step::kMore:
+      case RequestReader::Step::kNeedMore:
         return;
-      case RequestReader::Step::kTurnedAway:
-        return turn_away(reader_.verdict());
+      case RequestReader::Step::kRejected:
+        return reject(reader_.rejection());
       case RequestReader::Step::kHead:
         // Guards against a request that runs twice, or an answer that goes to the wrong client.
         if (reader_.is_call() && listener_.engine_.has_request(reader_.client_id()))
-          return turn_away(kOpenId);
+          return reject(kRequestIdInUse);
         if (reader_.expects_continue()) {
-          static constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
-          socket_.write(kContinue, {});
+          static constexpr std::string_view kContinueResponse = "HTTP/1.1 100 Continue\r\n\r\n";
+          socket_.write(kContinueResponse, {});
         }
         return parse();
       case RequestReader::Step::kRequest:
-        return take();
+        return handle_request();
     }
   }
 
-  void turn_away(const BadRequest& bad) { answer(answer_to(bad, listener_.engine_), true); }
+  void reject(const RequestRejection& bad) { respond(response_to(bad, listener_.engine_), true); }
 
-  void take() {
+  void handle_request() {
     const http::verb method = reader_.request().method();
     if (reader_.path() == "/healthz") {
       head_only_ = method == http::verb::head;
       const unsigned status = method != http::verb::get && !head_only_            ? 405
                               : listener_.engine_.ready() && !listener_.draining_ ? 200
                                                                                   : 503;
-      return answer({status, 0, {}, {}, {}}, false);
+      return respond({status, 0, {}, {}, {}}, false);
     }
-    if (!reader_.is_call()) return answer({404, 0, {}, {}, {}}, false);
+    if (!reader_.is_call()) return respond({404, 0, {}, {}, {}}, false);
     Call call;
     try {
       call = reader_.take_call(received_at_);
-    } catch (const BadRequest& bad) {
-      return turn_away(bad);
+    } catch (const RequestRejection& bad) {
+      return reject(bad);
     }
-    reader_.forget();
-    if (listener_.engine_.has_request(call.client_id)) return turn_away(kOpenId);
-    if (listener_.crowded() || listener_.finished_) return turn_away({503, nullptr});
+    reader_.reset();
+    if (listener_.engine_.has_request(call.client_id)) return reject(kRequestIdInUse);
+    if (listener_.is_saturated() || listener_.reading_stopped_) return reject({503, nullptr});
     enter(State::kWaiting);
     request_ = 0;
     request_ = listener_.engine_.submit(std::move(call), shared_from_this());
@@ -269,138 +271,139 @@
 
   void answered(Reply&& reply) override {
     if (state_ != State::kWaiting) return;
-    guarded([&] { answer(answer_to(std::move(reply)), false); });
+    run_guarded([&] { respond(response_to(std::move(reply)), false); });
   }
 
-  void answer(Answer&& final, bool close) {
-    close_after_ = close || !reader_.keep_alive() || listener_.finishing_;
-    reader_.forget();
-    head_ = head_of(final, close_after_);
-    answer_ = std::move(final);
-    if (std::exchange(head_only_, false)) answer_.body.clear();
+  void respond(FinalResponse&& final, bool close) {
+    close_after_ = close || !reader_.keep_alive() || listener_.closing_idle_;
+    reader_.reset();
+    response_head_ = response_head(final, close_after_);
+    response_ = std::move(final);
+    if (std::exchange(head_only_, false)) response_.body.clear();
     enter(State::kWriting);
     written_ = 0;
-    if (answer_.body.size() <= kJoined) {  // one part is written quicker than two
-      head_ += answer_.body;
-      answer_.body.clear();
+    if (response_.body.size() <= kMaxCopiedBodyBytes) {  // one part is written quicker than two
+      response_head_ += response_.body;
+      response_.body.clear();
     }
     write();
   }
 
   void write() {
-    const std::size_t all = head_.size() + answer_.body.size();
+    const std::size_t all = response_head_.size() + response_.body.size();
     while (written_ < all) {
-      const std::size_t of_body = written_ < head_.size() ? 0 : written_ - head_.size();
+      const std::size_t of_body = written_ < response_head_.size() ? 0 : written_ - response_head_.size();
       const std::string_view head =
-          of_body > 0 ? std::string_view() : std::string_view(head_).substr(std::min(written_, head_.size()));
-      const ssize_t sent = socket_.write(head, std::string_view(answer_.body).substr(of_body));
+          of_body > 0 ? std::string_view()
+                      : std::string_view(response_head_).substr(std::min(written_, response_head_.size()));
+      const ssize_t sent = socket_.write(head, std::string_view(response_.body).substr(of_body));
       if (sent < 0 && Socket::would_block()) return;  // it gets ready for more
       if (sent <= 0) return close();
       written_ += static_cast<std::size_t>(sent);
     }
-    written();
+    on_written();
   }
 
-  void written() {
-    head_.clear();
-    answer_ = {};
-    used_ = true;
-    if (close_after_ || listener_.finishing_) return end();
+  void on_written() {
+    response_head_.clear();
+    response_ = {};
+    has_answered_ = true;
+    if (close_after_ || listener_.closing_idle_) return end();
     if (in_.empty()) {
       std::string().swap(in_);
       enter(State::kIdle);
     } else {
       enter(State::kReading);
-      go_on();
+      parse_pending();
     }
-    if (std::exchange(paused_, false)) read();
+    if (std::exchange(reading_paused_, false)) read();
   }
 
   Listener& listener_;
   Socket socket_;
-  Poller::Key watched_ = 0;
+  Poller::Key poller_key_ = 0;
   RequestReader reader_;
   State state_ = State::kNew;
-  bool listed_ = false, head_only_ = false, close_after_ = false;
-  bool paused_ = false, going_on_ = false, more_ = false;
-  bool used_ = false;  // has had an answer
-  Order::iterator place_;
-  double since_ = 0, received_at_ = 0;
+  bool is_listed_ = false, head_only_ = false, close_after_ = false;
+  bool reading_paused_ = false, is_parsing_ = false, parse_again_ = false;
+  bool has_answered_ = false;  // has had an answer
+  ConnectionList::iterator list_position_;
+  double state_since_ = 0, received_at_ = 0;
   const double connected_at_ = now();
   std::uint64_t request_ = 0;
-  std::size_t written_ = 0, thrown_away_ = 0;
-  std::string in_, head_;
-  Answer answer_;
+  std::size_t written_ = 0, discarded_bytes_ = 0;
+  std::string in_, response_head_;
+  FinalResponse response_;
 };
 
-Listener::Listener(asio::io_context& io, Poller& poller, const tcp::endpoint& address, Intake intake,
-                   Engine& engine, ByteBudget& budget, std::size_t most_connections,
-                   const ListenerLimits& limits, Log log)
+Listener::Listener(asio::io_context& io, Poller& poller, const tcp::endpoint& address,
+                   RequestValidator request_validator, Engine& engine, ByteBudget& budget,
+                   std::size_t max_connections, const ListenerLimits& limits, Log log)
     : poller_(poller),
       engine_(engine),
       budget_(budget),
       log_(std::move(log)),
-      intake_(std::move(intake)),
-      most_(most_connections),
+      request_validator_(std::move(request_validator)),
+      max_connections_(max_connections),
       limits_(limits),
       acceptor_(io),
-      retry_(io),
-      sweep_(io) {
+      accept_retry_timer_(io),
+      sweep_timer_(io) {
   acceptor_.open(address.protocol());
   acceptor_.set_option(tcp::acceptor::reuse_address(true));
   acceptor_.bind(address);
   acceptor_.listen(4096);
   acceptor_.non_blocking(true);
   accept();
-  sweep();
+  close_expired();
 }
 
 // Guards the limit on descriptors: a connection that does nothing makes room; where there is none, the rest
 // wait in the machine's queue until one ends.
 void Listener::accept() {
-  if (accepting_ || !acceptor_.is_open()) return;
-  accepting_ = true;
+  if (accept_pending_ || !acceptor_.is_open()) return;
+  accept_pending_ = true;
   acceptor_.async_wait(tcp::acceptor::wait_read, [this](const error_code& error) {
-    accepting_ = false;
+    accept_pending_ = false;
     if (error == asio::error::operation_aborted) return;
-    if (error) return accept_later();
+    if (error) return retry_accept_later();
     for (int i = 0; i < 64; ++i) {
       // Guards who has just been accepted: nobody is pushed out where nobody waits to come in.
-      if (count_ >= most_ - reserve()) {
-        if (!somebody_waits()) break;
-        if (count_ - ending_.size() >= most_ - reserve()) end_one();
+      if (connection_count_ >= max_connections_ - ending_reserve()) {
+        if (!has_pending_client()) break;
+        if (connection_count_ - ending_.size() >= max_connections_ - ending_reserve()) evict_one();
       }
-      if (count_ >= most_ && !reap()) {
-        if (!ending_.empty()) return accept_later();
-        if (!full_)
+      if (connection_count_ >= max_connections_ && !reclaim_ended()) {
+        if (!ending_.empty()) return retry_accept_later();
+        if (!is_full_)
           log_({LogLevel::kWarning,
                 "listener",
                 "full",
                 "no room for further connections of callers",
-                {{"connections", static_cast<std::int64_t>(count_)}}});
-        full_ = true;
+                {{"connections", static_cast<std::int64_t>(connection_count_)}}});
+        is_full_ = true;
         return;  // the next one that closes accepts
       }
       if (!accept_one()) {
         if (Socket::would_block() || errno == ECONNABORTED) break;
-        end_one();  // no descriptor left, most likely
-        reap();
-        return accept_later();
+        evict_one();  // no descriptor left, most likely
+        reclaim_ended();
+        return retry_accept_later();
       }
-      full_ = false;
+      is_full_ = false;
     }
     accept();
   });
 }
 
-bool Listener::somebody_waits() {
+bool Listener::has_pending_client() {
   pollfd queue{acceptor_.native_handle(), POLLIN, 0};
   return ::poll(&queue, 1, 0) > 0;
 }
 
-void Listener::accept_later() {
-  retry_.expires_after(kAcceptPause);
-  retry_.async_wait([this](const error_code& error) {
+void Listener::retry_accept_later() {
+  accept_retry_timer_.expires_after(kAcceptRetryDelay);
+  accept_retry_timer_.async_wait([this](const error_code& error) {
     if (!error) accept();
   });
 }
@@ -422,78 +425,78 @@
   return true;
 }
 
-void Listener::closed() {
-  --count_;
-  if (full_) accept();
+void Listener::on_connection_closed() {
+  --connection_count_;
+  if (is_full_) accept();
 }
 
 // Frees the descriptor of who was ended longest ago, if its client's machine knows of that, or has had time
 // to.
-bool Listener::reap() {
+bool Listener::reclaim_ended() {
   if (ending_.empty()) return false;
   const std::shared_ptr<Connection> oldest = ending_.front();
-  return oldest->close_if_seen();
+  return oldest->close_if_end_seen();
 }
 
 // The most useless go first: those that never sent a byte, those that are idle, and last those that are slow
 // to send. Guards the usual clients against hundreds that connect and wait.
-void Listener::end_one() {
+void Listener::evict_one() {
   // Guards clients that have just connected and are about to send: evicted at once, they would come again,
   // and push each other out for ever (seen: 800 connections a second).
-  const double old = now() - kYoung;
-  const auto evict = [](const Order& order, double before) {
-    int looks = 0;  // one with a request that is not read yet must not protect those behind it
-    for (auto it = order.begin(); it != order.end() && looks < kEvictionLooks; ++looks) {
+  const double old = now() - kEvictionGraceSeconds;
+  const auto evict = [](const ConnectionList& list, double before) {
+    int candidates = 0;  // one with a request that is not read yet must not protect those behind it
+    for (auto it = list.begin(); it != list.end() && candidates < kMaxEvictionCandidates; ++candidates) {
       const std::shared_ptr<Connection> next = *it++;
-      if (next->since() > before) break;
+      if (next->state_since() > before) break;
       if (next->end_if_idle()) return true;
     }
     return false;
   };
-  if (evict(fresh_, old) || evict(idle_, now())) return;
+  if (evict(unused_, old) || evict(idle_, now())) return;
   if (!reading_.empty()) {
     const std::shared_ptr<Connection> slowest = reading_.front();
-    if (slowest->end_if_slow(kYoung)) return;
+    if (slowest->end_if_overdue(kEvictionGraceSeconds)) return;
   }
-  evict(fresh_, now());
+  evict(unused_, now());
 }
 
-void Listener::sweep() {
-  const auto older = [](const Order& order, double limit) {
-    return !order.empty() && now() - order.front()->since() > limit;
+void Listener::close_expired() {
+  const auto older = [](const ConnectionList& list, double limit) {
+    return !list.empty() && now() - list.front()->state_since() > limit;
   };
-  const auto oldest = [](const Order& order) { return std::shared_ptr<Connection>(order.front()); };
-  while (older(fresh_, limits_.read)) oldest(fresh_)->end();
+  const auto oldest = [](const ConnectionList& list) { return std::shared_ptr<Connection>(list.front()); };
+  while (older(unused_, limits_.read)) oldest(unused_)->end();
   while (older(idle_, limits_.idle)) oldest(idle_)->end();
   while (older(writing_, limits_.write)) oldest(writing_)->close();
-  while (older(ending_, kEndingLimitS)) oldest(ending_)->close();
+  while (older(ending_, kEndingTimeoutSeconds)) oldest(ending_)->close();
   for (auto it = reading_.begin(); it != reading_.end();) {
     const std::shared_ptr<Connection> next = *it++;
-    next->end_if_slow(limits_.read);
+    next->end_if_overdue(limits_.read);
   }
-  if (full_) accept();  // what was busy when somebody wanted in may be idle by now
-  sweep_.expires_after(kSweepPeriod);
-  sweep_.async_wait([this](const error_code& error) {
-    if (!error) sweep();
+  if (is_full_) accept();  // what was busy when somebody wanted in may be idle by now
+  sweep_timer_.expires_after(kSweepPeriod);
+  sweep_timer_.async_wait([this](const error_code& error) {
+    if (!error) close_expired();
   });
 }
 
-void Listener::finish() {
-  finishing_ = true;
+void Listener::close_idle_connections() {
+  closing_idle_ = true;
   // Guards who has just connected and is about to send: it has no answer yet that would tell it to leave.
-  const double old = now() - kYoung;
-  for (const Order* order : {&fresh_, &idle_}) {
-    const Order all = *order;
+  const double old = now() - kEvictionGraceSeconds;
+  for (const ConnectionList* list : {&unused_, &idle_}) {
+    const ConnectionList all = *list;
     for (const std::shared_ptr<Connection>& connection : all) {
-      if (order == &idle_ || connection->since() < old) connection->end_if_idle();
+      if (list == &idle_ || connection->state_since() < old) connection->end_if_idle();
     }
   }
 }
 
-void Listener::finish_reading() {
-  finished_ = true;
-  for (const Order* order : {&fresh_, &idle_, &reading_}) {
-    const Order all = *order;
+void Listener::stop_reading() {
+  reading_stopped_ = true;
+  for (const ConnectionList* list : {&unused_, &idle_, &reading_}) {
+    const ConnectionList all = *list;
     for (const std::shared_ptr<Connection>& connection : all) connection->end_reading();
   }
 }
@@ -503,7 +506,7 @@
   }
   error_code ignored;
   acceptor_.close(ignored);
-  retry_.cancel();
+  accept_retry_timer_.cancel();
 }
 
 }  // namespace nettlestand
--- a/http/listener.h
+++ b/http/listener.h
@@ -9,7 +9,7 @@
 #include <memory>
 
 #include "core/engine.h"
-#include "http/intake.h"
+#include "http/request_validator.h"
 #include "util/budget.h"
 #include "util/log.h"
 #include "util/poller.h"
@@ -30,8 +30,8 @@
 
   // Throws boost::system::system_error when the address can't be listened on.
   Listener(boost::asio::io_context& io, Poller& poller, const boost::asio::ip::tcp::endpoint& address,
-           Intake intake, Engine& engine, ByteBudget& budget, std::size_t most_connections,
-           const ListenerLimits& limits, Log log);
+           RequestValidator request_validator, Engine& engine, ByteBudget& budget,
+           std::size_t max_connections, const ListenerLimits& limits, Log log);
 
   boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
 
@@ -39,43 +39,45 @@
   void drain() { draining_ = true; }
   // Answers from now on end their connections, and what is idle is ended; to be called again and again, for
   // what becomes idle later. New ones are still accepted.
-  void finish();
+  void close_idle_connections();
   // No request is sent on from here on: those that have come are refused, half of one gets its error, and
   // every connection on which nothing waits for its answer is ended. After stop_accepting().
-  void finish_reading();
+  void stop_reading();
   // Accepts what has been connected by now, and nothing after that.
   void stop_accepting();
-  std::size_t connections() const { return count_; }
+  std::size_t connections() const { return connection_count_; }
 
  private:
-  using Order = std::list<std::shared_ptr<Connection>>;
+  using ConnectionList = std::list<std::shared_ptr<Connection>>;
 
   void accept();
-  void accept_later();
+  void retry_accept_later();
   bool accept_one();
-  bool somebody_waits();
-  void end_one();
-  bool reap();
-  void closed();
-  void sweep();
+  bool has_pending_client();
+  void evict_one();
+  bool reclaim_ended();
+  void on_connection_closed();
+  void close_expired();
   // Of the connections, so many are for those that have been ended and whose clients have not closed yet.
-  std::size_t reserve() const { return most_ / 8; }
-  bool crowded() const { return busy_ > most_ - most_ / 8; }
+  std::size_t ending_reserve() const { return max_connections_ / 8; }
+  bool is_saturated() const { return busy_count_ > max_connections_ - max_connections_ / 8; }
 
   Poller& poller_;
   Engine& engine_;
   ByteBudget& budget_;
   const Log log_;
-  const Intake intake_;
-  const std::size_t most_;
+  const RequestValidator request_validator_;
+  const std::size_t max_connections_;
   const ListenerLimits limits_;
-  std::size_t count_ = 0, busy_ = 0;  // busy: with a request that waits for its answer or gets it
-  bool draining_ = false, finishing_ = false, finished_ = false, accepting_ = false, full_ = false;
+  std::size_t connection_count_ = 0,
+              busy_count_ = 0;  // busy: with a request that waits for its answer or gets it
+  bool draining_ = false, closing_idle_ = false, reading_stopped_ = false, accept_pending_ = false,
+       is_full_ = false;
   // Each in the order in which they became so. fresh: has sent nothing yet; ending: has its last answer.
-  Order fresh_, idle_, reading_, writing_, ending_;
+  ConnectionList unused_, idle_, reading_, writing_, ending_;
   std::array<char, 16 * 1024> scratch_{};  // what is read goes through here: one thread, one buffer
   boost::asio::ip::tcp::acceptor acceptor_;
-  boost::asio::steady_timer retry_, sweep_;
+  boost::asio::steady_timer accept_retry_timer_, sweep_timer_;
 };
 
 }  // namespace nettlestand
--- a/http/reader.cpp
+++ b/http/request_reader.cpp
@@ -1,4 +1,4 @@
-#include "http/reader.h"
+#include "http/request_reader.h"
 
 #include <algorithm>
 #include <utility>
@@ -8,21 +8,21 @@
 
 namespace http = boost::beast::http;
 
-constexpr std::size_t kBodyLimit = 64 * 1024;  // bytes, of a request for /api
-constexpr std::size_t kHeadLimit = 8 * 1024;   // bytes, of a request's head and of a chunk's
+constexpr std::size_t kMaxBodyBytes = 64 * 1024;  // bytes, of a request for /api
+constexpr std::size_t kMaxHeadBytes = 8 * 1024;   // bytes, of a request's head and of a chunk's
 
 }  // namespace
 
-RequestReader::Step RequestReader::turn_away(unsigned status, const char* what) {
-  verdict_ = {status, what};
-  forget();
-  return Step::kTurnedAway;
+RequestReader::Step RequestReader::reject(unsigned status, const char* what) {
+  rejection_ = {status, what};
+  reset();
+  return Step::kRejected;
 }
 
-void RequestReader::forget() {
+void RequestReader::reset() {
   parser_.reset();
   call_.reset();
-  forward_.reset();
+  upstream_request_.reset();
   claim_ = {};
 }
 
@@ -31,8 +31,8 @@
 RequestReader::Step RequestReader::read(std::string& in) {
   if (!parser_) {
     parser_.emplace();
-    parser_->body_limit(std::max(kBodyLimit, other_limit_));
-    parser_->header_limit(kHeadLimit);
+    parser_->body_limit(std::max(kMaxBodyBytes, other_body_limit_));
+    parser_->header_limit(kMaxHeadBytes);
     head_bytes_ = 0;
   }
   boost::system::error_code error;
@@ -41,7 +41,7 @@
     const bool in_head = !parser_->is_header_done();
     const std::string_view bytes = std::string_view(in).substr(from);
     // Guards against a header that goes on in the next line: Beast joins them, others read them as two.
-    if (in_head && folded(bytes)) return turn_away(400);
+    if (in_head && has_folded_line(bytes)) return reject(400);
     const std::size_t body = parser_->get().body().size();
     const std::size_t used = parser_->put(boost::asio::buffer(bytes.data(), bytes.size()), error);
     from += used;
@@ -49,48 +49,49 @@
     if (in_head) framing = head_bytes_ += framing;
     if (error == http::error::need_more) framing += in.size() - from;
     // Guards against heads and chunk heads without end: Beast's own limit counts no line that is whole.
-    if (framing > kHeadLimit) return turn_away(431);
+    if (framing > kMaxHeadBytes) return reject(431);
     if (error == http::error::need_more) break;
     if (error) {
       const bool long_head = error == http::error::header_limit;
-      return turn_away(error == http::error::body_limit ? 413 : long_head ? 431 : 400);
+      return reject(error == http::error::body_limit ? 413 : long_head ? 431 : 400);
     }
     if (in_head && parser_->is_header_done()) {
       in.erase(0, from);
-      return head_came();
+      return on_head();
     }
     // The last of a chunked body are its trailers, all at once.
-    if (parser_->is_done() && parser_->chunked() && folded(bytes.substr(0, used))) return turn_away(400);
+    if (parser_->is_done() && parser_->chunked() && has_folded_line(bytes.substr(0, used)))
+      return reject(400);
     const std::size_t now = parser_->get().body().size();
-    if (now > (is_call() ? kBodyLimit : std::max(kBodyLimit, other_limit_))) return turn_away(413);
-    if (!in_head && !claim_.grow_to(now, budget_.size() / 2)) return turn_away(503);
+    if (now > (is_call() ? kMaxBodyBytes : std::max(kMaxBodyBytes, other_body_limit_))) return reject(413);
+    if (!in_head && !claim_.grow_to(now, budget_.size() / 2)) return reject(503);
     if (used == 0) break;
   }
   in.erase(0, from);
-  return parser_->is_done() ? Step::kRequest : Step::kMore;
+  return parser_->is_done() ? Step::kRequest : Step::kNeedMore;
 }
 
 // Looks at a request as soon as its head is there: what can't be used is turned away without its body.
-RequestReader::Step RequestReader::head_came() {
-  const Intake::Head& head = parser_->get().base();
+RequestReader::Step RequestReader::on_head() {
+  const RequestValidator::Head& head = parser_->get().base();
   keep_alive_ = parser_->get().keep_alive();
   claim_ = Claim(budget_);
   try {
-    const Intake::Lines lines(head);
-    Intake::check_framing(head, lines);
-    Intake::check_address(head, lines);
-    const std::string_view expected = lines.value[Intake::kExpect];
+    const RequestValidator::FieldValues fields(head);
+    RequestValidator::check_framing(head, fields);
+    RequestValidator::check_target_and_host(head, fields);
+    const std::string_view expected = fields.value[RequestValidator::kExpect];
     expects_continue_ = boost::beast::iequals({expected.data(), expected.size()}, "100-continue");
     const auto length = parser_->content_length().value_or(0);
-    if (Intake::path_of(head) == "/api") {
-      if (length > kBodyLimit) throw BadRequest{413, nullptr};
-      forward_ = std::make_shared<Forward>();
-      call_.emplace(intake_.read(head, lines, *forward_));
+    if (RequestValidator::path_of(head) == "/api") {
+      if (length > kMaxBodyBytes) throw RequestRejection{413, nullptr};
+      upstream_request_ = std::make_shared<UpstreamRequest>();
+      call_.emplace(request_validator_.read_call(head, fields, *upstream_request_));
     }
     // Guards the memory limit: answers need room too, so requests leave half of the budget to them.
-    if (!claim_.grow_to(length, budget_.size() / 2)) throw BadRequest{503, "no memory to spare"};
-  } catch (const BadRequest& bad) {
-    return turn_away(bad.status, bad.what);
+    if (!claim_.grow_to(length, budget_.size() / 2)) throw RequestRejection{503, "no memory to spare"};
+  } catch (const RequestRejection& bad) {
+    return reject(bad.status, bad.what);
   }
   return Step::kHead;
 }
@@ -98,15 +99,15 @@
 Call RequestReader::take_call(double received_at) {
   auto& request = parser_->get();
   if (request.method() == http::verb::post) {
-    forward_->head += "Content-Length: " + std::to_string(request.body().size()) + "\r\n";
+    upstream_request_->head += "Content-Length: " + std::to_string(request.body().size()) + "\r\n";
   } else if (!request.body().empty()) {
-    throw BadRequest{400, "a body where none belongs"};
+    throw RequestRejection{400, "a body where none belongs"};
   }
-  forward_->body = std::move(request.body());
-  forward_->claim = std::exchange(claim_, {});
+  upstream_request_->body = std::move(request.body());
+  upstream_request_->claim = std::exchange(claim_, {});
   Call out = std::move(*call_);
   out.received_at = received_at;
-  out.payload = std::move(forward_);
+  out.payload = std::move(upstream_request_);
   return out;
 }
 
--- a/http/answers.cpp
+++ b/http/responses.cpp
@@ -1,4 +1,4 @@
-#include "http/answers.h"
+#include "http/responses.h"
 
 #include <array>
 #include <boost/beast/http/status.hpp>
@@ -7,10 +7,10 @@
 
 namespace nettlestand {
 
-Answer answer_to(Reply&& reply) {
+FinalResponse response_to(Reply&& reply) {
   switch (reply.kind) {
     case Reply::Kind::kServed: {
-      auto& whole = static_cast<WholeAnswer&>(*reply.payload);
+      auto& whole = static_cast<UpstreamResponse&>(*reply.payload);
       return {200, 0, std::move(whole.body), std::move(whole.content_type), std::move(whole.claim)};
     }
     case Reply::Kind::kRefused:
@@ -24,8 +24,8 @@
   return {502, 0, {}, {}, {}};
 }
 
-Answer answer_to(const BadRequest& bad, const Engine& engine) {
-  Answer out{bad.status, bad.status == 503 ? engine.refusal().retry_after : 0, {}, {}, {}};
+FinalResponse response_to(const RequestRejection& bad, const Engine& engine) {
+  FinalResponse out{bad.status, bad.status == 503 ? engine.refusal().retry_after : 0, {}, {}, {}};
   if (bad.what != nullptr) {
     out.body = std::string(bad.what) + "\n";
     out.content_type = "text/plain";
@@ -39,7 +39,7 @@
   return out.data();
 }
 
-std::string head_of(const Answer& answer, bool close) {
+std::string response_head(const FinalResponse& answer, bool close) {
   std::string out = "HTTP/1.1 " + std::to_string(answer.status) + " ";
   const auto reason =
       boost::beast::http::obsolete_reason(static_cast<boost::beast::http::status>(answer.status));
--- a/http/upstream.h
+++ b/http/upstream.h
@@ -15,7 +15,7 @@
 #include <vector>
 
 #include "core/transport.h"
-#include "http/payload.h"
+#include "http/upstream_payload.h"
 #include "quinceusher/balancer.h"
 #include "util/budget.h"
 #include "util/log.h"
@@ -25,9 +25,9 @@
 namespace nettlestand {
 
 struct UpstreamOptions {
-  double connect_timeout = 0.25;  // s
-  double idle_close = 5;          // s; servers close connections idle for so long
-  std::size_t most_sockets = 460;
+  double connect_timeout = 0.25;   // s
+  double server_idle_timeout = 5;  // s; servers close connections idle for so long
+  std::size_t max_sockets = 460;
 };
 
 // Carries Forwards to servers and WholeAnswers back. Everything on the thread of the one event loop.
@@ -51,48 +51,49 @@
 
  private:
   struct Server {
-    boost::asio::ip::tcp::endpoint dial;
-    double started = 0;
-    std::uint64_t generation = 0;                    // new with each process or address
-    std::deque<std::shared_ptr<Connection>> parked;  // the most recently used at the back
+    boost::asio::ip::tcp::endpoint endpoint;
+    double started_at = 0;
+    std::uint64_t generation = 0;                  // new with each process or address
+    std::deque<std::shared_ptr<Connection>> idle;  // the most recently used at the back
     std::unordered_set<std::shared_ptr<Connection>> connecting;
   };
 
   Server* find(const std::string& name);
-  std::shared_ptr<Connection> reuse(Server& server, bool repeatable);
-  std::deque<std::shared_ptr<Connection>>::iterator rested(Server& server);
-  void surplus_came();
-  Connection* on(const AttemptId& attempt) const;
-  void ended(const AttemptId& attempt, quinceusher::Outcome outcome, std::unique_ptr<Payload> answer);
-  bool make_room();
-  void park(const std::shared_ptr<Connection>& connection);
-  void unpark(const std::shared_ptr<Connection>& connection);
-  void close_parked(Server& server);
-  void close_old();
-  static void stop_connecting(const Server& server, std::vector<AttemptId>& stopped);
+  std::shared_ptr<Connection> take_idle(Server& server, bool retryable);
+  std::deque<std::shared_ptr<Connection>>::iterator choose_idle(Server& server);
+  void on_surplus_bytes();
+  Connection* connection_for(const AttemptId& attempt) const;
+  void report_outcome(const AttemptId& attempt, quinceusher::Outcome outcome,
+                      std::unique_ptr<Payload> answer);
+  bool free_socket_slot();
+  void add_idle(const std::shared_ptr<Connection>& connection);
+  void remove_idle(const std::shared_ptr<Connection>& connection);
+  void close_idle(Server& server);
+  void close_expired();
+  static void collect_connecting(const Server& server, std::vector<AttemptId>& stopped);
 
   boost::asio::io_context& io_;
   Poller& poller_;
   ByteBudget& budget_;
   const Log log_;
   Sink* sink_ = nullptr;
-  const double connect_timeout_, keep_idle_;  // s
-  const std::size_t most_sockets_;
-  std::size_t open_ = 0;
-  double wary_until_ = 0;  // kept connections have broken under their next request lately
-  double rest_until_ = 0;  // servers have said more than they were asked lately
-  bool starting_ = false;  // inside start(): outcomes are told later
+  const double connect_timeout_, max_idle_seconds_;  // s
+  const std::size_t max_sockets_;
+  std::size_t open_sockets_ = 0;
+  double distrust_idle_until_ = 0;      // kept connections have broken under their next request lately
+  double rest_before_reuse_until_ = 0;  // servers have said more than they were asked lately
+  bool inside_start_ = false;           // inside start(): outcomes are told later
   std::uint64_t generation_ = 0;
-  struct HashOfAttempt {
+  struct AttemptIdHash {
     std::size_t operator()(const AttemptId& id) const {
       return std::hash<std::uint64_t>()(id.request * 1024 + static_cast<std::uint64_t>(id.attempt));
     }
   };
-  std::unordered_map<AttemptId, std::shared_ptr<Connection>, HashOfAttempt> attempts_;  // that are out
+  std::unordered_map<AttemptId, std::shared_ptr<Connection>, AttemptIdHash> attempts_;  // that are out
   std::array<char, 16 * 1024> scratch_{};  // what is read goes through here: one thread, one buffer
   std::unordered_map<std::string, Server> servers_;
-  std::list<std::shared_ptr<Connection>> parked_;  // all of them, the longest idle first
-  boost::asio::steady_timer sweep_;
+  std::list<std::shared_ptr<Connection>> idle_;  // all of them, the longest idle first
+  boost::asio::steady_timer expiry_timer_;
   const std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/http/payload.h
+++ b/http/upstream_payload.h
@@ -9,15 +9,15 @@
 namespace nettlestand {
 
 // A request as it goes on to a server.
-struct Forward final : Payload {
+struct UpstreamRequest final : Payload {
   std::string head;  // request line and headers, but for Request-Timeout-Ms and the empty line
   std::string body;
   Claim claim;  // on the bytes of the body
-  bool repeatable = false;
+  bool retryable = false;
 };
 
 // A server's 200, as it goes on to a caller.
-struct WholeAnswer final : Payload {
+struct UpstreamResponse final : Payload {
   std::string body, content_type;
   Claim claim;  // on the bytes of the body
 };
--- a/tests/acceptance/crossing.cpp
+++ b/tests/acceptance/close_interceptor.cpp
@@ -18,18 +18,18 @@
 namespace {
 
 template <class F>
-F next(const char* name) {
+F next_symbol(const char* name) {
   return reinterpret_cast<F>(dlsym(RTLD_NEXT, name));
 }
 
-int other_side(int fd) {
+int peer_port(int fd) {
   sockaddr_in at{};
   socklen_t size = sizeof at;
   if (getpeername(fd, reinterpret_cast<sockaddr*>(&at), &size) != 0 || at.sin_family != AF_INET) return 0;
   return ntohs(at.sin_port);
 }
 
-void hold(int fd) {
+void hold_if_armed(int fd) {
   static const char* const folder = std::getenv("NETTLESTAND_CROSSING");
   if (folder == nullptr) return;
   const int before = errno;
@@ -39,10 +39,10 @@
     if (std::fscanf(file, "%d", &port) != 1) port = 0;
     std::fclose(file);
   }
-  if (port != 0 && port == other_side(fd) &&
+  if (port != 0 && port == peer_port(fd) &&
       std::rename(armed.c_str(), (std::string(folder) + "/held").c_str()) == 0) {
     const int go = open((std::string(folder) + "/go").c_str(), O_RDONLY | O_CLOEXEC);
-    if (go >= 0) next<int (*)(int)>("close")(go);
+    if (go >= 0) next_symbol<int (*)(int)>("close")(go);
   }
   errno = before;
 }
@@ -50,11 +50,11 @@
 }  // namespace
 
 extern "C" int shutdown(int fd, int how) noexcept {
-  hold(fd);
-  return next<int (*)(int, int)>("shutdown")(fd, how);
+  hold_if_armed(fd);
+  return next_symbol<int (*)(int, int)>("shutdown")(fd, how);
 }
 
 extern "C" int close(int fd) {
-  hold(fd);
-  return next<int (*)(int)>("close")(fd);
+  hold_if_armed(fd);
+  return next_symbol<int (*)(int)>("close")(fd);
 }
--- a/tests/acceptance/closes_test.cpp
+++ b/tests/acceptance/closes_test.cpp
@@ -1,83 +1,84 @@
 // How callers' connections end: in order, whatever arrives in the very moment, and at SIGTERM with an answer
 // for whatever has been taken.
-#include "tests/acceptance/world.h"
+#include "tests/acceptance/customer_world.h"
 
 namespace nettlestand::testing {
 namespace {
 
-using Ends = OfCustomer;
+using Ends = CustomerTest;
 
-#ifdef CROSSING
+#ifdef CLOSE_INTERCEPTOR
 
 // A request crosses the end of a connection: its client sees that end and no reset, and nothing is sent on.
-void cross(Place& place, const Crossing& crossing, TcpConnection& client, const std::string& before) {
-  crossing.await();
-  client.send(place.unsafe("crossing"));
+void send_across_close(CustomerWorld& world, const CloseInterceptor& interceptor, TcpConnection& client,
+                       const std::string& before) {
+  interceptor.await();
+  client.send(world.unsafe("crossing"));
   client.wait_until_delivered();
-  crossing.release();
+  interceptor.release();
   if (!before.empty()) {
     EXPECT_TRUE(has(client.message(), before));
   }
   EXPECT_TRUE(client.ended_in_order()) << "the client may send it once more elsewhere";
-  EXPECT_TRUE(place.servers[0].no_data()) << "what is read after the end is not sent on";
+  EXPECT_TRUE(world.servers[0].no_data()) << "what is read after the end is not sent on";
 }
 
 TEST_P(Ends, ARequestCrossesTheEndOfAConnectionThatNeverSentAByte) {
-  Place w(GetParam());
-  const Crossing crossing(w);
+  CustomerWorld w(GetParam());
+  const CloseInterceptor interceptor(w);
   w.serve(host("s0", w.servers[0].port()));
   TcpConnection client = w.client();
-  crossing.arm(client);
-  cross(w, crossing, client, "");
+  interceptor.arm(client);
+  send_across_close(w, interceptor, client, "");
 }
 
 TEST_P(Ends, ARequestCrossesTheEvictionOfAnIdleConnection) {
-  Place w(GetParam());
-  const Crossing crossing(w);
+  CustomerWorld w(GetParam());
+  const CloseInterceptor interceptor(w);
   w.sockets = 100;
   w.serve(host("s0", w.servers[0].port()));
   TcpConnection client = w.client();
   client.send("GET /healthz HTTP/1.1\r\n\r\n");
   EXPECT_TRUE(has(client.message(), " 200 "));
-  crossing.arm(client);
+  interceptor.arm(client);
   std::vector<TcpConnection> crowd;
-  while (!crossing.held()) {
+  while (!interceptor.held()) {
     crowd.push_back(w.client());
     if (crowd.size() > 200) crowd.erase(crowd.begin());
   }
-  cross(w, crossing, client, "");
+  send_across_close(w, interceptor, client, "");
 }
 
 TEST_P(Ends, TheRestOfASlowRequestCrossesItsEnd) {
-  Place w(GetParam());
-  const Crossing crossing(w);
+  CustomerWorld w(GetParam());
+  const CloseInterceptor interceptor(w);
   w.serve(host("s0", w.servers[0].port()));
   TcpConnection client = w.client();
   client.send("POST /api HTTP/1.1\r\nRequest-Id:");
-  crossing.arm(client);
-  cross(w, crossing, client, "HTTP/1.1 408 ");
+  interceptor.arm(client);
+  send_across_close(w, interceptor, client, "HTTP/1.1 408 ");
 }
 
 TEST_P(Ends, ARequestCrossesTheEndAfterTheLastAnswer) {
-  Place w(GetParam());
-  const Crossing crossing(w);
+  CustomerWorld w(GetParam());
+  const CloseInterceptor interceptor(w);
   w.serve(host("s0", w.servers[0].port()));
   TcpConnection client = w.client();
-  crossing.arm(client);
+  interceptor.arm(client);
   client.send("GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n");
-  cross(w, crossing, client, "HTTP/1.1 200 ");
+  send_across_close(w, interceptor, client, "HTTP/1.1 200 ");
 }
 
 TEST_P(Ends, ARequestCrossesTheEndOfAnIdleConnectionAtSigterm) {
-  Place w(GetParam());
-  const Crossing crossing(w);
+  CustomerWorld w(GetParam());
+  const CloseInterceptor interceptor(w);
   w.serve(host("s0", w.servers[0].port()));
   TcpConnection client = w.client();
   client.send("GET /healthz HTTP/1.1\r\n\r\n");
   EXPECT_TRUE(has(client.message(), " 200 "));
-  crossing.arm(client);
+  interceptor.arm(client);
   w.node->signal(SIGTERM);
-  cross(w, crossing, client, "");
+  send_across_close(w, interceptor, client, "");
   EXPECT_EQ(w.node->exit_code(), 0);
 }
 
@@ -85,7 +86,7 @@
 
 // Half a request at the last moment: its client is told, and is not reset.
 TEST_P(Ends, HalfARequestAtTheEndOfTheProcessGetsItsError) {
-  Place w(GetParam());
+  CustomerWorld w(GetParam());
   w.serve(host("s0", w.servers[0].port()));
   TcpConnection waiting = w.client(), idle = w.client();
   idle.send("GET /healthz HTTP/1.1\r\n\r\n");
@@ -111,7 +112,7 @@
 // Every place is taken by who waits for an answer or is sending: who wants in does so once one of them is
 // idle.
 TEST_P(Ends, WhoWaitsToComeInDoesSoOnceAnotherIsIdle) {
-  Place w(GetParam());
+  CustomerWorld w(GetParam());
   w.sockets = 100;  // 33 for callers, 27 for servers
   w.serve(host("s0", w.servers[0].port()));
   std::vector<TcpConnection> busy, servers, sending;
@@ -134,7 +135,7 @@
 // SIGTERM finds requests that wait for their answer, are half written, half read, pipelined, and some come
 // after it: each gets its answer within its time, and each connection ends in order.
 TEST_P(Ends, WhatSigtermFindsIsAnswered) {
-  Place w(GetParam());
+  CustomerWorld w(GetParam());
   w.servers[0].shrink_receive_buffer();
   w.serve(host("s0", w.servers[0].port()));
   TcpConnection waits = w.client(), pipelines = w.client(), writes = w.client(), half = w.client(),
--- a/tests/acceptance/world.h
+++ b/tests/acceptance/customer_world.h
@@ -34,8 +34,8 @@
   return customer.param.name;
 }
 
-struct Place : World {
-  explicit Place(const Customer& of) : customer(of) {}
+struct CustomerWorld : World {
+  explicit CustomerWorld(const Customer& profile) : customer(profile) {}
 
   std::string config() const override {
     std::ostringstream out;
@@ -56,10 +56,11 @@
     return out.str();
   }
   void start() override {
-    node = std::make_unique<Program>(config(), descriptors, std::vector<std::string>(), true, environment);
+    node =
+        std::make_unique<NodeUnderTest>(config(), descriptors, std::vector<std::string>(), true, environment);
   }
 
-  std::string named(const char* request_class, const std::string& text) const {
+  std::string with_customer_names(const char* request_class, const std::string& text) const {
     std::string out = text;
     const auto put = [&out](const std::string& from, const std::string& to) {
       out.replace(out.find(from), from.size(), to);
@@ -70,38 +71,38 @@
     return out;
   }
   std::string keyed(const std::string& body = "question", const std::string& id = "r1") const {
-    return named(customer.keyed, request("mark", "", body, id));
+    return with_customer_names(customer.keyed, request("mark", "", body, id));
   }
   std::string unsafe(const std::string& body = "question", const std::string& id = "r1") const {
-    return named(customer.unsafe, request("close", "", body, id));
+    return with_customer_names(customer.unsafe, request("close", "", body, id));
   }
   // Waits until the node has handled all that had come to it when this was called.
-  void catch_up() const { health(); }
+  void wait_until_caught_up() const { health(); }
 
   const Customer customer;
   rlim_t descriptors = 1024;
   std::vector<std::string> environment;
 };
 
-class OfCustomer : public ::testing::TestWithParam<Customer> {};
+class CustomerTest : public ::testing::TestWithParam<Customer> {};
 
-#ifdef CROSSING
+#ifdef CLOSE_INTERCEPTOR
 // Holds a node at the moment in which it ends a connection: see crossing.cpp.
-class Crossing {
+class CloseInterceptor {
  public:
-  explicit Crossing(Place& place) {
-    std::string pattern = ::testing::TempDir() + "/crossing_XXXXXX";
+  explicit CloseInterceptor(CustomerWorld& world) {
+    std::string pattern = ::testing::TempDir() + "/close_interceptor_XXXXXX";
     if (mkdtemp(pattern.data()) == nullptr || mkfifo((pattern + "/go").c_str(), 0600) != 0)
-      throw std::runtime_error("no folder for the crossing");
+      throw std::runtime_error("no folder for the close interceptor");
     folder_ = pattern;
-    place.environment = {"NETTLESTAND_CROSSING=" + folder_, std::string("LD_PRELOAD=") + CROSSING};
+    world.environment = {"NETTLESTAND_CROSSING=" + folder_, std::string("LD_PRELOAD=") + CLOSE_INTERCEPTOR};
   }
-  ~Crossing() {
+  ~CloseInterceptor() {
     for (const char* name : {"/armed", "/held", "/go"}) std::remove((folder_ + name).c_str());
     rmdir(folder_.c_str());
   }
-  Crossing(const Crossing&) = delete;
-  Crossing& operator=(const Crossing&) = delete;
+  CloseInterceptor(const CloseInterceptor&) = delete;
+  CloseInterceptor& operator=(const CloseInterceptor&) = delete;
 
   // From here on, the first call that ends this connection waits.
   void arm(const TcpConnection& client) const {
--- a/tests/acceptance/discovery_test.cpp
+++ b/tests/acceptance/discovery_test.cpp
@@ -1,14 +1,14 @@
 // What discovery has to tell counts as told 6 s after it could have been asked, or after a watch fell silent:
 // so silence is noticed, and calls that come to nothing are made again, soon enough. And lists in every form.
-#include "tests/acceptance/world.h"
+#include "tests/acceptance/customer_world.h"
 
 namespace nettlestand::testing {
 namespace {
 
-using Lists = OfCustomer;
+using Lists = CustomerTest;
 
-constexpr double kTold = 6;   // s
-constexpr double kSpare = 1;  // s of that for the call itself
+constexpr double kListDeadlineSeconds = 6;  // s
+constexpr double kCallMarginSeconds = 1;    // s of that for the call itself
 
 std::string known(const std::string& hosts) {
   std::string line = list(3, true, hosts);
@@ -17,27 +17,27 @@
 }
 
 TEST_P(Lists, AWatchThatIsSilentFromItsFirstSecondIsOpenedAnew) {
-  Place w(GetParam());
+  CustomerWorld w(GetParam());
   w.known = known(host("s0", w.servers[0].port()));
   w.start();
   w.take_watch();
   const double from = seconds();
   TcpConnection silent = std::move(w.watch);
   w.take_watch();
-  EXPECT_LT(seconds() - from, kTold - kSpare);
+  EXPECT_LT(seconds() - from, kListDeadlineSeconds - kCallMarginSeconds);
 }
 
 TEST_P(Lists, AWatchThatFallsSilentAfterAListIsOpenedAnew) {
-  Place w(GetParam());
+  CustomerWorld w(GetParam());
   w.serve(host("s0", w.servers[0].port()));
   const double from = seconds();
   TcpConnection silent = std::move(w.watch);
   w.take_watch();
-  EXPECT_LT(seconds() - from, kTold - kSpare);
+  EXPECT_LT(seconds() - from, kListDeadlineSeconds - kCallMarginSeconds);
 }
 
 TEST_P(Lists, AWatchThatFallsSilentAfterAMoveIsOpenedAnew) {
-  Place w(GetParam());
+  CustomerWorld w(GetParam());
   w.serve(host("s0", w.servers[0].port()));
   const TcpListener elsewhere;
   std::string moved = w.config();
@@ -49,14 +49,14 @@
   next.send(std::string(kWatchHead) + chunk(list(1, true, host("s0", w.servers[0].port()))));
   const double from = seconds();
   EXPECT_TRUE(has(elsewhere.accept().message(), "index=1 "));
-  EXPECT_LT(seconds() - from, kTold - kSpare);
+  EXPECT_LT(seconds() - from, kListDeadlineSeconds - kCallMarginSeconds);
 }
 
 // However often calls are turned away, the next is never far off, whatever time the settings give for asking.
 TEST_P(Lists, CallsThatAreTurnedAwayAreMadeAgainSoon) {
   Customer customer = GetParam();
   customer.ask_within = 60;
-  Place w(customer);
+  CustomerWorld w(customer);
   w.serve(host("s0", w.servers[0].port()));
   w.watch.close();
   const double longest = customer.pushed ? 0.5 : 4;  // s; an agent on the same machine costs nothing
@@ -64,7 +64,7 @@
   for (int i = 0; i < 6; ++i) {
     TcpConnection call = w.discovery.accept();
     call.message();
-    EXPECT_LT(seconds() - last, longest + kSpare) << "call " << i;
+    EXPECT_LT(seconds() - last, longest + kCallMarginSeconds) << "call " << i;
     call.send(with_length("HTTP/1.1 503 Busy\r\n", ""));
     EXPECT_TRUE(call.ended());
     last = seconds();
@@ -75,7 +75,7 @@
 TEST_P(Lists, TheSameAddressAnewIsAskedAtOnce) {
   Customer customer = GetParam();
   customer.ask_within = 60;
-  Place w(customer);
+  CustomerWorld w(customer);
   w.serve(host("s0", w.servers[0].port()));
   w.watch.close();
   for (int i = 0; i < 4; ++i) {  // so that the pause is long where calls cost
@@ -93,7 +93,7 @@
 }
 
 // What serves now, whichever connection it keeps.
-std::string served(Place& w, const TcpListener& server) {
+std::string answer_from(CustomerWorld& w, const TcpListener& server) {
   TcpConnection caller = w.client();
   caller.send(w.unsafe());
   TcpConnection wire = server.accept();
@@ -102,7 +102,7 @@
   return caller.message();
 }
 
-std::string indented(const std::string& line) {
+std::string indent(const std::string& line) {
   std::string out;
   for (const char c : line) {
     out += c;
@@ -112,30 +112,30 @@
 }
 
 TEST_P(Lists, ComeIndentedInPiecesOfAByteAndCut) {
-  Place w(GetParam());
+  CustomerWorld w(GetParam());
   w.start();
   w.take_watch();
-  w.tell(indented(list(7, true, host("s0", w.servers[0].port()))));
+  w.tell(indent(list(7, true, host("s0", w.servers[0].port()))));
   w.await_ready();
-  EXPECT_TRUE(has(served(w, w.servers[0]), " 200 "));
-  const std::string next = indented(list(8, true, host("s1", w.servers[1].port())));
+  EXPECT_TRUE(has(answer_from(w, w.servers[0]), " 200 "));
+  const std::string next = indent(list(8, true, host("s1", w.servers[1].port())));
   for (const char byte : "\n" + next) w.tell(std::string(1, byte));
   w.watch.wait_until_read();
-  EXPECT_TRUE(has(served(w, w.servers[1]), " 200 ")) << "s0 is gone: the whole list does not name it";
+  EXPECT_TRUE(has(answer_from(w, w.servers[1]), " 200 ")) << "s0 is gone: the whole list does not name it";
   // Cut inside of an indented list, and then empty lines, as where nothing changes.
   w.tell(next.substr(0, next.size() / 2) + "\n\n");
   EXPECT_TRUE(w.watch.ended());
   EXPECT_TRUE(has(w.take_watch(), "stream=1 ")) << "the whole list";
   w.tell(list(9, true, host("s0", w.servers[0].port())));
   w.watch.wait_until_read();
-  EXPECT_TRUE(has(served(w, w.servers[0]), " 200 "));
+  EXPECT_TRUE(has(answer_from(w, w.servers[0]), " 200 "));
 }
 
 // A watch ends in place of telling, and the first answer to the next call is a whole list that leaves out a
 // server with a kept connection and one with a request that waits for its connection.
 TEST_P(Lists, WhatAWholeListLeavesOutIsGone) {
   TcpListener full(0);
-  Place w(GetParam());
+  CustomerWorld w(GetParam());
   w.connect_timeout = 10;
   w.serve(host("s0", w.servers[0].port()));
   TcpConnection caller = w.client();
@@ -161,7 +161,7 @@
 // Idle clients fill the descriptors while discovery is down: there is one left for discovery when it is back,
 // one for a new configuration, and one for a server.
 TEST_P(Lists, ACrowdOfIdleClientsLeavesRoomForDiscovery) {
-  Place w(GetParam());
+  CustomerWorld w(GetParam());
   w.sockets = 100;
   w.descriptors = 100;
   w.serve(host("s0", w.servers[0].port()));
@@ -179,7 +179,7 @@
   watch.message();
   watch.send(std::string(kWatchHead) + chunk(list(1, true, host("s1", w.servers[1].port()))));
   watch.wait_until_read();
-  EXPECT_TRUE(has(served(w, w.servers[1]), " 200 "));
+  EXPECT_TRUE(has(answer_from(w, w.servers[1]), " 200 "));
 }
 
 INSTANTIATE_TEST_SUITE_P(Customers, Lists, ::testing::Values(kMarks, kBids), name_of_customer);
--- a/tests/acceptance/leaves_test.cpp
+++ b/tests/acceptance/leaves_test.cpp
@@ -1,18 +1,18 @@
 // A client that has closed its connection has gone: nothing is begun for it any more, whatever the attempt
 // waits for, and however much else the loop has to do.
-#include "tests/acceptance/world.h"
+#include "tests/acceptance/customer_world.h"
 
 namespace nettlestand::testing {
 namespace {
 
-using Leaves = OfCustomer;
+using Leaves = CustomerTest;
 
 const char* const kNotStarted =
     "HTTP/1.1 503 Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
 
 // What the server says lies before the client's close: the further attempt must not overtake that.
 TEST_P(Leaves, ACloseThatLiesInTheSocketComesBeforeAFurtherAttempt) {
-  Place w(GetParam());
+  CustomerWorld w(GetParam());
   w.serve(w.both());
   TcpConnection caller = w.client();
   caller.send(w.unsafe());
@@ -24,13 +24,13 @@
   caller.close();
   w.node->signal(SIGCONT);
   EXPECT_TRUE(server.ended()) << "the answer has been read";
-  w.catch_up();
+  w.wait_until_caught_up();
   EXPECT_TRUE(w.servers[0].no_data() && w.servers[1].no_data());
 }
 
 // A connection with more than is read ahead is not read: its close shows all the same.
 TEST_P(Leaves, AClientThatLeavesBytesBehindHasGone) {
-  Place w(GetParam());
+  CustomerWorld w(GetParam());
   w.serve(w.both());
   TcpConnection caller = w.client();
   caller.send(w.unsafe());
@@ -41,24 +41,24 @@
     caller.wait_until_delivered();
   }
   caller.close();
-  w.catch_up();
+  w.wait_until_caught_up();
   server.send(kNotStarted);
   EXPECT_TRUE(server.ended());
-  w.catch_up();
+  w.wait_until_caught_up();
   EXPECT_TRUE(w.servers[0].no_data() && w.servers[1].no_data()) << "neither again nor the requests behind it";
 }
 
 // A whole request and its client's close, read together.
 TEST_P(Leaves, ARequestWhoseClientHasGoneIsNotBegun) {
-  Place w(GetParam());
+  CustomerWorld w(GetParam());
   w.serve(w.both());
   TcpConnection caller = w.client();
-  w.catch_up();
+  w.wait_until_caught_up();
   w.node->pause();
   caller.send(w.unsafe());
   caller.close();
   w.node->signal(SIGCONT);
-  w.catch_up();
+  w.wait_until_caught_up();
   EXPECT_TRUE(w.servers[0].no_data() && w.servers[1].no_data());
 }
 
@@ -68,7 +68,7 @@
   Customer customer = GetParam();
   customer.give_up = 30;
   TcpListener full(0);
-  Place w(customer);
+  CustomerWorld w(customer);
   w.connect_timeout = 30;
   const TcpConnection crowd = TcpConnection::to(full.port());  // its queue has room for one
   w.serve(host("s0", full.port()));
@@ -84,7 +84,7 @@
 TEST_P(Leaves, WhatIsHalfWrittenIsWithdrawn) {
   Customer customer = GetParam();
   customer.give_up = 30;
-  Place w(customer);
+  CustomerWorld w(customer);
   w.servers[0].shrink_receive_buffer();
   w.serve(host("s0", w.servers[0].port()));
   TcpConnection caller = w.client();
@@ -92,7 +92,7 @@
   caller.send(whole);
   TcpConnection server = w.servers[0].accept();
   caller.close();
-  w.catch_up();
+  w.wait_until_caught_up();
   EXPECT_LT(server.message().size(), whole.size()) << "its last byte is never written";
 }
 
--- a/tests/acceptance/servers_test.cpp
+++ b/tests/acceptance/servers_test.cpp
@@ -1,11 +1,11 @@
 // Servers' connections at the wrong moment: late ones past a window for repeats, and answers that come behind
 // others.
-#include "tests/acceptance/world.h"
+#include "tests/acceptance/customer_world.h"
 
 namespace nettlestand::testing {
 namespace {
 
-using Servers = OfCustomer;
+using Servers = CustomerTest;
 
 Customer with_short_window(Customer customer) {
   customer.window = 0.5;
@@ -17,7 +17,7 @@
 // key.
 TEST_P(Servers, ALateConnectionCarriesNoRepeatPastTheWindow) {
   TcpListener full(0);
-  Place w(with_short_window(GetParam()));
+  CustomerWorld w(with_short_window(GetParam()));
   w.connect_timeout = 8;
   const TcpConnection crowd = TcpConnection::to(full.port());  // its queue has room for one
   w.serve(host("s0", w.servers[0].port()));
@@ -38,7 +38,7 @@
 }
 
 TEST_P(Servers, ASlowReaderGetsNoRepeatPastTheWindow) {
-  Place w(with_short_window(GetParam()));
+  CustomerWorld w(with_short_window(GetParam()));
   w.servers[1].shrink_receive_buffer();
   w.serve(host("s0", w.servers[0].port()));
   TcpConnection caller = w.client();
@@ -58,7 +58,7 @@
 // Once a server has said more than it was asked, connections rest before they are used again: a second answer
 // that comes a moment late finds no next request on its connection.
 TEST_P(Servers, AConnectionRestsWhereServersSayTooMuch) {
-  Place w(GetParam());
+  CustomerWorld w(GetParam());
   w.serve(host("s0", w.servers[0].port()));
   TcpConnection caller = w.client();
   caller.send(w.unsafe("one"));
@@ -84,7 +84,7 @@
 
 // A client that writes slowly has its time from its last byte on.
 TEST_P(Servers, ASlowWriterHasItsWholeTime) {
-  Place w(GetParam());
+  CustomerWorld w(GetParam());
   w.serve(host("s0", w.servers[0].port()));
   TcpConnection caller = w.client();
   std::string slow = w.unsafe();
--- a/tests/config/command_line_test.cpp
+++ b/tests/config/command_line_test.cpp
@@ -106,7 +106,7 @@
 TEST(CommandLine, RunsANodeOnAFileAlone) {
   const TcpListener server, other;
   const File file(file_for(server.port()));
-  Program node("", 1024, {"run", "--config", file.path}, false);
+  NodeUnderTest node("", 1024, {"run", "--config", file.path}, false);
   TcpConnection caller = TcpConnection::to(node.port());
   until([&] {
     caller.send("GET /healthz HTTP/1.1\r\n\r\n");
@@ -153,7 +153,7 @@
   EXPECT_TRUE(has(ran.out, socket + ": no node answers there")) << ran.out;
   EXPECT_EQ(run("peers show").code, 2) << "which socket is not said";
   {
-    Program node("", 1024, {"run", "--config", good.path}, false);
+    NodeUnderTest node("", 1024, {"run", "--config", good.path}, false);
     node.port();
     struct stat is {};
     ASSERT_EQ(::stat(socket.c_str(), &is), 0);
@@ -166,7 +166,7 @@
     ran = run("peers show --json --socket " + socket);
     EXPECT_EQ(ran.out.rfind("{\"name\":\"nettlestand\"", 0), 0U) << ran.out;
     // The path is taken: another node does not start there, and the first one answers on.
-    Program second("", 1024, {"run", "--config", good.path}, false);
+    NodeUnderTest second("", 1024, {"run", "--config", good.path}, false);
     EXPECT_EQ(second.exit_code(), 1);
     EXPECT_EQ(run("peers show --socket " + socket).code, 0);
     node.signal(SIGKILL);
@@ -174,7 +174,7 @@
   }
   EXPECT_EQ(::access(socket.c_str(), F_OK), 0) << "left behind by the crash";
   const File without(file(""));
-  Program node("", 1024, {"run", "--config", without.path}, false);  // takes its place
+  NodeUnderTest node("", 1024, {"run", "--config", without.path}, false);  // takes its place
   node.port();
   ran = run("peers show --socket " + socket);
   EXPECT_EQ(ran.code, 1);
@@ -188,8 +188,8 @@
 TEST(CommandLine, AddsAFileToThePlatforms) {
   World w;
   const File file("[node]\nlisten = \"127.0.0.1:1\"\n[listener]\nread_ms = 300\n");
-  w.node =
-      std::make_unique<Program>(w.config(), 1024, std::vector<std::string>{"run", "--config", file.path});
+  w.node = std::make_unique<NodeUnderTest>(w.config(), 1024,
+                                           std::vector<std::string>{"run", "--config", file.path});
   w.take_watch();
   w.tell(list(7, true, w.both()));
   w.await_ready();
--- a/tests/forms/forms_test.cpp
+++ b/tests/forms/forms_test.cpp
@@ -832,7 +832,7 @@
   w.serve(host("s0", w.servers[0].port()));
   const TcpListener elsewhere;
   const std::string good = moved(w, elsewhere);
-  w.node->reload_without_file();
+  w.node->remove_config_and_reload();
   EXPECT_TRUE(has(w.node->log("stays as it was: can't read"), "stays as it was: can't read"));
   w.node->reload(good.substr(0, good.size() / 2));
   EXPECT_TRUE(has(w.node->log("stays as it was: not valid"), "stays as it was: not valid"));
--- a/tests/forms/world.h
+++ b/tests/forms/world.h
@@ -118,7 +118,7 @@
   double connect_timeout = 0.25, idle_close = 5;
   int sockets = 1024, memory_mb = 64;
   std::string known;
-  std::unique_ptr<Program> node;
+  std::unique_ptr<NodeUnderTest> node;
   TcpConnection watch;
 
   World() = default;
@@ -137,7 +137,7 @@
         << R"({"name":"close","aim":2,"giveUp":5,"lateWorth":0.5,"effect":"unsafe"}]}})";
     return out.str();
   }
-  virtual void start() { node = std::make_unique<Program>(config()); }
+  virtual void start() { node = std::make_unique<NodeUnderTest>(config()); }
   std::string take_watch() {
     watch = discovery.accept();
     std::string asked = watch.message();
--- a/tests/node_harness.h
+++ b/tests/node_harness.h
@@ -19,39 +19,39 @@
 }
 
 // The node, run on a configuration.
-class Program {
+class NodeUnderTest {
  public:
   // `platform`: whether it is told of the configuration.
-  explicit Program(const std::string& config, rlim_t descriptors = 1024,
-                   const std::vector<std::string>& arguments = {}, bool platform = true,
-                   const std::vector<std::string>& environment = {}) {
+  explicit NodeUnderTest(const std::string& config, rlim_t descriptors = 1024,
+                         const std::vector<std::string>& arguments = {}, bool platform = true,
+                         const std::vector<std::string>& environment = {}) {
     static int count = 0;
     path_ = ::testing::TempDir() + "/node_" + std::to_string(getpid()) + "_" + std::to_string(++count);
     std::ofstream(path_) << config;
-    int ends[2];
-    if (pipe2(ends, O_CLOEXEC) != 0) throw std::runtime_error("no pipe");
-    child_ = fork();
-    if (child_ == 0) {
-      dup2(ends[1], 2);
+    int pipe_ends[2];
+    if (pipe2(pipe_ends, O_CLOEXEC) != 0) throw std::runtime_error("no pipe");
+    process_id_ = fork();
+    if (process_id_ == 0) {
+      dup2(pipe_ends[1], 2);
       const rlimit limit{descriptors, descriptors};
       setrlimit(RLIMIT_NOFILE, &limit);
       for (const std::string& line : environment) putenv(const_cast<char*>(line.c_str()));
       platform ? setenv("GW_CONFIG", path_.c_str(), 1) : unsetenv("GW_CONFIG");
-      std::vector<char*> words = {const_cast<char*>(node_binary())};
-      for (const std::string& word : arguments) words.push_back(const_cast<char*>(word.c_str()));
-      words.push_back(nullptr);
-      execv(node_binary(), words.data());
+      std::vector<char*> argv = {const_cast<char*>(node_binary())};
+      for (const std::string& argument : arguments) argv.push_back(const_cast<char*>(argument.c_str()));
+      argv.push_back(nullptr);
+      execv(node_binary(), argv.data());
       _exit(127);
     }
-    ::close(ends[1]);
-    log_ = ends[0];
+    ::close(pipe_ends[1]);
+    log_ = pipe_ends[0];
   }
-  Program(const Program&) = delete;
-  Program& operator=(const Program&) = delete;
-  ~Program() {
-    if (child_ > 0) {
-      kill(child_, SIGKILL);
-      waitpid(child_, nullptr, 0);
+  NodeUnderTest(const NodeUnderTest&) = delete;
+  NodeUnderTest& operator=(const NodeUnderTest&) = delete;
+  ~NodeUnderTest() {
+    if (process_id_ > 0) {
+      kill(process_id_, SIGKILL);
+      waitpid(process_id_, nullptr, 0);
     }
     if (::testing::Test::HasFailure() || std::uncaught_exceptions() > 0) {
       std::fprintf(stderr, "the log of %s:\n%s", node_binary(), log("no such words: until it ends").c_str());
@@ -71,26 +71,26 @@
     return text_;
   }
   int port() {
-    static const std::string kWords = "listening on 127.0.0.1:";
+    static const std::string kListeningText = "listening on 127.0.0.1:";
     // Not always its first line: where a node has a thread of its own, discovery's words may come before.
-    const std::size_t at = (log(kWords), text_.find(kWords));
+    const std::size_t at = (log(kListeningText), text_.find(kListeningText));
     if (at == std::string::npos) throw std::runtime_error("the node does not listen: " + text_);
     log("\n", at);
-    return std::stoi(text_.substr(at + kWords.size()));
+    return std::stoi(text_.substr(at + kListeningText.size()));
   }
-  void signal(int which) const { kill(child_, which); }
-  pid_t id() const { return child_; }
+  void signal(int which) const { kill(process_id_, which); }
+  pid_t id() const { return process_id_; }
   // Stops it until it gets SIGCONT.
   void pause() const {
     signal(SIGSTOP);
-    waitpid(child_, nullptr, WUNTRACED);
+    waitpid(process_id_, nullptr, WUNTRACED);
   }
   // Replaces the configuration and has it read.
   void reload(const std::string& config) const {
     std::ofstream(path_) << config;
     signal(SIGHUP);
   }
-  void reload_without_file() const {
+  void remove_config_and_reload() const {
     std::remove(path_.c_str());
     signal(SIGHUP);
   }
@@ -98,13 +98,13 @@
     log("no such words: until it ends");
     if (!readable(log_, 0)) signal(SIGKILL);  // it has not ended
     int status = 0;
-    waitpid(std::exchange(child_, -1), &status, 0);
+    waitpid(std::exchange(process_id_, -1), &status, 0);
     return WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
   }
 
  private:
   std::string path_, text_;
-  pid_t child_ = -1;
+  pid_t process_id_ = -1;
   int log_ = -1;
 };
 
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -14,7 +14,7 @@
   std::string bad_settings = good;
   bad_settings.replace(bad_settings.find("\"peersTotal\":1"), 14, "\"peersTotal\":0");
   for (const std::string& config : {std::string(), std::string("{"), bad_seed, bad_settings}) {
-    Program node(config);
+    NodeUnderTest node(config);
     EXPECT_EQ(node.exit_code(), 2);
     const std::string& log = node.log("");
     EXPECT_EQ(log.find('\n'), log.size() - 1) << log;
@@ -22,7 +22,7 @@
   }
   std::string taken = good;
   taken.replace(taken.find("127.0.0.1:0"), 11, "127.0.0.1:" + std::to_string(w.servers[0].port()));
-  EXPECT_EQ(Program(taken).exit_code(), 1);
+  EXPECT_EQ(NodeUnderTest(taken).exit_code(), 1);
 }
 
 TEST(Node, TurnsAwayNumbersThatNoServiceHas) {
@@ -72,7 +72,7 @@
     std::string config = good;
     ASSERT_TRUE(has(config, wrong.in)) << wrong.in;
     config.replace(config.find(wrong.in), wrong.in.size(), wrong.out);
-    Program node(config);
+    NodeUnderTest node(config);
     ASSERT_EQ(node.exit_code(), 2) << wrong.out.substr(0, 100);
     const std::string& log = node.log("");
     EXPECT_TRUE(has(log, wrong.says)) << log;
@@ -153,7 +153,7 @@
 
 TEST(Node, SurvivesRunningOutOfDescriptors) {
   World w;
-  w.node = std::make_unique<Program>(w.config(), 24);
+  w.node = std::make_unique<NodeUnderTest>(w.config(), 24);
   w.take_watch();
   w.tell(list(7, true, host("s0", w.servers[0].port())));
   w.await_ready();
