--- a/src/batch/job_call_handler.cpp
+++ b/src/batch/job_call_handler.cpp
@@ -79,9 +79,10 @@
   change.spec.swap(waiting.call.spec);
   const JobSpec& spec = change.spec.front();
   if (const std::size_t corrupted = count_corrupted_items(change); corrupted > 0) {
-    body_check_.on_difference(BodyStep::kStoreCall, corrupted);
-    NETTLESTAND_WARNING("item content does not match its digest job="
-                        << key.id << " items=" << corrupted << " step=" << name_of(BodyStep::kStoreCall));
+    body_check_.record_mismatch(BodyCheckStep::kStoreCall, corrupted);
+    NETTLESTAND_WARNING("item content does not match its digest job=" << key.id << " items=" << corrupted
+                                                                      << " step="
+                                                                      << name_of(BodyCheckStep::kStoreCall));
     return answer(waiting, kNotPrimary, "");  // nothing is stored; the edge node sends it again
   }
   const Route* route = host_.route_named(spec.route);
--- a/src/batch/job_call_handler.h
+++ b/src/batch/job_call_handler.h
@@ -8,7 +8,7 @@
 #include <map>
 #include <string>
 
-#include "base/body_check.h"
+#include "base/body_integrity.h"
 #include "batch/job_table.h"
 #include "control/configuration.h"
 #include "messaging/messenger.h"
@@ -32,7 +32,8 @@
 
 class JobCallHandler {
  public:
-  JobCallHandler(Messenger& messenger, const JobTable& table, JobCallHost& host, BodyCheck& body_check)
+  JobCallHandler(Messenger& messenger, const JobTable& table, JobCallHost& host,
+                 BodyIntegrityCounters& body_check)
       : messenger_(messenger), table_(table), host_(host), body_check_(body_check) {}
 
   void on_call(Millis now, const std::string& from, const JobCall& call);
@@ -67,7 +68,7 @@
   Messenger& messenger_;
   const JobTable& table_;
   JobCallHost& host_;
-  BodyCheck& body_check_;
+  BodyIntegrityCounters& body_check_;
   // Tokens of the jobs whose submission has not committed yet.
   std::map<JobKey, std::int64_t> pending_submissions_;
   std::list<WaitingCall> waiting_calls_;
--- a/src/batch/job_journal.cpp
+++ b/src/batch/job_journal.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <iterator>
 
-#include "base/body_check.h"
+#include "base/body_integrity.h"
 #include "batch/item_digest.h"
 #include "node/log.h"
 
@@ -59,7 +59,7 @@
   if (!journal.ok()) return journal;
   if (const std::size_t corrupted = (*journal)->corrupted_items_; corrupted > 0) {
     NETTLESTAND_WARNING("item content does not match its digest items=" << corrupted << " step="
-                                                                        << name_of(BodyStep::kRestart));
+                                                                        << name_of(BodyCheckStep::kRestart));
   }
   if ((*journal)->disk_id_ != 0) return journal;
   (*journal)->disk_id_ = new_identity;
--- a/src/batch/replication_receiver.cpp
+++ b/src/batch/replication_receiver.cpp
@@ -32,9 +32,9 @@
   for (const JobChange& change : message.changes) {
     const std::size_t corrupted = count_corrupted_items(change);
     if (corrupted == 0) continue;
-    body_check_.on_difference(BodyStep::kCopy, corrupted);
+    body_check_.record_mismatch(BodyCheckStep::kCopy, corrupted);
     NETTLESTAND_WARNING("item content does not match its digest job="
-                        << change.job << " items=" << corrupted << " step=" << name_of(BodyStep::kCopy));
+                        << change.job << " items=" << corrupted << " step=" << name_of(BodyCheckStep::kCopy));
   }
 }
 
--- a/src/batch/replication_receiver.h
+++ b/src/batch/replication_receiver.h
@@ -6,7 +6,7 @@
 #include <map>
 #include <string>
 
-#include "base/body_check.h"
+#include "base/body_integrity.h"
 #include "batch/change_writer.h"
 #include "batch/job_table.h"
 #include "control/control_client.h"
@@ -17,7 +17,7 @@
 class ReplicationReceiver {
  public:
   ReplicationReceiver(Messenger& messenger, const ControlClient& control_client, JobTable& table,
-                      ChangeWriter& writer, BodyCheck& body_check, StoreId self)
+                      ChangeWriter& writer, BodyIntegrityCounters& body_check, StoreId self)
       : messenger_(messenger),
         control_client_(control_client),
         table_(table),
@@ -43,7 +43,7 @@
   const ControlClient& control_client_;
   JobTable& table_;
   ChangeWriter& writer_;
-  BodyCheck& body_check_;
+  BodyIntegrityCounters& body_check_;
   StoreId self_;
   std::map<std::uint32_t, LastMessage> last_messages_;
 };
--- a/src/batch/store_service.cpp
+++ b/src/batch/store_service.cpp
@@ -23,7 +23,7 @@
       writer_(*disk_.journal, *disk_.queue),
       replication_receiver_(messenger, control_client, *disk_.table, writer_, body_check_, disk_id()),
       call_handler_(messenger, *disk_.table, *this, body_check_) {
-  body_check_.on_difference(BodyStep::kRestart, disk_.journal->corrupted_items());
+  body_check_.record_mismatch(BodyCheckStep::kRestart, disk_.journal->corrupted_items());
   JobRunner::Hooks hooks;
   hooks.may_run = [this](Millis now, const JobKey& key) {
     return may_serve(now, key) && !call_handler_.is_submission_pending(key);
@@ -102,7 +102,7 @@
   // A restarted process may be the primary in the same epoch as before its restart: its messages are numbered
   // above the earlier ones.
   MessageNumber numbers{};
-  numbers.start = disk_.journal->starts();
+  numbers.generation = disk_.journal->starts();
   numbers.tenure = ++last_tenure_number_;
   const auto added = tenures_.emplace(
       shard,
--- a/src/batch/store_service.h
+++ b/src/batch/store_service.h
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "base/body_check.h"
+#include "base/body_integrity.h"
 #include "batch/change_writer.h"
 #include "batch/job_call_handler.h"
 #include "batch/job_journal.h"
@@ -52,7 +52,7 @@
   storage::DiskQueue* disk_queue() { return disk_.queue.get(); }
   StoreId disk_id() const { return disk_.journal->disk_id(); }
   // Counts the item bodies that were found corrupted on their way through this store.
-  const BodyCheck& body_check() const { return body_check_; }
+  const BodyIntegrityCounters& body_check() const { return body_check_; }
 
  private:
   // This store's tenure as the primary of a shard.
@@ -99,7 +99,7 @@
   ControlClient& control_client_;
   const Settings& settings_;
   StoreDisk disk_;
-  BodyCheck body_check_;
+  BodyIntegrityCounters body_check_;
   ChangeWriter writer_;
   ReplicationReceiver replication_receiver_;
   JobCallHandler call_handler_;
--- a/src/control/server_list_poller.cpp
+++ b/src/control/server_list_poller.cpp
@@ -14,7 +14,7 @@
 #include <utility>
 
 #include "base/time.h"
-#include "messaging/network.h"
+#include "messaging/tcp_messenger.h"
 #include "node/log.h"
 
 namespace nettlestand::tier {
--- a/src/forwarding/upstream.cpp
+++ b/src/forwarding/upstream.cpp
@@ -17,7 +17,7 @@
 
 #include "base/digest.h"
 #include "forwarding/request_headers.h"
-#include "messaging/network.h"
+#include "messaging/tcp_messenger.h"
 #include "node/log.h"
 
 namespace nettlestand::tier {
@@ -66,7 +66,7 @@
 
 class UpstreamConnectionPool::Connection : public UpstreamConnection {
  public:
-  Connection(asio::io_context& io, std::shared_ptr<BodyCheck> check)
+  Connection(asio::io_context& io, std::shared_ptr<BodyIntegrityCounters> check)
       : stream_(io), check_(std::move(check)) {}
 
   asio::awaitable<bool> connect(std::string address, Millis deadline) {
@@ -170,9 +170,9 @@
     const bool same = request.body_size <= bytes.size() &&
                       digest_of(bytes.substr(bytes.size() - request.body_size)) == request.body_digest;
     if (same) return true;
-    check_->on_difference(BodyStep::kSend);
+    check_->record_mismatch(BodyCheckStep::kSend);
     NETTLESTAND_WARNING("a body is not its client's id=" << request.id
-                                                         << " step=" << name_of(BodyStep::kSend));
+                                                         << " step=" << name_of(BodyCheckStep::kSend));
     return false;
   }
   void set_timeout(Millis deadline) {
@@ -211,7 +211,7 @@
   }
 
   beast::tcp_stream stream_;
-  std::shared_ptr<BodyCheck> check_;
+  std::shared_ptr<BodyIntegrityCounters> check_;
   beast::flat_buffer buffer_;
   std::optional<http::response_parser<http::buffer_body>> parser_;
   std::string request_id_;
--- a/src/forwarding/upstream.h
+++ b/src/forwarding/upstream.h
@@ -11,7 +11,7 @@
 #include <utility>
 #include <vector>
 
-#include "base/body_check.h"
+#include "base/body_integrity.h"
 #include "base/time.h"
 
 namespace nettlestand::tier {
@@ -78,12 +78,13 @@
   void release(const std::string& address, UpstreamConnectionPtr connection) override;
   void close_idle(Millis now) override;
   // Bodies that were not the client's when they were to be sent, or had been.
-  const BodyCheck& body_check() const { return *body_check_; }
+  const BodyIntegrityCounters& body_check() const { return *body_check_; }
 
  private:
   class Connection;
   boost::asio::io_context& io_;
-  std::shared_ptr<BodyCheck> body_check_ = std::make_shared<BodyCheck>();  // shared with the connections
+  std::shared_ptr<BodyIntegrityCounters> body_check_ =
+      std::make_shared<BodyIntegrityCounters>();  // shared with the connections
   std::unordered_map<std::string, std::deque<std::shared_ptr<Connection>>> idle_;
 };
 
--- a/src/membership/partial_view.cpp
+++ b/src/membership/partial_view.cpp
@@ -5,9 +5,9 @@
 namespace nettlestand::tier {
 namespace {
 
-constexpr std::size_t kCoreInShuffle = 3;
-constexpr std::size_t kMostDropped = 2000;
-constexpr std::size_t kSeedRounds =
+constexpr std::size_t kCoreNodesChosenFirst = 3;
+constexpr std::size_t kMaxTombstones = 2000;
+constexpr std::size_t kRoundsPerSeedContact =
     8;  // each so many rounds a seed is asked, so that parted views meet again
 
 }  // namespace
@@ -23,11 +23,12 @@
 }
 
 std::optional<std::pair<std::string, Shuffle>> PartialView::start_shuffle(Millis now) {
-  ++self_.beat;
-  forget(now);
+  ++self_.heartbeat;
+  remove_expired(now);
   ++rounds_;
   std::string to;
-  const bool ask_seed = !seeds_.empty() && (view_.size() < seeds_.size() || rounds_ % kSeedRounds == 0);
+  const bool ask_seed =
+      !seeds_.empty() && (view_.size() < seeds_.size() || rounds_ % kRoundsPerSeedContact == 0);
   if (ask_seed) {
     to = seeds_[random_() % seeds_.size()];
   } else if (!view_.empty()) {
@@ -37,10 +38,10 @@
   } else {
     return std::nullopt;
   }
-  return std::make_pair(to, sample(to));
+  return std::make_pair(to, choose_sample(to));
 }
 
-Shuffle PartialView::sample(const std::string& except) {
+Shuffle PartialView::choose_sample(const std::string& except) {
   std::vector<const NodeInfo*> candidates;
   for (const auto& [name, entry] : view_) {
     if (entry.node.address != except) candidates.push_back(&entry.node);
@@ -48,8 +49,9 @@
   std::shuffle(candidates.begin(), candidates.end(), random_);
   // Some of the core first: all nodes have to know it.
   std::size_t core = 0;
-  std::stable_partition(candidates.begin(), candidates.end(),
-                        [&core](const NodeInfo* node) { return node->is_core && core++ < kCoreInShuffle; });
+  std::stable_partition(candidates.begin(), candidates.end(), [&core](const NodeInfo* node) {
+    return node->is_core && core++ < kCoreNodesChosenFirst;
+  });
   Shuffle out;
   out.nodes.push_back(self_);
   for (const NodeInfo* node : candidates) {
@@ -60,50 +62,50 @@
 }
 
 Shuffle PartialView::on_shuffle(Millis now, const Shuffle& shuffle, const std::string& from) {
-  Shuffle reply = sample(from);
-  on_reply(now, shuffle);
+  Shuffle reply = choose_sample(from);
+  on_shuffle_reply(now, shuffle);
   return reply;
 }
 
-void PartialView::on_reply(Millis now, const Shuffle& reply) {
+void PartialView::on_shuffle_reply(Millis now, const Shuffle& reply) {
   for (const NodeInfo& node : reply.nodes) merge(now, node);
-  evict();
+  evict_over_capacity();
 }
 
 void PartialView::merge(Millis now, const NodeInfo& node) {
   if (node.name == self_.name || node.name.empty() || node.address.empty()) return;
-  const std::pair word(node.incarnation, node.beat);
-  if (const auto dropped = dropped_.find(node.name); dropped != dropped_.end()) {
-    if (word <= dropped->second) return;
-    dropped_.erase(dropped);
+  const std::pair version(node.generation, node.heartbeat);
+  if (const auto tombstone = tombstones_.find(node.name); tombstone != tombstones_.end()) {
+    if (version <= tombstone->second) return;
+    tombstones_.erase(tombstone);
   }
   const auto [at, added] = view_.try_emplace(node.name, Entry{node, now});
   if (added) {
-    ++changes_;
+    ++change_count_;
     return;
   }
   NodeInfo& known = at->second.node;
-  if (word <= std::pair(known.incarnation, known.beat)) return;
-  if (node.incarnation != known.incarnation) ++changes_;
+  if (version <= std::pair(known.generation, known.heartbeat)) return;
+  if (node.generation != known.generation) ++change_count_;
   known = node;
-  at->second.refreshed = now;
+  at->second.refreshed_at = now;
 }
 
-void PartialView::forget(Millis now) {
+void PartialView::remove_expired(Millis now) {
   for (auto at = view_.begin(); at != view_.end();) {
     const NodeInfo& node = at->second.node;
-    if (at->second.refreshed + (node.is_core ? kForgetCoreMs : kForgetMs) >= now) {
+    if (at->second.refreshed_at + (node.is_core ? kCoreEntryTtlMs : kEntryTtlMs) >= now) {
       ++at;
       continue;
     }
-    if (dropped_.size() >= kMostDropped) dropped_.erase(dropped_.begin());
-    dropped_[node.name] = {node.incarnation, node.beat};
+    if (tombstones_.size() >= kMaxTombstones) tombstones_.erase(tombstones_.begin());
+    tombstones_[node.name] = {node.generation, node.heartbeat};
     at = view_.erase(at);
-    ++changes_;
+    ++change_count_;
   }
 }
 
-void PartialView::evict() {
+void PartialView::evict_over_capacity() {
   while (view_.size() > kCapacity) {
     std::vector<std::string> candidates;
     for (const auto& [name, entry] : view_) {
--- a/src/messaging/messages.h
+++ b/src/messaging/messages.h
@@ -44,8 +44,8 @@
 struct NodeInfo {
   BOOST_HANA_DEFINE_STRUCT(NodeInfo, (std::string, name), (std::string, address), (std::string, zone),
                            (bool, is_store), (bool, is_core), (std::uint64_t, disk_id),
-                           (std::uint64_t, incarnation),  // rises with each start of the process
-                           (std::uint64_t, beat));        // rises while it lives
+                           (std::uint64_t, generation),  // rises with each start of the process
+                           (std::uint64_t, heartbeat));  // rises while it lives
 };
 
 struct Shuffle {
@@ -195,7 +195,7 @@
 // its disk, then by the tenures of one start, then by the messages of one tenure. Each part has a number of
 // its own, so that none can run over into the next.
 struct MessageNumber {
-  BOOST_HANA_DEFINE_STRUCT(MessageNumber, (std::uint64_t, start), (std::uint64_t, tenure),
+  BOOST_HANA_DEFINE_STRUCT(MessageNumber, (std::uint64_t, generation), (std::uint64_t, tenure),
                            (std::uint64_t, message));
   // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 takes the 0 of a defaulted comparison for a pointer.
   auto operator<=>(const MessageNumber&) const = default;
--- a/src/messaging/messenger.h
+++ b/src/messaging/messenger.h
@@ -1,4 +1,4 @@
-// Sends messages to other nodes. The program's is `Network`; simulations have their own.
+// Sends messages to other nodes. The program's is `TcpMessenger`; simulations have their own.
 #pragma once
 
 #include <cstdint>
--- a/src/messaging/network.h
+++ b/src/messaging/tcp_messenger.h
@@ -17,13 +17,13 @@
 
 namespace nettlestand::tier {
 
-class Network : public Messenger {
+class TcpMessenger : public Messenger {
  public:
   // `from` is the address "ip:port" at which the sender itself listens.
   using Handler = std::function<void(const std::string& from, std::string_view message)>;
 
-  Network(boost::asio::io_context& io, const std::string& own_address, Handler handler);
-  ~Network() override;  // NOLINT(bugprone-exception-escape): as at its definition
+  TcpMessenger(boost::asio::io_context& io, const std::string& own_address, Handler handler);
+  ~TcpMessenger() override;  // NOLINT(bugprone-exception-escape): as at its definition
   // Throws boost::system::system_error where the address can't be bound.
   void listen();
   using Messenger::send;
@@ -33,15 +33,15 @@
   const std::string& own_address() const override { return own_address_; }
 
  private:
-  class Outgoing;
-  class Incoming;
+  class OutgoingConnection;
+  class IncomingConnection;
   void accept();
 
   boost::asio::io_context& io_;
   std::string own_address_;
   Handler handler_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  std::unordered_map<std::string, std::shared_ptr<Outgoing>> outgoing_;
+  std::unordered_map<std::string, std::shared_ptr<OutgoingConnection>> outgoing_connections_;
   std::shared_ptr<std::size_t> queued_bytes_ = std::make_shared<std::size_t>(0);  // outlived by connections
 };
 
--- a/src/messaging/zmtp.cpp
+++ b/src/messaging/zmtp.cpp
@@ -4,10 +4,10 @@
 namespace {
 
 constexpr std::size_t kGreetingBytes = 64;
-constexpr unsigned kFlagMore = 1;
-constexpr unsigned kFlagLong = 2;
-constexpr unsigned kFlagCommand = 4;
-constexpr std::size_t kShortFrameMax = 255;
+constexpr unsigned kMoreFlag = 1;
+constexpr unsigned kLongFlag = 2;
+constexpr unsigned kCommandFlag = 4;
+constexpr std::size_t kMaxShortFrameBytes = 255;
 
 std::uint64_t big_endian(std::string_view bytes) {
   std::uint64_t value = 0;
@@ -15,14 +15,14 @@
   return value;
 }
 
-std::string frame(unsigned flags, std::string_view body) {
+std::string encode_frame(unsigned flags, std::string_view body) {
   std::string out;
   out.reserve(body.size() + 9);
-  if (body.size() <= kShortFrameMax) {
+  if (body.size() <= kMaxShortFrameBytes) {
     out.push_back(static_cast<char>(flags));
     out.push_back(static_cast<char>(body.size()));
   } else {
-    out.push_back(static_cast<char>(flags | kFlagLong));
+    out.push_back(static_cast<char>(flags | kLongFlag));
     for (int shift = 56; shift >= 0; shift -= 8) out.push_back(static_cast<char>(body.size() >> shift));
   }
   out.append(body);
@@ -52,10 +52,10 @@
   std::string body = "\x05READY";
   append_property(body, "Socket-Type", socket_type);
   if (!address.empty()) append_property(body, "X-Address", address);
-  return frame(kFlagCommand, body);
+  return encode_frame(kCommandFlag, body);
 }
 
-std::string zmtp_message(std::string_view body) { return frame(0, body); }
+std::string zmtp_message(std::string_view body) { return encode_frame(0, body); }
 
 std::optional<std::string> zmtp_ready_property(std::string_view body, std::string_view wanted) {
   constexpr std::string_view kReady = "\x05READY";
@@ -96,18 +96,18 @@
   }
   if (rest.size() < 2) return Result::kNeedMore;
   const auto flags = static_cast<unsigned char>(rest[0]);
-  if ((flags & ~(kFlagMore | kFlagLong | kFlagCommand)) != 0) return Result::kError;
-  const std::size_t head = (flags & kFlagLong) != 0 ? 9 : 2;
-  if (rest.size() < head) return Result::kNeedMore;
-  const std::uint64_t size = big_endian(rest.substr(1, head - 1));
+  if ((flags & ~(kMoreFlag | kLongFlag | kCommandFlag)) != 0) return Result::kError;
+  const std::size_t header_size = (flags & kLongFlag) != 0 ? 9 : 2;
+  if (rest.size() < header_size) return Result::kNeedMore;
+  const std::uint64_t size = big_endian(rest.substr(1, header_size - 1));
   if (size > kMaxFrameBytes) return Result::kError;
-  if (rest.size() - head < size) return Result::kNeedMore;
-  out.command = (flags & kFlagCommand) != 0;
-  out.more = (flags & kFlagMore) != 0;
-  out.body.assign(rest.substr(head, size));
-  consumed_ += head + size;
-  constexpr std::size_t kCompactAt = 1U << 16;
-  if (consumed_ >= kCompactAt) {
+  if (rest.size() - header_size < size) return Result::kNeedMore;
+  out.is_command = (flags & kCommandFlag) != 0;
+  out.has_more = (flags & kMoreFlag) != 0;
+  out.body.assign(rest.substr(header_size, size));
+  consumed_ += header_size + size;
+  constexpr std::size_t kCompactThresholdBytes = 1U << 16;
+  if (consumed_ >= kCompactThresholdBytes) {
     buffer_.erase(0, consumed_);
     consumed_ = 0;
   }
--- a/src/messaging/zmtp.h
+++ b/src/messaging/zmtp.h
@@ -15,8 +15,8 @@
 constexpr std::uint64_t kMaxFrameBytes = 24ULL << 20;
 
 struct ZmtpFrame {
-  bool command = false;
-  bool more = false;
+  bool is_command = false;
+  bool has_more = false;
   std::string body;
 };
 
--- a/src/node/batch_request_handler.cpp
+++ b/src/node/batch_request_handler.cpp
@@ -136,9 +136,9 @@
                                                   std::string tenant) {
   const HttpRequest& request = exchange->request;
   if (digest_of(request.body) != request.body_digest) {
-    body_check_.on_difference(BodyStep::kSubmission);
+    body_check_.record_mismatch(BodyCheckStep::kSubmission);
     NETTLESTAND_WARNING("a body is not its client's id=" << request.header("X-Request-Id")
-                                                         << " step=" << name_of(BodyStep::kSubmission));
+                                                         << " step=" << name_of(BodyCheckStep::kSubmission));
     HeaderList headers = kJson;
     headers.emplace_back("Retry-After", "0.5");
     co_return co_await exchange->respond(503, std::move(headers), "{}");
--- a/src/node/batch_request_handler.h
+++ b/src/node/batch_request_handler.h
@@ -9,7 +9,7 @@
 #include <memory>
 #include <string>
 
-#include "base/body_check.h"
+#include "base/body_integrity.h"
 #include "control/control_client.h"
 #include "messaging/messenger.h"
 #include "node/http_server.h"
@@ -38,7 +38,7 @@
   void on_reply(JobReply reply) { pending_calls_.deliver(std::move(reply)); }
 
   // Submissions whose bytes had changed before they were parsed.
-  const BodyCheck& body_check() const { return body_check_; }
+  const BodyIntegrityCounters& body_check() const { return body_check_; }
 
   static bool is_job_path(std::string_view path);
 
@@ -54,7 +54,7 @@
   Messenger& messenger_;
   ControlClient& control_client_;
   PendingCalls<JobReply> pending_calls_;
-  BodyCheck body_check_;
+  BodyIntegrityCounters body_check_;
 };
 
 }  // namespace nettlestand::tier
--- a/src/node/http_server.cpp
+++ b/src/node/http_server.cpp
@@ -17,7 +17,7 @@
 #include <utility>
 
 #include "base/digest.h"
-#include "messaging/network.h"
+#include "messaging/tcp_messenger.h"
 #include "node/log.h"
 
 namespace nettlestand::tier {
--- a/src/node/node_core.cpp
+++ b/src/node/node_core.cpp
@@ -39,7 +39,7 @@
   self.is_core = disks.control.has_value();
   if (disks.control) self.disk_id = disks.control->journal->disk_id();
   if (disks.store) self.disk_id = disks.store->journal->disk_id();
-  self.incarnation = identity.generation;
+  self.generation = identity.generation;
   return self;
 }
 
@@ -128,7 +128,7 @@
         messenger_.send(from, encode_message(MessageType::kShuffleReply, view_.on_shuffle(now, m, from)));
       });
     case MessageType::kShuffleReply:
-      return decode_and_handle<Shuffle>(body, [&](const Shuffle& m) { view_.on_reply(now, m); });
+      return decode_and_handle<Shuffle>(body, [&](const Shuffle& m) { view_.on_shuffle_reply(now, m); });
     case MessageType::kBootstrapRequest:
       return decode_and_handle<BootstrapRequest>(body, [&](const BootstrapRequest& m) {
         const auto vote = bootstrap_voter_.on_request(m);
--- a/src/node/node_program.cpp
+++ b/src/node/node_program.cpp
@@ -92,7 +92,7 @@
   }
   create_core(std::move(disks));
   try {
-    network_->listen();
+    messenger_->listen();
     start_http_servers();
   } catch (const boost::system::system_error& error) {
     NETTLESTAND_WARNING("can't listen error=" << error.what());
@@ -108,10 +108,10 @@
 }
 
 void NodeProgram::create_core(NodeCore::Disks disks) {
-  network_ = std::make_unique<Network>(io_, settings_.internal_address(),
-                                       [this](const std::string& from, std::string_view bytes) {
-                                         core_->on_message(steady_now(), from, bytes);
-                                       });
+  messenger_ = std::make_unique<TcpMessenger>(io_, settings_.internal_address(),
+                                              [this](const std::string& from, std::string_view bytes) {
+                                                core_->on_message(steady_now(), from, bytes);
+                                              });
   forwarder_ = std::make_unique<Forwarder>(std::make_unique<UpstreamConnectionPool>(io_), random_seed_ + 1);
   forwarder_->pool().set_zone(settings_.zone);
   ServerListSourceFactory server_list_source_factory;
@@ -128,7 +128,7 @@
   identity.is_store = role_ == NodeRole::kStore;
   identity.generation = wall_clock_ms();
   identity.random_seed = random_seed_;
-  core_ = std::make_unique<NodeCore>(*network_, settings_, identity, std::move(disks),
+  core_ = std::make_unique<NodeCore>(*messenger_, settings_, identity, std::move(disks),
                                      std::move(server_list_source_factory), steady_now());
   core_->start(job_runner_factory);
   NodeCore::Hooks hooks;
@@ -151,7 +151,7 @@
 
 void NodeProgram::start_http_servers() {
   ControlClient& control_client = core_->control_client();
-  batch_handler_ = std::make_unique<BatchRequestHandler>(io_, *network_, control_client, random_seed_);
+  batch_handler_ = std::make_unique<BatchRequestHandler>(io_, *messenger_, control_client, random_seed_);
   operator_handler_ = std::make_unique<OperatorRequestHandler>(io_, core_->operator_relay());
   client_handler_ = std::make_unique<ClientRequestHandler>(io_, control_client, *forwarder_, *batch_handler_,
                                                            random_seed_ + 2);
--- a/src/node/node_program.h
+++ b/src/node/node_program.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "forwarding/forwarder.h"
-#include "messaging/network.h"
+#include "messaging/tcp_messenger.h"
 #include "node/batch_request_handler.h"
 #include "node/client_request_handler.h"
 #include "node/http_server.h"
@@ -54,7 +54,7 @@
   boost::asio::steady_timer timer_;
   boost::asio::signal_set signals_;
   std::uint64_t random_seed_;
-  std::unique_ptr<Network> network_;
+  std::unique_ptr<TcpMessenger> messenger_;
   std::unique_ptr<Forwarder> forwarder_;
   std::unique_ptr<NodeCore> core_;
   std::unique_ptr<BatchRequestHandler> batch_handler_;
--- a/standins/tier/kept_connection.cpp
+++ b/standins/tier/kept_connection.cpp
@@ -5,7 +5,7 @@
 #include <cctype>
 #include <chrono>
 
-#include "messaging/network.h"
+#include "messaging/tcp_messenger.h"
 
 namespace nettlestand::tier::standins {
 
--- a/tests/system/content_test.cpp
+++ b/tests/system/content_test.cpp
@@ -252,7 +252,7 @@
   out.zone = zone;
   out.address = "10.0.0." + std::to_string(number) + ":7000";
   out.is_core = is_core;
-  out.incarnation = 1;
+  out.generation = 1;
   return out;
 }
 
@@ -266,7 +266,7 @@
       : view(std::move(self), {}, 1), control_client(messenger, view, content, ControlClientSettings{}) {
     Shuffle shuffle{};
     shuffle.nodes = std::move(others);
-    view.on_reply(0, shuffle);
+    view.on_shuffle_reply(0, shuffle);
   }
   void name(Millis now, const ConfigVersion& id) {
     PollReply reply{};
--- a/tests/system/item_test.cpp
+++ b/tests/system/item_test.cpp
@@ -442,7 +442,7 @@
   const auto later = GENERATE(MessageNumber{1, 2, 1}, MessageNumber{2, 1, 1});
   constexpr std::uint64_t kMessagesOfDays = (std::uint64_t{1} << 24) + 5;
   constexpr std::uint64_t kTenuresOfYears = (std::uint64_t{1} << 16) + 5;
-  const MessageNumber before{1, later.start > 1 ? kTenuresOfYears : 1, kMessagesOfDays};
+  const MessageNumber before{1, later.generation > 1 ? kTenuresOfYears : 1, kMessagesOfDays};
   ItemServer server;
   Store store(server);
   store.place({kOtherStoreDisk, store.service().disk_id()});
@@ -485,9 +485,9 @@
   spec.items[1].body += "!";
   CHECK(store.try_submit(spec) == 0);
   CHECK(store.jobs().find({kTenant, "j"}) == nullptr);
-  CHECK(store.service().body_check().differences(BodyStep::kStoreCall) == 1);
+  CHECK(store.service().body_check().mismatches(BodyCheckStep::kStoreCall) == 1);
   store.submit(job_of("j", 2));
-  CHECK(store.service().body_check().differences(BodyStep::kStoreCall) == 1);
+  CHECK(store.service().body_check().mismatches(BodyCheckStep::kStoreCall) == 1);
 }
 
 TEST_CASE("a copy tells of bodies that have changed, and passes over those that were given up") {
@@ -512,5 +512,5 @@
   snapshot.spec.front().items[1].path += "/other";
   snapshot.spec.front().items[2].header_names.emplace_back("X-More");
   store.replicate_from(kOtherStore, snapshot, {1, 1, 2});
-  CHECK(store.service().body_check().differences(BodyStep::kCopy) == 2);
+  CHECK(store.service().body_check().mismatches(BodyCheckStep::kCopy) == 2);
 }
--- a/tests/system/membership_test.cpp
+++ b/tests/system/membership_test.cpp
@@ -20,7 +20,7 @@
     node.name = "node-" + std::to_string(i);
     node.address = address(i);
     node.is_core = core;
-    node.incarnation = 1;
+    node.generation = 1;
     views_.push_back(std::make_unique<PartialView>(
         node, std::vector<std::string>{address(0), address(1), address(2)}, i + 1));
     down_.push_back(false);
@@ -34,7 +34,7 @@
       const std::size_t to = std::stoul(next->first.substr(next->first.find(':') + 1));
       if (to >= views_.size() || down_[to] || parted(i, to) || lost(loss)) continue;
       const Shuffle reply = views_[to]->on_shuffle(now_, next->second, address(i));
-      if (!lost(loss)) views_[i]->on_reply(now_, reply);
+      if (!lost(loss)) views_[i]->on_shuffle_reply(now_, reply);
     }
   }
   static std::string address(std::size_t i) { return "10.0.0.1:" + std::to_string(i); }
@@ -113,16 +113,16 @@
   self.name = "a";
   self.address = "10.0.0.1:1";
   PartialView view(self, {}, 1);
-  const auto told = [&](std::uint64_t incarnation, std::uint64_t beat, std::uint64_t disk) {
+  const auto told = [&](std::uint64_t generation, std::uint64_t heartbeat, std::uint64_t disk) {
     NodeInfo node{};
     node.name = "b";
     node.address = "10.0.0.1:2";
-    node.incarnation = incarnation;
-    node.beat = beat;
+    node.generation = generation;
+    node.heartbeat = heartbeat;
     node.disk_id = disk;
     Shuffle shuffle{};
     shuffle.nodes.push_back(node);
-    view.on_reply(100, shuffle);
+    view.on_shuffle_reply(100, shuffle);
     return view.nodes().front().disk_id;
   };
   CHECK(told(5, 10, 1) == 1);
--- a/tests/system/storage_test.cpp
+++ b/tests/system/storage_test.cpp
@@ -9,7 +9,7 @@
 
 #include "control/journal.h"
 #include "control/replica_host.h"
-#include "messaging/network.h"
+#include "messaging/tcp_messenger.h"
 #include "simulate/simulated_disk.h"
 #include "storage/segment_format.h"
 #include "storage/segment_ring.h"
@@ -275,7 +275,7 @@
 TEST_CASE("a group of one applies what it is told once in a life, and again after a restart") {
   TempDirectory folder;
   boost::asio::io_context io;
-  Network network(io, "127.0.0.1:1", [](const std::string&, std::string_view) {});
+  TcpMessenger network(io, "127.0.0.1:1", [](const std::string&, std::string_view) {});
   const auto open = [&](StateMachineMock& machine, Millis now) {
     auto journal = ControlJournal::open(journal_in(folder.path()), 5);
     REQUIRE(journal.ok());
--- a/tests/system/zmtp_test.cpp
+++ b/tests/system/zmtp_test.cpp
@@ -8,7 +8,7 @@
 #include <random>
 #include <vector>
 
-#include "messaging/network.h"
+#include "messaging/tcp_messenger.h"
 
 using namespace nettlestand::tier;
 namespace asio = boost::asio;
@@ -92,12 +92,12 @@
   const std::string a = free_address(), b = free_address();
   std::vector<std::string> got;
   std::string sender;
-  Network receiver(io, b, [&](const std::string& from, std::string_view message) {
+  TcpMessenger receiver(io, b, [&](const std::string& from, std::string_view message) {
     sender = from;
     got.emplace_back(message);
     if (got.size() == 300) io.stop();
   });
-  Network network(io, a, [](const std::string&, std::string_view) {});
+  TcpMessenger network(io, a, [](const std::string&, std::string_view) {});
   receiver.listen();
   for (int i = 0; i < 300; ++i)
     network.send(b, std::string(static_cast<std::size_t>(i) * 40, 'a') + std::to_string(i));
@@ -111,11 +111,11 @@
   asio::io_context io;
   const std::string a = free_address(), b = free_address();
   std::vector<std::string> got;
-  Network receiver(io, b, [&](const std::string&, std::string_view message) {
+  TcpMessenger receiver(io, b, [&](const std::string&, std::string_view message) {
     got.emplace_back(message.substr(0, 7));
     if (got.size() == 101) io.stop();
   });
-  Network network(io, a, [](const std::string&, std::string_view) {});
+  TcpMessenger network(io, a, [](const std::string&, std::string_view) {});
   receiver.listen();
   for (int i = 0; i < 100; ++i) network.send(b, "content" + std::string(64U << 10, 'x'));
   network.send(b, "control", Lane::kControl);
@@ -128,7 +128,7 @@
 TEST_CASE("what waits for peers that don't read is bounded, for each and for all together") {
   constexpr std::size_t kMessage = 1U << 20, kLeast = 8U << 20;
   asio::io_context io;
-  Network network(io, free_address(), [](const std::string&, std::string_view) {});
+  TcpMessenger network(io, free_address(), [](const std::string&, std::string_view) {});
   const std::string one = free_address();
   const std::string body(kMessage, 'x');
   for (int i = 0; i < 40; ++i) network.send(one, body);
@@ -150,7 +150,7 @@
   asio::io_context io;
   const std::string a = free_address(), b = free_address();
   int got = 0;
-  Network receiver(io, b, [&](const std::string&, std::string_view) {
+  TcpMessenger receiver(io, b, [&](const std::string&, std::string_view) {
     ++got;
     io.stop();
   });
@@ -172,7 +172,7 @@
   io.run_for(std::chrono::seconds(10));
   CHECK(ended);
   io.restart();
-  Network network(io, a, [](const std::string&, std::string_view) {});
+  TcpMessenger network(io, a, [](const std::string&, std::string_view) {});
   network.send(b, "well");
   io.run_for(std::chrono::seconds(10));
   CHECK(got == 1);
@@ -180,7 +180,7 @@
 
 TEST_CASE("an address that is none is passed over") {
   asio::io_context io;
-  Network network(io, free_address(), [](const std::string&, std::string_view) {});
+  TcpMessenger network(io, free_address(), [](const std::string&, std::string_view) {});
   for (const char* bad : {"", "x", "10.0.0.1", "10.0.0.1:", "10.0.0.1:99999", "host:80"})
     network.send(bad, "m");
   CHECK(io.poll() == 0);
