--- a/bench/duties.cpp
+++ b/bench/duties.cpp
@@ -23,7 +23,7 @@
 #include "duties/client_service.h"
 #include "duties/voter_service.h"
 #include "tests/duties/cluster.h"
-#include "tests/duties/world.h"
+#include "tests/duties/process_setup.h"
 #include "util/clock.h"
 
 namespace nettlestand {
@@ -52,7 +52,7 @@
   s.voters = 5;
   s.nodes = 10;
   s.duties = {{"d0", lease, {}, {}, {}}};
-  s.shipped = true;
+  s.default_timeouts = true;
   Cluster c(s, seed);
   if (!c.start()) return -1;
   for (int i = 0; i < 1000 && !c.all_held(); ++i) c.run(0.02);
@@ -71,7 +71,7 @@
 
 void gaps(int runs) {
   using emulator::ActorId;
-  const auto actor = [](Cluster& c, std::size_t n) { return static_cast<ActorId>(c.s.voters + n); };
+  const auto actor = [](Cluster& c, std::size_t n) { return static_cast<ActorId>(c.settings.voters + n); };
   const auto cut = [actor](Cluster& c, std::size_t n, bool out, bool in) {
     standins::WayFaults way;
     way.cut = true;
@@ -85,7 +85,7 @@
       {"handed over (SIGTERM)",
        [](Cluster& c, std::size_t n) {
          auto* node = c.node(n);
-         node->client.release_all(node->local(c.sim.now()), node->out);
+         node->client.release_all(node->local_time(c.sim.now()), node->actions);
        }},
       {"killed", [actor](Cluster& c, std::size_t n) { c.sim.kill(actor(c, n)); }},
       {"stopped", [actor](Cluster& c, std::size_t n) { c.sim.pause(actor(c, n)); }},
@@ -93,7 +93,7 @@
       {"can send, not receive", [cut](Cluster& c, std::size_t n) { cut(c, n, false, true); }},
       {"can receive, not send", [cut](Cluster& c, std::size_t n) { cut(c, n, true, false); }},
       {"killed with the leader", [actor](Cluster& c, std::size_t n) {
-         c.sim.kill(static_cast<ActorId>(c.leader()->i));
+         c.sim.kill(static_cast<ActorId>(c.leader()->index));
          c.sim.kill(actor(c, n));
        }}};
   for (const auto& [name, trouble] : troubles) {
@@ -115,24 +115,24 @@
                            const std::function<void(ProcessWorld&, std::size_t, std::size_t)>& trouble) {
     std::vector<double> all;
     for (int run = 0; run < runs; ++run) {
-      DutiesWorld d(6, 5, 1);
+      DutiesSetup d(6, 5, 1);
       ProcessWorld w(d.settings);
       w.start();
       add_voters(w, 5);
-      if (!ProcessWorld::until([&] { return effects(d).size() > 5; })) continue;
+      if (!ProcessWorld::until([&] { return read_effects(d).size() > 5; })) continue;
       std::size_t holder = 6;
       for (std::size_t i = 0; i < 6; ++i) {
-        if (held_by(w, i).contains("d0")) holder = i;
+        if (held_tokens(w, i).contains("d0")) holder = i;
       }
       if (holder == 6) continue;
       const std::string leader =
-          quinceusher::json::parse(control(w, holder, "duties voters"))["leader"].GetString();
-      const std::uint64_t token = effects(d).back().token;
+          quinceusher::json::parse(run_control_command(w, holder, "duties voters"))["leader"].GetString();
+      const std::uint64_t token = read_effects(d).back().token;
       const double from = nettlestand::now();
       trouble(w, holder, leader.empty() ? 0 : std::stoul(leader.substr(1)));
       double until = 0;
       ProcessWorld::until([&] {
-        for (const Effect& e : effects(d)) {
+        for (const EffectRecord& e : read_effects(d)) {
           if (e.token > token) {
             until = e.at;
             return true;
@@ -379,10 +379,11 @@
   std::vector<double> on, off, on99, off99;
   for (int run = 0; run < runs; ++run) {
     for (const bool with : {run % 2 == 0, run % 2 != 0}) {
-      DutiesWorld d(5, with ? 3 : 0, with ? 2 : 0);
+      DutiesSetup d(5, with ? 3 : 0, with ? 2 : 0);
       if (!with) d.settings.duties.clear();
       if (with)
-        d.settings.duties += "[report]\nbook = \"" + d.shared.path + "/report.db\"\nperiod_ms = 1000\n";
+        d.settings.duties +=
+            "[report]\nbook = \"" + d.shared_directory.path + "/report.db\"\nperiod_ms = 1000\n";
       d.settings.load.rate = 400;
       d.settings.seed = static_cast<std::uint64_t>(run) + 1;
       ProcessWorld w(d.settings);
--- a/tests/duties/cluster.h
+++ b/tests/duties/cluster.h
@@ -22,11 +22,11 @@
  public:
   explicit MemoryStore(std::uint64_t id) : id_(id) {}
   StoredState load() override {
-    may_fail();
+    throw_if_failing();
     StoredState out;
     out.id = id_;
     out.start_count = ++starts_;
-    out.start_id = id_ * 1000 + starts_ * 7 + salt;
+    out.start_id = id_ * 1000 + starts_ * 7 + start_id_salt;
     out.term = term_;
     out.vote = vote_;
     out.snapshot = snapshot_;
@@ -35,25 +35,25 @@
     return out;
   }
   void set_term(std::uint64_t term) override {
-    may_fail();
+    throw_if_failing();
     term_ = term;
     vote_ = 0;
   }
   void set_vote(std::uint64_t id) override {
-    may_fail();
+    throw_if_failing();
     vote_ = id;
   }
   void append(std::uint64_t first, const std::vector<StoredEntry>& entries) override {
-    may_fail();
+    throw_if_failing();
     if (first != first_ + entries_.size()) throw std::logic_error("a gap in the log");
     entries_.insert(entries_.end(), entries.begin(), entries.end());
   }
   void truncate(std::uint64_t from) override {
-    may_fail();
+    throw_if_failing();
     entries_.resize(from < first_ ? 0 : std::min<std::size_t>(entries_.size(), from - first_));
   }
   void put_snapshot(const StoredSnapshot& s, std::uint64_t trailing) override {
-    may_fail();
+    throw_if_failing();
     snapshot_ = s;
     if (trailing == 0) {
       entries_.clear();
@@ -66,7 +66,7 @@
   }
   std::optional<StoredSnapshot> load_snapshot() override { return snapshot_; }
   bool record_peer_start(std::uint64_t voter, std::uint64_t starts, std::uint64_t run) override {
-    auto& [s, r] = met_[voter];
+    auto& [s, r] = peer_starts_[voter];
     if (s == starts) return r == run;
     if (s > starts) return false;
     s = starts;
@@ -74,39 +74,39 @@
     return true;
   }
 
-  int fail_in = -1;  // the write after so many more fails, and all after it; below 0: none
-  std::uint64_t salt = 0;
+  int fail_after_writes = -1;  // the write after so many more fails, and all after it; below 0: none
+  std::uint64_t start_id_salt = 0;
 
  private:
-  void may_fail() {
-    if (fail_in < 0) return;
-    if (fail_in == 0) throw StoreError(StoreError::Kind::kFull, "no space left");
-    --fail_in;
+  void throw_if_failing() {
+    if (fail_after_writes < 0) return;
+    if (fail_after_writes == 0) throw StoreError(StoreError::Kind::kFull, "no space left");
+    --fail_after_writes;
   }
   std::uint64_t id_, starts_ = 0, term_ = 0, vote_ = 0, first_ = 1;
   std::vector<StoredEntry> entries_;
   std::optional<StoredSnapshot> snapshot_;
-  std::map<std::uint64_t, std::pair<std::uint64_t, std::uint64_t>> met_;
+  std::map<std::uint64_t, std::pair<std::uint64_t, std::uint64_t>> peer_starts_;
 };
 
 struct ClusterSettings {
   std::size_t voters = 3, nodes = 4;
   std::vector<Duty> duties;
-  double drift = 0.01;
-  double effect_every = 0.1, effect_takes = 0.05;  // s
-  unsigned snapshot_after = 64, snapshot_keeps = 16;
-  bool no_fence = false;  // planted
-  bool shipped = false;   // times as shipped, else short ones
+  double clock_drift = 0.01;
+  double effect_interval_seconds = 0.1, effect_duration_seconds = 0.05;  // s
+  unsigned snapshot_threshold = 64, snapshot_trailing = 16;
+  bool fencing_disabled = false;  // planted
+  bool default_timeouts = false;  // times as shipped, else short ones
 };
 
 struct Cluster {
   // A datagram is the sender's hello and a frame, so that no handshake has to be played.
-  static std::string joined(const Frame& hello, const Frame& frame) {
+  static std::string encode_datagram(const Frame& hello, const Frame& frame) {
     const std::string h = encode(hello);
     return std::string(1, static_cast<char>(h.size() / 256)) + static_cast<char>(h.size() % 256) + h +
            encode(frame);
   }
-  static std::pair<Frame, Frame> parted(const std::string& bytes) {
+  static std::pair<Frame, Frame> decode_datagram(const std::string& bytes) {
     const auto size = static_cast<std::size_t>(static_cast<unsigned char>(bytes[0])) * 256 +
                       static_cast<unsigned char>(bytes[1]);
     return {decode_frame(std::string_view(bytes).substr(2, size)),
@@ -114,171 +114,184 @@
   }
 
   struct VoterActor final : emulator::Actor {
-    VoterActor(Cluster& c, std::size_t i, std::uint64_t life) : c(c), i(i), life(life) {}
-    double local(emulator::Context& x) const {
-      return 100 + x.now() * (i % 2 == 0 ? 1 + c.s.drift : 1 - c.s.drift);
+    VoterActor(Cluster& cluster, std::size_t index, std::uint64_t generation)
+        : cluster(cluster), index(index), generation(generation) {}
+    double local_time(emulator::Context& context) const {
+      return 100 + context.now() *
+                       (index % 2 == 0 ? 1 + cluster.settings.clock_drift : 1 - cluster.settings.clock_drift);
     }
-    void open(emulator::Context& x) {
+    void open_voter(emulator::Context& context) {
       VoterSettings v;
-      v.self = {"v" + std::to_string(i), life + 1, "", ""};
-      if (!c.s.shipped) {
+      v.self = {"v" + std::to_string(index), generation + 1, "", ""};
+      if (!cluster.settings.default_timeouts) {
         v.raft.election_timeout_ms = 300;
         v.raft.heartbeat_interval_ms = 50;
         v.lease_manager.first_renewal_timeout = 0.5;
         v.lease_manager.propose_timeout = 1;
       }
-      v.raft.snapshot_threshold = c.s.snapshot_after;
-      v.raft.snapshot_trailing = c.s.snapshot_keeps;
-      v.raft.seed = i * 7919 + life + c.seed;
-      v.lease_manager.drift = c.s.drift;
+      v.raft.snapshot_threshold = cluster.settings.snapshot_threshold;
+      v.raft.snapshot_trailing = cluster.settings.snapshot_trailing;
+      v.raft.seed = index * 7919 + generation + cluster.seed;
+      v.lease_manager.drift = cluster.settings.clock_drift;
       try {
-        voter = std::make_unique<Voter>(v, *c.stores[i], local(x));
+        voter = std::make_unique<Voter>(v, *cluster.stores[index], local_time(context));
       } catch (const std::exception&) {
         voter.reset();
       }
     }
-    void start(emulator::Context& x) override {
-      open(x);
-      done(x);
+    void start(emulator::Context& context) override {
+      open_voter(context);
+      flush(context);
     }
-    void message(emulator::Context& x, emulator::ActorId from, const std::string& bytes) override {
+    void message(emulator::Context& context, emulator::ActorId from, const std::string& bytes) override {
       if (!voter) return;
-      const auto [hello, frame] = parted(bytes);
+      const auto [hello, frame] = decode_datagram(bytes);
       if (hello.voter_id != 0) {
-        if (!voter->on_voter_hello(local(x), hello, out)) return;
-        if (c.listen && frame.kind == Frame::Kind::kRaft) c.listen(frame.bytes);
-        voter->on_voter_frame(local(x), hello.voter_id, hello.sender.name, frame, out);
+        if (!voter->on_voter_hello(local_time(context), hello, outgoing)) return;
+        if (cluster.on_raft_message && frame.kind == Frame::Kind::kRaft) cluster.on_raft_message(frame.bytes);
+        voter->on_voter_frame(local_time(context), hello.voter_id, hello.sender.name, frame, outgoing);
       } else {
-        voter->on_client_frame(local(x), from + 1, frame, out);
+        voter->on_client_frame(local_time(context), from + 1, frame, outgoing);
       }
-      done(x);
+      flush(context);
     }
-    void timer(emulator::Context& x, std::uint64_t token) override {
-      if (token != timers) return;
+    void timer(emulator::Context& context, std::uint64_t token) override {
+      if (token != timer_token) return;
       if (!voter || voter->failed()) {
         voter.reset();
-        open(x);
+        open_voter(context);
       }
-      if (voter) voter->tick(local(x), out);
-      done(x);
+      if (voter) voter->tick(local_time(context), outgoing);
+      flush(context);
     }
-    void done(emulator::Context& x) {
+    void flush(emulator::Context& context) {
       if (voter) {
-        for (Voter::Outgoing& o : out) {
+        for (Voter::Outgoing& o : outgoing) {
           const Frame hello = voter->hello(std::string(kNonceBytes, 'n'));
           if (o.to_voter) {
-            x.send(static_cast<emulator::ActorId>(std::stoul(voter_name(o.name).substr(1))),
-                   joined(hello, o.frame));
+            context.send(static_cast<emulator::ActorId>(std::stoul(voter_name(o.name).substr(1))),
+                         encode_datagram(hello, o.frame));
           } else {
-            x.send(static_cast<emulator::ActorId>(o.to - 1), joined(hello, o.frame));
+            context.send(static_cast<emulator::ActorId>(o.to - 1), encode_datagram(hello, o.frame));
           }
         }
       }
-      out.clear();
+      outgoing.clear();
       // Messages must not put the next tick off.
-      if (armed_for > x.now()) return;
-      armed_for = x.now() + (voter ? 0.025 : 0.5);
-      x.set_timer(armed_for, ++timers);
+      if (next_tick_at > context.now()) return;
+      next_tick_at = context.now() + (voter ? 0.025 : 0.5);
+      context.set_timer(next_tick_at, ++timer_token);
     }
-    Cluster& c;
-    const std::size_t i;
-    const std::uint64_t life;
+    Cluster& cluster;
+    const std::size_t index;
+    const std::uint64_t generation;
     std::unique_ptr<Voter> voter;
-    Voter::OutgoingFrames out;
-    double armed_for = -1;
-    std::uint64_t timers = 0;
+    Voter::OutgoingFrames outgoing;
+    double next_tick_at = -1;
+    std::uint64_t timer_token = 0;
   };
 
   struct NodeActor final : emulator::Actor {
-    NodeActor(Cluster& c, std::size_t i, std::uint64_t life) : c(c), i(i), life(life), client(settings()) {}
-    ClientSettings settings() const {
-      ClientSettings out;
-      out.lease_holder.self = {"n" + std::to_string(i), life + 1, i % 2 == 0 ? "a" : "b", ""};
-      out.lease_holder.drift = c.s.drift;
-      if (!c.s.shipped) {
-        out.lease_holder.reply_timeout = 0.2;
-        out.lease_holder.request_interval = 0.5;
-        out.voter_selector.reply_timeout = 0.5;
+    NodeActor(Cluster& cluster, std::size_t index, std::uint64_t generation)
+        : cluster(cluster), index(index), generation(generation), client(client_settings()) {}
+    ClientSettings client_settings() const {
+      ClientSettings result;
+      result.lease_holder.self = {"n" + std::to_string(index), generation + 1, index % 2 == 0 ? "a" : "b",
+                                  ""};
+      result.lease_holder.drift = cluster.settings.clock_drift;
+      if (!cluster.settings.default_timeouts) {
+        result.lease_holder.reply_timeout = 0.2;
+        result.lease_holder.request_interval = 0.5;
+        result.voter_selector.reply_timeout = 0.5;
       }
-      for (std::size_t v = 0; v < c.s.voters; ++v) out.voters.push_back("v" + std::to_string(v));
-      out.seed = i + life * 31 + c.seed;
-      return out;
+      for (std::size_t v = 0; v < cluster.settings.voters; ++v)
+        result.voters.push_back("v" + std::to_string(v));
+      result.seed = index + generation * 31 + cluster.seed;
+      return result;
     }
-    double local(double now) const { return 50 + now * (i % 2 == 0 ? 1 - c.s.drift : 1 + c.s.drift); }
-    void start(emulator::Context& x) override {
-      client.on_connected(local(x.now()), out);
-      for (const Duty& d : c.s.duties) client.acquire(local(x.now()), d, out);
-      done(x);
+    double local_time(double now) const {
+      return 50 +
+             now * (index % 2 == 0 ? 1 - cluster.settings.clock_drift : 1 + cluster.settings.clock_drift);
     }
-    void message(emulator::Context& x, emulator::ActorId from, const std::string& bytes) override {
+    void start(emulator::Context& context) override {
+      client.on_connected(local_time(context.now()), actions);
+      for (const Duty& d : cluster.settings.duties) client.acquire(local_time(context.now()), d, actions);
+      flush(context);
+    }
+    void message(emulator::Context& context, emulator::ActorId from, const std::string& bytes) override {
       if (from != client.voter_selector().target()) return;  // of a connection that is closed
-      client.on_frame(local(x.now()), parted(bytes).second, out);
-      done(x);
+      client.on_frame(local_time(context.now()), decode_datagram(bytes).second, actions);
+      flush(context);
     }
-    void timer(emulator::Context& x, std::uint64_t token) override {
-      if (token == kEffect) {  // it takes place now, whatever has become of the lease since it was checked
-        const auto [duty, t] = effect;
-        effect.second = 0;
-        c.land(x.now(), duty, t);
+    void timer(emulator::Context& context, std::uint64_t token) override {
+      if (token ==
+          kEffectTimer) {  // it takes place now, whatever has become of the lease since it was checked
+        const auto [duty, t] = pending_effect;
+        pending_effect.second = 0;
+        cluster.apply_effect(context.now(), duty, t);
         return;
       }
-      if (token != timers) return;
-      client.tick(local(x.now()), out);
-      if (effect.second == 0 && x.now() >= next_effect) {
-        for (std::size_t n = 0; n < c.s.duties.size(); ++n) {
-          const Duty& d = c.s.duties[(n + static_cast<std::size_t>(x.now() * 10)) % c.s.duties.size()];
-          const auto held = client.held_token(local(x.now()), d.name);
+      if (token != timer_token) return;
+      client.tick(local_time(context.now()), actions);
+      if (pending_effect.second == 0 && context.now() >= next_effect) {
+        for (std::size_t n = 0; n < cluster.settings.duties.size(); ++n) {
+          const Duty& d = cluster.settings.duties[(n + static_cast<std::size_t>(context.now() * 10)) %
+                                                  cluster.settings.duties.size()];
+          const auto held = client.held_token(local_time(context.now()), d.name);
           if (!held) continue;
-          effect = {d.name, *held};
-          next_effect = x.now() + c.s.effect_every;
-          x.set_timer(x.now() + c.s.effect_takes, kEffect);
+          pending_effect = {d.name, *held};
+          next_effect = context.now() + cluster.settings.effect_interval_seconds;
+          context.set_timer(context.now() + cluster.settings.effect_duration_seconds, kEffectTimer);
           break;
         }
       }
-      done(x);
+      flush(context);
     }
-    void done(emulator::Context& x) {
-      if (out.reconnect) {
+    void flush(emulator::Context& context) {
+      if (actions.reconnect) {
         // A connection that is refused or comes up at once: the way there takes what it takes.
         Client::Actions again;
-        client.on_connected(local(x.now()), again);
-        std::swap(out.frames, again.frames);
-        out.changes.insert(out.changes.end(), again.changes.begin(), again.changes.end());
+        client.on_connected(local_time(context.now()), again);
+        std::swap(actions.frames, again.frames);
+        actions.changes.insert(actions.changes.end(), again.changes.begin(), again.changes.end());
       }
       Frame hello;
       hello.kind = Frame::Kind::kHello;
       hello.nonce = std::string(kNonceBytes, 'n');
-      hello.sender = {"n" + std::to_string(i), life + 1, "", ""};
-      for (const Frame& f : out.frames)
-        x.send(static_cast<emulator::ActorId>(client.voter_selector().target()), joined(hello, f));
-      for (const LeaseHolder::Change& change : out.changes) c.changed(x.now(), i, life, change);
-      out = {};
-      if (armed_for > x.now()) return;
-      armed_for = x.now() + 0.02;
-      x.set_timer(armed_for, ++timers);
+      hello.sender = {"n" + std::to_string(index), generation + 1, "", ""};
+      for (const Frame& f : actions.frames)
+        context.send(static_cast<emulator::ActorId>(client.voter_selector().target()),
+                     encode_datagram(hello, f));
+      for (const LeaseHolder::Change& change : actions.changes)
+        cluster.on_lease_change(context.now(), index, generation, change);
+      actions = {};
+      if (next_tick_at > context.now()) return;
+      next_tick_at = context.now() + 0.02;
+      context.set_timer(next_tick_at, ++timer_token);
     }
-    static constexpr std::uint64_t kEffect = ~std::uint64_t{0};
-    Cluster& c;
-    const std::size_t i;
-    const std::uint64_t life;
+    static constexpr std::uint64_t kEffectTimer = ~std::uint64_t{0};
+    Cluster& cluster;
+    const std::size_t index;
+    const std::uint64_t generation;
     Client client;
-    Client::Actions out;
-    std::pair<std::string, Token> effect{"", 0};
-    double next_effect = 0, armed_for = -1;
-    std::uint64_t timers = 0;
+    Client::Actions actions;
+    std::pair<std::string, Token> pending_effect{"", 0};
+    double next_effect = 0, next_tick_at = -1;
+    std::uint64_t timer_token = 0;
   };
 
-  Cluster(ClusterSettings settings, std::uint64_t seed) : s(std::move(settings)), seed(seed), sim(seed) {
+  Cluster(ClusterSettings cluster_settings, std::uint64_t seed)
+      : settings(std::move(cluster_settings)), seed(seed), sim(seed) {
     sim.set_network({});
-    for (std::size_t v = 0; v < s.voters; ++v) {
+    for (std::size_t v = 0; v < settings.voters; ++v) {
       stores.push_back(std::make_unique<MemoryStore>((v + 1) * 0x1000000000000000ULL - 1 - v));
-      sim.add([this, v](emulator::ActorId, std::uint64_t life) {
-        return std::make_unique<VoterActor>(*this, v, life);
+      sim.add([this, v](emulator::ActorId, std::uint64_t generation) {
+        return std::make_unique<VoterActor>(*this, v, generation);
       });
     }
-    for (std::size_t n = 0; n < s.nodes; ++n) {
-      sim.add([this, n](emulator::ActorId, std::uint64_t life) {
-        return std::make_unique<NodeActor>(*this, n, life);
+    for (std::size_t n = 0; n < settings.nodes; ++n) {
+      sim.add([this, n](emulator::ActorId, std::uint64_t generation) {
+        return std::make_unique<NodeActor>(*this, n, generation);
       });
     }
     RaftReplica::bootstrap(*stores[0], "v0");
@@ -286,22 +299,22 @@
   // All started, all voters added. False where that took over 20 s.
   bool start() {
     for (emulator::ActorId i = 0; i < sim.size(); ++i) sim.start(i);
-    for (std::size_t v = 1; v < s.voters; ++v) {
+    for (std::size_t v = 1; v < settings.voters; ++v) {
       bool in = false;
       for (int tries = 0; tries < 200 && !in; ++tries) {
         run(0.1);
         VoterActor* lead = leader();
         if (lead == nullptr) continue;
         const auto voters = lead->voter->raft().voters();
-        in = std::any_of(voters.begin(), voters.end(), [&](const VoterInfo& x) {
-          return x.name == "v" + std::to_string(v) && x.role == VoterRole::kVoter;
+        in = std::any_of(voters.begin(), voters.end(), [&](const VoterInfo& info) {
+          return info.name == "v" + std::to_string(v) && info.role == VoterRole::kVoter;
         });
         if (in || tries % 20 != 0) continue;
         // A hello of the new one, as if it had connected, and an operator's word.
         Voter::OutgoingFrames outs;
-        VoterActor* fresh = voter(v);
+        VoterActor* added = voter(v);
         const double at = 100 + sim.now();
-        lead->voter->on_voter_hello(at, fresh->voter->hello(std::string(kNonceBytes, 'n')), outs);
+        lead->voter->on_voter_hello(at, added->voter->hello(std::string(kNonceBytes, 'n')), outs);
         Frame f;
         f.kind = Frame::Kind::kRequests;
         f.requests.emplace_back();
@@ -316,7 +329,7 @@
   void run(double seconds) {
     for (const double until = sim.now() + seconds; sim.now() < until - 1e-9;) {
       sim.run_until(std::min(until, sim.now() + 0.01));
-      check();
+      check_single_holder();
     }
   }
 
@@ -324,67 +337,69 @@
     return static_cast<VoterActor*>(sim.actor(static_cast<emulator::ActorId>(i)));
   }
   NodeActor* node(std::size_t i) {
-    return static_cast<NodeActor*>(sim.actor(static_cast<emulator::ActorId>(s.voters + i)));
+    return static_cast<NodeActor*>(sim.actor(static_cast<emulator::ActorId>(settings.voters + i)));
   }
   VoterActor* leader() {
-    for (std::size_t i = 0; i < s.voters; ++i) {
+    for (std::size_t i = 0; i < settings.voters; ++i) {
       if (VoterActor* v = voter(i); v != nullptr && v->voter && v->voter->raft().is_leader()) return v;
     }
     return nullptr;
   }
   std::optional<std::size_t> holder(const std::string& duty) {
-    for (std::size_t i = 0; i < s.nodes; ++i) {
+    for (std::size_t i = 0; i < settings.nodes; ++i) {
       NodeActor* n = node(i);
-      if (n != nullptr && !sim.paused(static_cast<emulator::ActorId>(s.voters + i)) &&
-          n->client.held_token(n->local(sim.now()), duty))
+      if (n != nullptr && !sim.paused(static_cast<emulator::ActorId>(settings.voters + i)) &&
+          n->client.held_token(n->local_time(sim.now()), duty))
         return i;
     }
     return std::nullopt;
   }
   bool all_held() {
-    return std::all_of(s.duties.begin(), s.duties.end(),
+    return std::all_of(settings.duties.begin(), settings.duties.end(),
                        [&](const Duty& d) { return holder(d.name).has_value(); });
   }
 
-  void check() {
-    for (const Duty& d : s.duties) {
+  void check_single_holder() {
+    for (const Duty& d : settings.duties) {
       int holders = 0;
-      for (std::size_t i = 0; i < s.nodes; ++i) {
+      for (std::size_t i = 0; i < settings.nodes; ++i) {
         NodeActor* n = node(i);
-        if (n != nullptr && n->client.held_token(n->local(sim.now()), d.name)) ++holders;
+        if (n != nullptr && n->client.held_token(n->local_time(sim.now()), d.name)) ++holders;
       }
-      if (holders > 1 && broken.empty()) broken = d.name + " is held by two at " + std::to_string(sim.now());
+      if (holders > 1 && violation.empty())
+        violation = d.name + " is held by two at " + std::to_string(sim.now());
     }
   }
-  void changed(double at, std::size_t node, std::uint64_t life, const LeaseHolder::Change& change) {
+  void on_lease_change(double at, std::size_t node, std::uint64_t generation,
+                       const LeaseHolder::Change& change) {
     if (!change.gained) return;
-    ++gained;
-    const auto [it, fresh] = owners.try_emplace(change.token, std::pair(node, life));
-    if (!fresh && it->second != std::pair(node, life) && broken.empty())
-      broken = "token " + std::to_string(change.token) + " has two holders at " + std::to_string(at);
+    ++gained_leases;
+    const auto [it, added] = token_owners.try_emplace(change.token, std::pair(node, generation));
+    if (!added && it->second != std::pair(node, generation) && violation.empty())
+      violation = "token " + std::to_string(change.token) + " has two holders at " + std::to_string(at);
   }
-  void land(double at, const std::string& duty, Token token) {
-    if (!fence.admit(duty, token) && !s.no_fence) {
-      ++turned_away;
+  void apply_effect(double at, const std::string& duty, Token token) {
+    if (!fencing_checker.admit(duty, token) && !settings.fencing_disabled) {
+      ++rejected_effects;
       return;
     }
-    ++effects;
+    ++applied_effects;
     Token& last = last_effect[duty];
-    if (token < last && broken.empty())
-      broken = "an effect of " + duty + " crossed another's at " + std::to_string(at);
+    if (token < last && violation.empty())
+      violation = "an effect of " + duty + " crossed another's at " + std::to_string(at);
     last = std::max(last, token);
   }
 
-  ClusterSettings s;
+  ClusterSettings settings;
   const std::uint64_t seed;
   emulator::Simulation sim;
   std::vector<std::unique_ptr<MemoryStore>> stores;
-  FencingChecker fence;
+  FencingChecker fencing_checker;
   std::map<std::string, Token> last_effect;
-  std::map<Token, std::pair<std::size_t, std::uint64_t>> owners;
-  std::size_t effects = 0, turned_away = 0, gained = 0;
-  std::string broken;
-  std::function<void(const std::string&)> listen;  // to what voters say to each other
+  std::map<Token, std::pair<std::size_t, std::uint64_t>> token_owners;
+  std::size_t applied_effects = 0, rejected_effects = 0, gained_leases = 0;
+  std::string violation;
+  std::function<void(const std::string&)> on_raft_message;  // to what voters say to each other
 };
 
 }  // namespace nettlestand::duties::testing
--- a/tests/duties/parts_test.cpp
+++ b/tests/duties/components_test.cpp
@@ -18,13 +18,13 @@
 namespace nettlestand::duties::testing {
 namespace {
 
-struct Folder {
-  Folder() {
+struct TemporaryDirectory {
+  TemporaryDirectory() {
     std::string name = ::testing::TempDir() + "nettlestand_duties_XXXXXX";
     if (mkdtemp(name.data()) == nullptr) throw std::runtime_error("no folder");
     path = name;
   }
-  ~Folder() {
+  ~TemporaryDirectory() {
     std::error_code ignored;
     std::filesystem::remove_all(path, ignored);
   }
@@ -33,7 +33,7 @@
 
 // ------------------------------------------------------------ the wire
 
-Frame hello_of(const std::string& name) {
+Frame make_hello(const std::string& name) {
   Frame f;
   f.kind = Frame::Kind::kHello;
   f.cluster = "c";
@@ -41,7 +41,7 @@
   f.nonce = std::string(kNonceBytes, name[0]);
   return f;
 }
-Frame some_requests() {
+Frame make_requests_frame() {
   Frame f;
   f.kind = Frame::Kind::kRequests;
   Request r;
@@ -53,64 +53,64 @@
   f.requests[1].token = 99;
   return f;
 }
-struct Pair {
-  explicit Pair(Keys a_keys = {}, Keys b_keys = {})
+struct ChannelPair {
+  explicit ChannelPair(Keys a_keys = {}, Keys b_keys = {})
       : a(a_keys, std::string(kNonceBytes, 'a'), kMaxFrameBytes),
         b(b_keys, std::string(kNonceBytes, 'b'), kMaxFrameBytes) {
-    b.append_received(a.seal(hello_of("a")));
-    a.append_received(b.seal(hello_of("b")));
+    b.append_received(a.seal(make_hello("a")));
+    a.append_received(b.seal(make_hello("b")));
   }
   Channel a, b;
 };
 
 TEST(DutiesWire, CarriesAllThatFramesSay) {
-  Pair p;
+  ChannelPair p;
   EXPECT_EQ(p.b.next_frame()->sender.zone, "a");
   ASSERT_TRUE(p.a.next_frame());
-  const std::string bytes = p.a.seal(some_requests());
+  const std::string bytes = p.a.seal(make_requests_frame());
   for (const char c : bytes) p.b.append_received({&c, 1});
   const auto f = p.b.next_frame();
   ASSERT_TRUE(f && f->requests.size() == 2);
-  EXPECT_EQ(f->requests[0].settings, some_requests().requests[0].settings);
+  EXPECT_EQ(f->requests[0].settings, make_requests_frame().requests[0].settings);
   EXPECT_EQ(f->requests[1].token, 99U);
   EXPECT_FALSE(p.b.next_frame());
 }
 
 TEST(DutiesWire, WhatIsChangedDoubledLeftOutOrOfAnotherConnectionIsNotTaken) {
-  const auto refused = [](Pair& p, const std::string& bytes) {
+  const auto expect_rejected = [](ChannelPair& p, const std::string& bytes) {
     p.b.append_received(bytes);
     EXPECT_THROW(p.b.next_frame(), DecodeError);
   };
-  const auto met = [](Pair& p) {
+  const auto exchange_hellos = [](ChannelPair& p) {
     p.a.next_frame();
     p.b.next_frame();
   };
   std::string recorded;
   {
-    Pair p;
-    met(p);
-    recorded = p.a.seal(some_requests());
+    ChannelPair p;
+    exchange_hellos(p);
+    recorded = p.a.seal(make_requests_frame());
     p.b.append_received(recorded);
     EXPECT_TRUE(p.b.next_frame());
-    refused(p, recorded);  // doubled
+    expect_rejected(p, recorded);  // doubled
   }
   for (std::size_t i = 4; i < recorded.size(); i += 7) {
-    Pair p;
-    met(p);
-    std::string changed = p.a.seal(some_requests());
+    ChannelPair p;
+    exchange_hellos(p);
+    std::string changed = p.a.seal(make_requests_frame());
     changed[i] = static_cast<char>(changed[i] ^ 1);
-    refused(p, changed);
+    expect_rejected(p, changed);
   }
   {
-    Pair p;
-    met(p);
-    p.a.seal(some_requests());
-    refused(p, p.a.seal(some_requests()));  // one before it is missing
+    ChannelPair p;
+    exchange_hellos(p);
+    p.a.seal(make_requests_frame());
+    expect_rejected(p, p.a.seal(make_requests_frame()));  // one before it is missing
   }
   {  // of another connection: the nonce is another
-    Pair p;
+    ChannelPair p;
     Channel b({}, std::string(kNonceBytes, 'z'), kMaxFrameBytes);
-    b.append_received(p.a.seal(hello_of("a")));
+    b.append_received(p.a.seal(make_hello("a")));
     ASSERT_TRUE(b.next_frame());
     b.append_received(recorded);
     EXPECT_THROW(b.next_frame(), DecodeError);
@@ -120,7 +120,7 @@
 TEST(DutiesWire, KeysAreNeededAndTwoAreTakenForAChange) {
   const std::string one(32, '1'), two(32, '2');
   const auto good = [](Keys a, Keys b) {
-    Pair p(a, b);
+    ChannelPair p(a, b);
     try {
       return p.b.next_frame().has_value();
     } catch (const DecodeError&) {
@@ -136,7 +136,7 @@
 
 TEST(DutiesWire, BytesThatAreNoneEndTheConnectionAndNothingElse) {
   std::mt19937_64 random(3);
-  const std::string frame = encode(some_requests());
+  const std::string frame = encode(make_requests_frame());
   for (int i = 0; i < 20000; ++i) {
     std::string bytes = frame;
     for (std::uint64_t k = 1 + random() % 4; k > 0; --k)
@@ -147,7 +147,7 @@
     } catch (const DecodeError&) {
     }
   }
-  Pair p;
+  ChannelPair p;
   p.b.append_received(std::string(2000, '\x7f'));
   EXPECT_THROW(p.b.next_frame() && p.b.next_frame(), DecodeError);
 }
@@ -261,16 +261,16 @@
 // ------------------------------------------------------------ a voter's file
 
 // SQLite's own file layer, with the call that is next to fail.
-struct FailingFiles {
-  static FailingFiles& it() {
-    static FailingFiles one;
+struct FailingVfs {
+  static FailingVfs& instance() {
+    static FailingVfs one;
     return one;
   }
-  int fail_in = -1;  // so many calls from now; below 0: none
-  int seen = 0;
+  int fail_after_calls = -1;  // so many calls from now; below 0: none
+  int call_count = 0;
   bool fails() {
-    ++seen;
-    return fail_in >= 0 && fail_in-- == 0;
+    ++call_count;
+    return fail_after_calls >= 0 && fail_after_calls-- == 0;
   }
 
  private:
@@ -279,17 +279,17 @@
     sqlite3_file* real;
   };
   static sqlite3_file* real(sqlite3_file* f) { return reinterpret_cast<File*>(f)->real; }
-  FailingFiles() {
-    below_ = sqlite3_vfs_find(nullptr);
-    vfs_ = *below_;
+  FailingVfs() {
+    default_vfs_ = sqlite3_vfs_find(nullptr);
+    vfs_ = *default_vfs_;
     vfs_.zName = "failing";
-    vfs_.szOsFile = static_cast<int>(sizeof(File)) + below_->szOsFile;
+    vfs_.szOsFile = static_cast<int>(sizeof(File)) + default_vfs_->szOsFile;
     vfs_.xOpen = [](sqlite3_vfs*, const char* name, sqlite3_file* f, int flags, int* out) {
       File* file = reinterpret_cast<File*>(f);
       file->real = reinterpret_cast<sqlite3_file*>(file + 1);
       file->base.pMethods = nullptr;
-      const int code = it().below_->xOpen(it().below_, name, file->real, flags, out);
-      if (code == SQLITE_OK) file->base.pMethods = &it().methods_;
+      const int code = instance().default_vfs_->xOpen(instance().default_vfs_, name, file->real, flags, out);
+      if (code == SQLITE_OK) file->base.pMethods = &instance().methods_;
       return code;
     };
     methods_.iVersion = 1;  // no shared memory: as a voter's file is one process's
@@ -298,17 +298,17 @@
       return real(f)->pMethods->xRead(real(f), to, n, at);
     };
     methods_.xWrite = [](sqlite3_file* f, const void* from, int n, sqlite3_int64 at) {
-      if (it().fails()) {  // half of it is there
+      if (instance().fails()) {  // half of it is there
         real(f)->pMethods->xWrite(real(f), from, n / 2, at);
         return SQLITE_FULL;
       }
       return real(f)->pMethods->xWrite(real(f), from, n, at);
     };
     methods_.xTruncate = [](sqlite3_file* f, sqlite3_int64 size) {
-      return it().fails() ? SQLITE_IOERR_TRUNCATE : real(f)->pMethods->xTruncate(real(f), size);
+      return instance().fails() ? SQLITE_IOERR_TRUNCATE : real(f)->pMethods->xTruncate(real(f), size);
     };
     methods_.xSync = [](sqlite3_file* f, int flags) {
-      return it().fails() ? SQLITE_IOERR_FSYNC : real(f)->pMethods->xSync(real(f), flags);
+      return instance().fails() ? SQLITE_IOERR_FSYNC : real(f)->pMethods->xSync(real(f), flags);
     };
     methods_.xFileSize = [](sqlite3_file* f, sqlite3_int64* size) {
       return real(f)->pMethods->xFileSize(real(f), size);
@@ -327,13 +327,13 @@
     };
     sqlite3_vfs_register(&vfs_, 1);
   }
-  sqlite3_vfs* below_ = nullptr;
+  sqlite3_vfs* default_vfs_ = nullptr;
   sqlite3_vfs vfs_{};
   sqlite3_io_methods methods_{};
 };
 
 // What a store holds, as text.
-std::string held(const StoredState& s) {
+std::string describe_state(const StoredState& s) {
   std::string out =
       "t" + std::to_string(s.term) + "v" + std::to_string(s.vote) + "f" + std::to_string(s.first_index);
   for (const StoredEntry& e : s.entries) out += "|" + std::to_string(e.term) + e.data;
@@ -341,7 +341,7 @@
   return out;
 }
 // The steps of a voter's life; what each leaves is known.
-void step(Store& s, int i, std::uint64_t& last) {
+void apply_step(Store& s, int i, std::uint64_t& last) {
   switch (i % 6) {
     case 0:
       return s.set_term(static_cast<std::uint64_t>(i) + 1);
@@ -363,34 +363,34 @@
 }
 
 TEST(DutiesStore, EachCallOfTheFileLayerMayFailInTurn) {
-  FailingFiles& files = FailingFiles::it();
+  FailingVfs& vfs = FailingVfs::instance();
   int calls = 0;
   for (int fail = 0; fail < 400; ++fail) {
-    Folder folder;
-    files.fail_in = -1;
-    SqliteStore::create(folder.path);
+    TemporaryDirectory directory;
+    vfs.fail_after_calls = -1;
+    SqliteStore::create(directory.path);
     std::string before, after;
     bool failed = false;
     {
-      SqliteStore store(folder.path);
+      SqliteStore store(directory.path);
       store.load();
       MemoryStore model(1);
       std::uint64_t last = 0, model_last = 0;
-      files.fail_in = fail;
+      vfs.fail_after_calls = fail;
       for (int i = 0; i < 18 && !failed; ++i) {
-        before = held(model.load());
-        step(model, i, model_last);
-        after = held(model.load());
+        before = describe_state(model.load());
+        apply_step(model, i, model_last);
+        after = describe_state(model.load());
         try {
-          step(store, i, last);
+          apply_step(store, i, last);
         } catch (const StoreError&) {
           failed = true;
         }
       }
     }
-    files.fail_in = -1;
-    SqliteStore again(folder.path);
-    const std::string now_held = held(again.load());
+    vfs.fail_after_calls = -1;
+    SqliteStore again(directory.path);
+    const std::string now_held = describe_state(again.load());
     // A step is there whole, or not at all; what was answered for is there.
     if (failed) {
       EXPECT_TRUE(now_held == before || now_held == after) << fail << ": " << now_held.substr(0, 200);
@@ -406,18 +406,18 @@
 TEST(DutiesStore, KilledAtAnyMomentItHasWhatItHasAnsweredFor) {
   std::mt19937_64 random(11);
   for (int run = 0; run < 40; ++run) {
-    Folder folder;
-    SqliteStore::create(folder.path);
+    TemporaryDirectory directory;
+    SqliteStore::create(directory.path);
     int ends[2];
     ASSERT_EQ(pipe(ends), 0);
     const pid_t child = fork();
     if (child == 0) {
       close(ends[0]);
-      SqliteStore store(folder.path);
+      SqliteStore store(directory.path);
       store.load();
       std::uint64_t last = 0;
       for (int i = 0; i < 6000; ++i) {
-        step(store, i, last);
+        apply_step(store, i, last);
         if (write(ends[1], &i, sizeof i) != sizeof i) _exit(1);
       }
       _exit(0);
@@ -431,25 +431,25 @@
     close(ends[0]);
     MemoryStore model(1);
     std::uint64_t last = 0;
-    for (int i = 0; i <= done; ++i) step(model, i, last);
-    const std::string answered = held(model.load());
-    step(model, done + 1, last);
-    const std::string next = held(model.load());
-    SqliteStore again(folder.path);
-    const std::string found = held(again.load());
+    for (int i = 0; i <= done; ++i) apply_step(model, i, last);
+    const std::string answered = describe_state(model.load());
+    apply_step(model, done + 1, last);
+    const std::string next = describe_state(model.load());
+    SqliteStore again(directory.path);
+    const std::string found = describe_state(again.load());
     EXPECT_TRUE(found == answered || found == next) << "after " << done << " steps: " << found.substr(0, 200);
   }
 }
 
 TEST(DutiesStore, IsOneProcesssAndOneIdentitys) {
-  Folder folder;
-  EXPECT_THROW(SqliteStore{folder.path}, StoreError);
-  const std::uint64_t id = SqliteStore::create(folder.path);
-  EXPECT_THROW(SqliteStore::create(folder.path), StoreError);
-  SqliteStore store(folder.path);
+  TemporaryDirectory directory;
+  EXPECT_THROW(SqliteStore{directory.path}, StoreError);
+  const std::uint64_t id = SqliteStore::create(directory.path);
+  EXPECT_THROW(SqliteStore::create(directory.path), StoreError);
+  SqliteStore store(directory.path);
   EXPECT_EQ(store.load().id, id);
   try {
-    SqliteStore other(folder.path);
+    SqliteStore other(directory.path);
     other.load();
     FAIL() << "two have it";
   } catch (const StoreError& error) {
@@ -470,13 +470,13 @@
   std::vector<std::string> seen;
   std::mt19937_64 random(5);
   for (int round = 0; round < 6; ++round) {
-    Cluster c(s, static_cast<std::uint64_t>(round) + 1);
-    ASSERT_TRUE(c.start());
-    c.listen = [&](const std::string& bytes) {
+    Cluster cluster(s, static_cast<std::uint64_t>(round) + 1);
+    ASSERT_TRUE(cluster.start());
+    cluster.on_raft_message = [&](const std::string& bytes) {
       if (seen.size() < 500) seen.push_back(bytes);
     };
-    c.run(3);
-    c.listen = {};
+    cluster.run(3);
+    cluster.on_raft_message = {};
     ASSERT_FALSE(seen.empty());
     for (int i = 0; i < 3000; ++i) {
       std::string bytes = seen[random() % seen.size()];
@@ -485,70 +485,72 @@
       if (random() % 8 == 0) bytes.resize(random() % bytes.size());
       // To a follower as if from the leader, from another, and from a stranger.
       const std::size_t to = random() % 3, from = random() % 4;
-      auto* v = c.voter(to);
+      auto* v = cluster.voter(to);
       if (v == nullptr || !v->voter || v->voter->failed()) continue;
       Frame f;
       f.kind = Frame::Kind::kRaft;
       f.bytes = bytes;
       Voter::OutgoingFrames outs;
-      const std::uint64_t id = from < 3 && c.voter(from)->voter ? c.voter(from)->voter->raft().id() : 4242;
-      v->voter->on_voter_frame(100 + c.sim.now(), id, "v" + std::to_string(from % 3), f, outs);
-      if (i % 300 == 0) c.run(0.1);
+      const std::uint64_t id =
+          from < 3 && cluster.voter(from)->voter ? cluster.voter(from)->voter->raft().id() : 4242;
+      v->voter->on_voter_frame(100 + cluster.sim.now(), id, "v" + std::to_string(from % 3), f, outs);
+      if (i % 300 == 0) cluster.run(0.1);
     }
     // Whatever they have made of it, they go on, and duties are held by one at most.
-    for (int i = 0; i < 500 && !c.all_held(); ++i) c.run(0.02);
-    EXPECT_EQ(c.broken, "");
+    for (int i = 0; i < 500 && !cluster.all_held(); ++i) cluster.run(0.02);
+    EXPECT_EQ(cluster.violation, "");
   }
 }
 
 TEST(DutiesAgreement, MessagesThatComeTwiceAndAMinuteLateChangeNothing) {
   ClusterSettings s;
   s.duties = {{"d0", 1, {}, {}, {}}};
-  Cluster c(s, 21);
-  ASSERT_TRUE(c.start());
+  Cluster cluster(s, 21);
+  ASSERT_TRUE(cluster.start());
   std::vector<std::string> seen;
-  c.listen = [&](const std::string& bytes) {
+  cluster.on_raft_message = [&](const std::string& bytes) {
     if (seen.size() < 3000) seen.push_back(bytes);
   };
-  c.run(5);
+  cluster.run(5);
   // Another leader, and another holder, while the old words are under way.
-  c.sim.kill(static_cast<emulator::ActorId>(c.leader()->i));
-  c.run(5);
-  for (emulator::ActorId v = 0; v < 3; ++v) c.sim.start(v);
-  c.run(50);
-  c.listen = {};
-  ASSERT_TRUE(c.all_held());
-  const std::uint64_t term = c.leader()->voter->raft().term();
-  const Token token = c.leader()->voter->raft().table().last_token();
+  cluster.sim.kill(static_cast<emulator::ActorId>(cluster.leader()->index));
+  cluster.run(5);
+  for (emulator::ActorId v = 0; v < 3; ++v) cluster.sim.start(v);
+  cluster.run(50);
+  cluster.on_raft_message = {};
+  ASSERT_TRUE(cluster.all_held());
+  const std::uint64_t term = cluster.leader()->voter->raft().term();
+  const Token token = cluster.leader()->voter->raft().table().last_token();
   for (int twice = 0; twice < 2; ++twice) {
     for (const std::string& bytes : seen) {
       for (std::size_t to = 0; to < 3; ++to) {
         for (std::size_t from = 0; from < 3; ++from) {
-          if (from == to || c.voter(to)->voter->failed()) continue;
+          if (from == to || cluster.voter(to)->voter->failed()) continue;
           Frame f;
           f.kind = Frame::Kind::kRaft;
           f.bytes = bytes;
           Voter::OutgoingFrames outs;
-          c.voter(to)->voter->on_voter_frame(100 + c.sim.now(), c.voter(from)->voter->raft().id(),
-                                             "v" + std::to_string(from), f, outs);
+          cluster.voter(to)->voter->on_voter_frame(100 + cluster.sim.now(),
+                                                   cluster.voter(from)->voter->raft().id(),
+                                                   "v" + std::to_string(from), f, outs);
         }
       }
     }
-    c.run(1);
+    cluster.run(1);
   }
-  for (int i = 0; i < 300 && !c.all_held(); ++i) c.run(0.02);
-  EXPECT_EQ(c.broken, "");
-  EXPECT_TRUE(c.all_held());
-  ASSERT_NE(c.leader(), nullptr);
-  EXPECT_GE(c.leader()->voter->raft().term(), term);
-  EXPECT_GE(c.leader()->voter->raft().table().last_token(), token);
+  for (int i = 0; i < 300 && !cluster.all_held(); ++i) cluster.run(0.02);
+  EXPECT_EQ(cluster.violation, "");
+  EXPECT_TRUE(cluster.all_held());
+  ASSERT_NE(cluster.leader(), nullptr);
+  EXPECT_GE(cluster.leader()->voter->raft().term(), term);
+  EXPECT_GE(cluster.leader()->voter->raft().table().last_token(), token);
 }
 
 // ------------------------------------------------------------ the report's book
 
 TEST(DutiesBook, CountsNothingTwiceAndLosesNothingWhoeverWrites) {
-  Folder folder;
-  const std::string path = folder.path + "/book.db";
+  TemporaryDirectory directory;
+  const std::string path = directory.path + "/book.db";
   std::mt19937_64 random(9);
   std::uint64_t truth = 0;
   std::map<std::string, report::Tally> nodes;
@@ -590,7 +592,7 @@
   }
   EXPECT_EQ(sum, truth);
   EXPECT_NE(report::csv(periods).find("\n60,"), std::string::npos);
-  const std::string picture = folder.path + "/plot.svg";
+  const std::string picture = directory.path + "/plot.svg";
   report::plot(periods, picture);
   EXPECT_GT(std::filesystem::file_size(picture), 1000U);
 }
--- a/tests/duties/probe.cpp
+++ b/tests/duties/effect_writer.cpp
@@ -18,9 +18,9 @@
   using namespace nettlestand::duties;
   const char *duty = std::getenv("NETTLESTAND_DUTY"), *token = std::getenv("NETTLESTAND_TOKEN");
   if (argc < 3 || duty == nullptr || token == nullptr) return 2;
-  const std::string step = argc > 3 ? argv[3] : "";
-  if (step == "fail") return 3;
-  const Token mine = std::strtoull(token, nullptr, 10);
+  const std::string mode = argc > 3 ? argv[3] : "";
+  if (mode == "fail") return 3;
+  const Token own_token = std::strtoull(token, nullptr, 10);
   const auto every = std::chrono::milliseconds(std::atoi(argv[2]));
   const auto now = [] {
     return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
@@ -33,29 +33,29 @@
         "CREATE TABLE IF NOT EXISTS effect(n INTEGER PRIMARY KEY, duty TEXT, token INTEGER, pid INTEGER, at "
         "REAL)");
     sql.run("CREATE TABLE IF NOT EXISTS away(n INTEGER PRIMARY KEY, duty TEXT, token INTEGER, at REAL)");
-    SqliteFencingChecker place(sql);
+    SqliteFencingChecker fencing_checker(sql);
     for (;;) {
-      if (step == "slow") std::this_thread::sleep_for(every / 2);
-      bool landed = false;
+      if (mode == "slow") std::this_thread::sleep_for(every / 2);
+      bool admitted = false;
       sql.transaction([&] {
-        landed = place.admit(duty, mine);
-        if (landed) {
+        admitted = fencing_checker.admit(duty, own_token);
+        if (admitted) {
           Sqlite::Statement(sql, "INSERT INTO effect(duty, token, pid, at) VALUES(?1, ?2, ?3, ?4)")
               .bind(1, std::string(duty))
-              .bind(2, mine)
+              .bind(2, own_token)
               .bind(3, static_cast<std::uint64_t>(getpid()))
               .bind(4, now())
               .run();
         } else {
           Sqlite::Statement(sql, "INSERT INTO away(duty, token, at) VALUES(?1, ?2, ?3)")
               .bind(1, std::string(duty))
-              .bind(2, mine)
+              .bind(2, own_token)
               .bind(3, now())
               .run();
         }
       });
-      if (!landed) return 1;
-      std::this_thread::sleep_for(step == "slow" ? every / 2 : every);
+      if (!admitted) return 1;
+      std::this_thread::sleep_for(mode == "slow" ? every / 2 : every);
     }
   } catch (const std::exception& problem) {
     std::fprintf(stderr, "probe: %s\n", problem.what());
--- a/tests/duties/gateway_test.cpp
+++ b/tests/duties/gateway_test.cpp
@@ -18,8 +18,8 @@
 namespace {
 
 // One voter, on a kernel-given port.
-struct OneVoter {
-  OneVoter() {
+struct SingleVoter {
+  SingleVoter() {
     duties::VoterOptions o;
     o.voter.self = {"v0", 1, "", ""};
     o.voter.raft.election_timeout_ms = 200;
@@ -38,22 +38,23 @@
   std::optional<duties::VoterService> service;
 };
 
-struct Told {
+struct ChangeRecorder {
   void add(const DutyChange& c) {
     const std::lock_guard lock(mutex);
     changes.push_back(c);
     changed.notify_all();
   }
-  bool wait(const std::function<bool(const std::vector<DutyChange>&)>& holds) {
+  bool wait(const std::function<bool(const std::vector<DutyChange>&)>& predicate) {
     std::unique_lock lock(mutex);
-    return changed.wait_for(lock, std::chrono::seconds(20), [&] { return holds(changes); });
+    return changed.wait_for(lock, std::chrono::seconds(20), [&] { return predicate(changes); });
   }
   std::mutex mutex;
   std::condition_variable changed;
   std::vector<DutyChange> changes;
 };
 
-Options options_of(const OneVoter& voter, const std::string& name, Told& told, const std::string& server) {
+Options gateway_options(const SingleVoter& voter, const std::string& name, ChangeRecorder& change_recorder,
+                        const std::string& server) {
   Options o;
   ClassOptions safe;
   safe.name = "safe";
@@ -69,13 +70,13 @@
   DutyOptions duty;
   duty.name = "nightly";
   duty.lease = std::chrono::milliseconds(600);
-  duty.changed = [&told](const DutyChange& c) { told.add(c); };
+  duty.changed = [&change_recorder](const DutyChange& c) { change_recorder.add(c); };
   d.duties = {duty};
   o.duties = d;
   return o;
 }
 
-Response ask(Gateway& g, const std::string& duty) {
+Response submit_and_wait(Gateway& g, const std::string& duty) {
   std::mutex mutex;
   std::condition_variable done;
   std::optional<Response> out;
@@ -93,25 +94,25 @@
 }
 
 TEST(DutiesGateway, GainsIsGuardedSendsItsTokenAndHandsOnAtItsEnd) {
-  OneVoter voter;
+  SingleVoter voter;
   standins::LoopThread thread;
   standins::Recorder recorder;
   standins::ServerSettings settings;
   settings.recorder = &recorder;
   standins::ScriptedServer server(thread.loop(), settings);
-  const std::string at = "127.0.0.1:" + std::to_string(server.port());
-  Told first, second;
+  const std::string server_address = "127.0.0.1:" + std::to_string(server.port());
+  ChangeRecorder first, second;
   Error error;
-  auto a = Gateway::open(options_of(voter, "g0", first, at), error);
+  auto a = Gateway::open(gateway_options(voter, "g0", first, server_address), error);
   ASSERT_TRUE(a) << error.text;
   ASSERT_TRUE(first.wait([](const auto& c) { return !c.empty() && c[0].gained; }));
   const std::uint64_t token = a->duty_token("nightly");
   EXPECT_EQ(token, first.changes[0].token);
-  auto b = Gateway::open(options_of(voter, "g1", second, at), error);
+  auto b = Gateway::open(gateway_options(voter, "g1", second, server_address), error);
   ASSERT_TRUE(b) << error.text;
 
-  EXPECT_EQ(ask(*a, "nightly").outcome, Outcome::kServed);
-  const Response refused = ask(*b, "nightly");
+  EXPECT_EQ(submit_and_wait(*a, "nightly").outcome, Outcome::kServed);
+  const Response refused = submit_and_wait(*b, "nightly");
   EXPECT_EQ(refused.outcome, Outcome::kRefused);
   EXPECT_EQ(refused.error.code, make_error_code(Errc::kNotHeld));
   EXPECT_EQ(b->duty_token("nightly"), 0U);
@@ -134,23 +135,23 @@
 }
 
 TEST(DutiesGateway, AGuardEndsByItselfOnceTheVotersAreGone) {
-  auto voter = std::make_unique<OneVoter>();
-  Told told;
+  auto voter = std::make_unique<SingleVoter>();
+  ChangeRecorder change_recorder;
   Error error;
-  auto g = Gateway::open(options_of(*voter, "g0", told, "127.0.0.1:9"), error);
+  auto g = Gateway::open(gateway_options(*voter, "g0", change_recorder, "127.0.0.1:9"), error);
   ASSERT_TRUE(g) << error.text;
-  ASSERT_TRUE(told.wait([](const auto& c) { return !c.empty(); }));
+  ASSERT_TRUE(change_recorder.wait([](const auto& c) { return !c.empty(); }));
   voter.reset();
-  ASSERT_TRUE(told.wait([](const auto& c) { return c.size() > 1; }));
-  EXPECT_EQ(told.changes[1].why, "lapsed");
+  ASSERT_TRUE(change_recorder.wait([](const auto& c) { return c.size() > 1; }));
+  EXPECT_EQ(change_recorder.changes[1].why, "lapsed");
   EXPECT_EQ(g->duty_token("nightly"), 0U);
 }
 
 TEST(DutiesGateway, AThousandDutiesAreHeldAndHandedOn) {
-  OneVoter voter;
-  Told first, second;
-  const auto open = [&](const std::string& name, Told& told) {
-    Options o = options_of(voter, name, told, "127.0.0.1:9");
+  SingleVoter voter;
+  ChangeRecorder first, second;
+  const auto open_gateway = [&](const std::string& name, ChangeRecorder& change_recorder) {
+    Options o = gateway_options(voter, name, change_recorder, "127.0.0.1:9");
     DutyOptions one = o.duties->duties[0];
     one.lease = std::chrono::seconds(10);
     o.duties->duties.clear();
@@ -163,9 +164,9 @@
     EXPECT_TRUE(out) << error.text;
     return out;
   };
-  auto a = open("g0", first);
+  auto a = open_gateway("g0", first);
   ASSERT_TRUE(first.wait([](const auto& c) { return c.size() == 1000; }));
-  auto b = open("g1", second);
+  auto b = open_gateway("g1", second);
   a->stop();
   ASSERT_TRUE(second.wait([](const auto& c) { return c.size() == 1000; }));
   std::map<std::string, std::uint64_t> tokens;
@@ -176,14 +177,14 @@
 }
 
 TEST(DutiesGateway, OptionsThatCantBeUsedAreNamed) {
-  OneVoter voter;
-  Told told;
+  SingleVoter voter;
+  ChangeRecorder change_recorder;
   Error error;
-  Options o = options_of(voter, "g0", told, "127.0.0.1:9");
+  Options o = gateway_options(voter, "g0", change_recorder, "127.0.0.1:9");
   o.duties->voters[0].address = "nowhere";
   EXPECT_FALSE(Gateway::open(o, error));
   EXPECT_NE(error.text.find("duties.voters[0].address"), std::string::npos) << error.text;
-  o = options_of(voter, "", told, "127.0.0.1:9");
+  o = gateway_options(voter, "", change_recorder, "127.0.0.1:9");
   EXPECT_FALSE(Gateway::open(o, error));
   EXPECT_NE(error.text.find("duties.name"), std::string::npos) << error.text;
 }
--- a/tests/duties/model.h
+++ b/tests/duties/model.h
@@ -15,73 +15,74 @@
 namespace nettlestand::duties::testing {
 
 // What may be built in for the checker to find.
-struct Faults {
-  bool no_fence = false;      // effects take place whatever their token
-  bool wall_clock = false;    // leases by a clock that may be set back
-  bool lost_table = false;    // the voters may lose what they had agreed on
-  bool no_barrier = false;    // who believes that it leads confirms renewals alone
-  bool hasty_leader = false;  // a new leader takes all leases for as old as can be
-  bool no_drift = false;      // holders take clocks for exact
+struct InjectedFaults {
+  bool no_fencing = false;      // effects take place whatever their token
+  bool wall_clock = false;      // leases by a clock that may be set back
+  bool table_loss = false;      // the voters may lose what they had agreed on
+  bool no_barrier = false;      // who believes that it leads confirms renewals alone
+  bool no_leader_wait = false;  // a new leader takes all leases for as old as can be
+  bool drift_ignored = false;   // holders take clocks for exact
 };
 
 struct ModelSettings {
   int nodes = 3;
   std::vector<std::string> duties = {"a", "b"};
-  double length = 1, drift = 0.1;
+  double lease_seconds = 1, drift = 0.1;
   // So that a few steps end between a lease's end by an exact clock and by the slowest one.
   double time_step = 0.26;
-  std::size_t most_messages = 3;
+  std::size_t max_messages = 3;
   bool crashes = true;
-  Faults faults;
+  InjectedFaults faults;
 };
 
 class Model {
  public:
-  explicit Model(const ModelSettings& settings) : s_(settings) {
-    for (int v = 0; v < 2; ++v) voters_.emplace_back(s_, v == 0 ? 1 + s_.drift : 1 - s_.drift);
-    for (const std::string& duty : s_.duties) {
+  explicit Model(const ModelSettings& settings) : settings_(settings) {
+    for (int v = 0; v < 2; ++v)
+      voters_.emplace_back(settings_, v == 0 ? 1 + settings_.drift : 1 - settings_.drift);
+    for (const std::string& duty : settings_.duties) {
       Command c;
       c.kind = Command::Kind::kDefine;
-      c.duty = {duty, s_.length, {}, {}, {}};
+      c.duty = {duty, settings_.lease_seconds, {}, {}, {}};
       log_.push_back(c);
     }
-    for (int n = 0; n < s_.nodes; ++n) nodes_.push_back(node(n, 1));
-    catch_up(0);
-    catch_up(1);
+    for (int n = 0; n < settings_.nodes; ++n) nodes_.push_back(node(n, 1));
+    apply_log(0);
+    apply_log(1);
     LeaseManager::Actions out;
-    voters_[0].keeper.become_leader(local(voters_[0]), out);
-    did(0, out);
-    for (int n = 0; n < s_.nodes; ++n) {
-      LeaseHolder::Actions wants;
-      for (const std::string& duty : s_.duties)
-        nodes_[static_cast<std::size_t>(n)].holding.acquire(local(n), duty, wants);
-      said(n, wants);
+    voters_[0].lease_manager.become_leader(local(voters_[0]), out);
+    handle_manager_actions(0, out);
+    for (int n = 0; n < settings_.nodes; ++n) {
+      LeaseHolder::Actions actions;
+      for (const std::string& duty : settings_.duties)
+        nodes_[static_cast<std::size_t>(n)].lease_holder.acquire(local(n), duty, actions);
+      handle_holder_actions(n, actions);
     }
   }
   Model(const Model& other) { *this = other; }
   Model& operator=(const Model& other) {
-    s_ = other.s_;
-    t_ = other.t_;
+    settings_ = other.settings_;
+    true_time_ = other.true_time_;
     log_ = other.log_;
     voters_ = other.voters_;
-    for (Voter& v : voters_) v.keeper.use_table(v.table);
+    for (VoterState& v : voters_) v.lease_manager.use_table(v.table);
     nodes_ = other.nodes_;
     messages_ = other.messages_;
     leader_ = other.leader_;
-    fence_ = other.fence_;
+    fencing_checker_ = other.fencing_checker_;
     effects_ = other.effects_;
     last_effect_ = other.last_effect_;
-    owners_ = other.owners_;
-    broken_ = other.broken_;
+    token_owners_ = other.token_owners_;
+    violation_ = other.violation_;
     return *this;
   }
 
   // The steps that can be taken now, by number; step() takes one and says what it was.
-  std::size_t steps() const { return all_steps().size(); }
+  std::size_t step_count() const { return all_steps().size(); }
   std::string step(std::size_t which) {
     const Step s = all_steps().at(which);
     std::string name = name_of(s);  // before the step: it names a message by its place
-    take(s);
+    execute(s);
     check();
     return name;
   }
@@ -95,16 +96,16 @@
     }
     return false;
   }
-  std::vector<std::string> names() const {
+  std::vector<std::string> step_names() const {
     std::vector<std::string> out;
     for (const Step& s : all_steps()) out.push_back(name_of(s));
     return out;
   }
   // What is broken, or nothing.
-  const std::string& broken() const { return broken_; }
+  const std::string& violation() const { return violation_; }
   std::optional<int> holder(const std::string& duty) const {
-    for (int n = 0; n < s_.nodes; ++n) {
-      if (nodes_[static_cast<std::size_t>(n)].running && believes(n, duty)) return n;
+    for (int n = 0; n < settings_.nodes; ++n) {
+      if (nodes_[static_cast<std::size_t>(n)].running && holds_locally(n, duty)) return n;
     }
     return std::nullopt;
   }
@@ -112,49 +113,54 @@
   const LeaseTable& table() const { return voters_[static_cast<std::size_t>(leader_)].table; }
 
   // Two worlds that say the same go on alike.
-  std::string key() const {
+  std::string state_key() const {
     std::string out = std::to_string(leader_);
-    for (const Voter& v : voters_) {
+    for (const VoterState& v : voters_) {
       out += "V" + std::to_string(log_.size() - v.applied);
-      v.keeper.describe(local(v), out);
-      for (const Item& i : v.pending)
+      v.lease_manager.describe(local(v), out);
+      for (const PendingItem& i : v.pending)
         out += i.barrier ? "b" + std::to_string(i.barrier) : "c" + encode(i.command);
     }
     out += table_key();
-    for (int n = 0; n < s_.nodes; ++n) {
+    for (int n = 0; n < settings_.nodes; ++n) {
       const NodeState& node = nodes_[static_cast<std::size_t>(n)];
-      out += std::string("N") + (node.running ? "r" : "s") + std::to_string(node.life) + ";";
+      out += std::string("N") + (node.running ? "r" : "s") + std::to_string(node.generation) + ";";
       if (node.effect) out += node.effect->first + std::to_string(node.effect->second);
-      node.holding.describe(local(n), out);
+      node.lease_holder.describe(local(n), out);
     }
-    for (const Message& m : messages_) out += "M" + text(m);
-    for (const std::string& duty : s_.duties) out += "F" + std::to_string(fence_.highest(duty));
+    for (const Message& m : messages_) out += "M" + message_key(m);
+    for (const std::string& duty : settings_.duties)
+      out += "F" + std::to_string(fencing_checker_.highest(duty));
     return out;
   }
 
  private:
-  struct Item {
+  struct PendingItem {
     Command command;
     std::uint64_t barrier = 0;  // or a command
   };
-  struct Voter {
-    Voter(const ModelSettings& s, double rate) : keeper(table, settings(s)), rate(rate) {
-      keeper.use_table(table);
+  struct VoterState {
+    VoterState(const ModelSettings& s, double rate) : lease_manager(table, manager_settings(s)), rate(rate) {
+      lease_manager.use_table(table);
     }
-    Voter(const Voter& o)
-        : table(o.table), keeper(o.keeper), pending(o.pending), applied(o.applied), rate(o.rate) {
-      keeper.use_table(table);
+    VoterState(const VoterState& o)
+        : table(o.table),
+          lease_manager(o.lease_manager),
+          pending(o.pending),
+          applied(o.applied),
+          rate(o.rate) {
+      lease_manager.use_table(table);
     }
-    Voter& operator=(const Voter& o) {
+    VoterState& operator=(const VoterState& o) {
       table = o.table;
-      keeper = o.keeper;
-      keeper.use_table(table);
+      lease_manager = o.lease_manager;
+      lease_manager.use_table(table);
       pending = o.pending;
       applied = o.applied;
       rate = o.rate;
       return *this;
     }
-    static LeaseManagerSettings settings(const ModelSettings& s) {
+    static LeaseManagerSettings manager_settings(const ModelSettings& s) {
       LeaseManagerSettings out;
       out.drift = s.drift;
       out.request_ttl = 10;
@@ -163,25 +169,25 @@
       return out;
     }
     LeaseTable table;
-    LeaseManager keeper;
-    std::vector<Item> pending;
+    LeaseManager lease_manager;
+    std::vector<PendingItem> pending;
     std::size_t applied = 0;
     double rate = 1;
   };
   struct NodeState {
-    explicit NodeState(LeaseHolderSettings s) : holding(std::move(s)) {}
-    LeaseHolder holding;
+    explicit NodeState(LeaseHolderSettings s) : lease_holder(std::move(s)) {}
+    LeaseHolder lease_holder;
     bool running = true;
-    std::uint64_t life = 1;
+    std::uint64_t generation = 1;
     double rate = 1, offset = 0;
     std::optional<std::pair<std::string, Token>> effect;  // checked, and not yet where it takes place
   };
   struct Message {
     int node = 0;  // whose, or to whom
-    std::uint64_t life = 0;
+    std::uint64_t generation = 0;
     std::optional<Request> request;
     std::optional<Reply> reply;
-    bool copied = false;
+    bool duplicated = false;
   };
   struct Step {
     enum class Kind {
@@ -190,57 +196,57 @@
       kDrop,
       kCommit,
       kElect,
-      kElectKeeping,
-      kDepose,
-      kStop,
-      kWake,
+      kElectKeepingPending,
+      kStepDown,
+      kPause,
+      kResume,
       kCrash,
-      kCheck,
-      kLand,
-      kTime,
-      kSetBack,
+      kCheckLease,
+      kApplyEffect,
+      kAdvanceTime,
+      kSetClockBack,
       kLoseTable
     } kind;
     int a = 0, b = 0;
   };
 
-  NodeState node(int n, std::uint64_t life) const {
+  NodeState node(int n, std::uint64_t generation) const {
     LeaseHolderSettings h;
-    h.self = {"n" + std::to_string(n), life, "", ""};
-    h.drift = s_.faults.no_drift ? 0 : s_.drift;
+    h.self = {"n" + std::to_string(n), generation, "", ""};
+    h.drift = settings_.faults.drift_ignored ? 0 : settings_.drift;
     h.request_interval = 0.5;
     h.reply_timeout = 0.4;
     NodeState out(h);
-    out.life = life;
-    out.rate = n % 2 == 0 ? 1 - s_.drift : 1 + s_.drift;
+    out.generation = generation;
+    out.rate = n % 2 == 0 ? 1 - settings_.drift : 1 + settings_.drift;
     return out;
   }
-  double local(const Voter& v) const { return 10 + t_ * v.rate; }
+  double local(const VoterState& v) const { return 10 + true_time_ * v.rate; }
   double local(int n) const {
     const NodeState& node = nodes_[static_cast<std::size_t>(n)];
-    return 10 + t_ * node.rate + node.offset;
+    return 10 + true_time_ * node.rate + node.offset;
   }
-  bool believes(int n, const std::string& duty) const {
-    return nodes_[static_cast<std::size_t>(n)].holding.held_token(local(n), duty).has_value();
+  bool holds_locally(int n, const std::string& duty) const {
+    return nodes_[static_cast<std::size_t>(n)].lease_holder.held_token(local(n), duty).has_value();
   }
 
-  void catch_up(std::size_t v) {
-    Voter& voter = voters_[v];
+  void apply_log(std::size_t v) {
+    VoterState& voter = voters_[v];
     for (; voter.applied < log_.size(); ++voter.applied) {
       const Command& c = log_[voter.applied];
       const CommandResult result = voter.table.apply(c);
       LeaseManager::Actions out;
-      voter.keeper.on_applied(local(voter), c, result, out);
-      did(v, out);
+      voter.lease_manager.on_applied(local(voter), c, result, out);
+      handle_manager_actions(v, out);
     }
   }
-  void did(std::size_t v, LeaseManager::Actions& out) {
+  void handle_manager_actions(std::size_t v, LeaseManager::Actions& out) {
     for (Command& c : out.proposals) voters_[v].pending.push_back({std::move(c), 0});
     for (const std::uint64_t b : out.barriers) {
-      if (s_.faults.no_barrier) {
+      if (settings_.faults.no_barrier) {
         LeaseManager::Actions more;
-        voters_[v].keeper.on_barrier_done(local(voters_[v]), b, more);
-        did(v, more);
+        voters_[v].lease_manager.on_barrier_done(local(voters_[v]), b, more);
+        handle_manager_actions(v, more);
       } else {
         voters_[v].pending.push_back({{}, b});
       }
@@ -249,78 +255,81 @@
       const int n = static_cast<int>(a.to) - 1;
       // Answers that change nothing would only fill the network.
       if (n < 0 || a.reply.kind == Reply::Kind::kWaiting || a.reply.kind == Reply::Kind::kNotLeader) continue;
-      post({n, nodes_[static_cast<std::size_t>(n)].life, std::nullopt, a.reply, false});
+      enqueue_message({n, nodes_[static_cast<std::size_t>(n)].generation, std::nullopt, a.reply, false});
     }
   }
-  void said(int n, LeaseHolder::Actions& out) {
+  void handle_holder_actions(int n, LeaseHolder::Actions& out) {
     for (Request& r : out.requests)
-      post({n, nodes_[static_cast<std::size_t>(n)].life, std::move(r), std::nullopt, false});
+      enqueue_message({n, nodes_[static_cast<std::size_t>(n)].generation, std::move(r), std::nullopt, false});
     for (const LeaseHolder::Change& c : out.changes) {
       if (!c.gained) continue;
       const auto [it, fresh] =
-          owners_.try_emplace(c.token, std::pair(n, nodes_[static_cast<std::size_t>(n)].life));
-      if (!fresh && it->second != std::pair(n, nodes_[static_cast<std::size_t>(n)].life)) {
-        broken_ = "token " + std::to_string(c.token) + " has two holders";
+          token_owners_.try_emplace(c.token, std::pair(n, nodes_[static_cast<std::size_t>(n)].generation));
+      if (!fresh && it->second != std::pair(n, nodes_[static_cast<std::size_t>(n)].generation)) {
+        violation_ = "token " + std::to_string(c.token) + " has two holders";
       }
     }
   }
   // What there is no room for is lost.
-  void post(Message m) {
+  void enqueue_message(Message m) {
     for (const Message& other : messages_) {
-      if (text(other) == text(m)) return;  // said again: one of them is enough, it may be doubled
+      if (message_key(other) == message_key(m))
+        return;  // said again: one of them is enough, it may be doubled
     }
-    if (messages_.size() < s_.most_messages) messages_.push_back(std::move(m));
+    if (messages_.size() < settings_.max_messages) messages_.push_back(std::move(m));
   }
 
   std::vector<Step> all_steps() const {
     std::vector<Step> out;
-    if (!broken_.empty()) return out;
+    if (!violation_.empty()) return out;
     using K = Step::Kind;
     for (std::size_t m = 0; m < messages_.size(); ++m) {
       const int i = static_cast<int>(m);
       const Message& one = messages_[m];
       if (one.request) {
         for (int v = 0; v < 2; ++v) {
-          if (voters_[static_cast<std::size_t>(v)].keeper.is_leader()) out.push_back({K::kDeliver, i, v});
+          if (voters_[static_cast<std::size_t>(v)].lease_manager.is_leader())
+            out.push_back({K::kDeliver, i, v});
         }
       } else if (nodes_[static_cast<std::size_t>(one.node)].running) {
         out.push_back({K::kDeliver, i, 0});
-        if (!one.copied) out.push_back({K::kDuplicate, i, 0});
+        if (!one.duplicated) out.push_back({K::kDuplicate, i, 0});
       }
       out.push_back({K::kDrop, i, 0});
     }
     if (!voters_[static_cast<std::size_t>(leader_)].pending.empty()) out.push_back({K::kCommit, 0, 0});
-    if (!voters_[static_cast<std::size_t>(1 - leader_)].keeper.is_leader()) {
+    if (!voters_[static_cast<std::size_t>(1 - leader_)].lease_manager.is_leader()) {
       out.push_back({K::kElect, 0, 0});
       if (!voters_[static_cast<std::size_t>(leader_)].pending.empty())
-        out.push_back({K::kElectKeeping, 0, 0});
+        out.push_back({K::kElectKeepingPending, 0, 0});
     } else {
-      out.push_back({K::kDepose, 0, 0});
+      out.push_back({K::kStepDown, 0, 0});
     }
-    for (int n = 0; n < s_.nodes; ++n) {
+    for (int n = 0; n < settings_.nodes; ++n) {
       const NodeState& node = nodes_[static_cast<std::size_t>(n)];
       if (node.running) {
         if (node.effect) {
-          out.push_back({K::kLand, n, 0});
+          out.push_back({K::kApplyEffect, n, 0});
         } else {
-          for (std::size_t d = 0; d < s_.duties.size(); ++d) {
-            if (believes(n, s_.duties[d])) out.push_back({K::kCheck, n, static_cast<int>(d)});
+          for (std::size_t d = 0; d < settings_.duties.size(); ++d) {
+            if (holds_locally(n, settings_.duties[d]))
+              out.push_back({K::kCheckLease, n, static_cast<int>(d)});
           }
         }
-        out.push_back({K::kStop, n, 0});
-        if (s_.crashes) out.push_back({K::kCrash, n, 0});
-        if (s_.faults.wall_clock && node.offset == 0) out.push_back({K::kSetBack, n, 0});
+        out.push_back({K::kPause, n, 0});
+        if (settings_.crashes) out.push_back({K::kCrash, n, 0});
+        if (settings_.faults.wall_clock && node.offset == 0) out.push_back({K::kSetClockBack, n, 0});
       } else {
-        out.push_back({K::kWake, n, 0});
+        out.push_back({K::kResume, n, 0});
       }
     }
-    out.push_back({K::kTime, 0, 0});
-    if (s_.faults.lost_table) out.push_back({K::kLoseTable, 0, 0});
+    out.push_back({K::kAdvanceTime, 0, 0});
+    if (settings_.faults.table_loss) out.push_back({K::kLoseTable, 0, 0});
     return out;
   }
 
-  static std::string text(const Message& m) {
-    std::string out = std::to_string(m.node) + "." + std::to_string(m.life);
+  static std::string message_key(const Message& m) {
+    std::string out = std::to_string(m.node) + "." + std::to_string(m.generation);
     if (m.request) {
       out += "?" + std::to_string(static_cast<int>(m.request->kind)) + m.request->duty +
              std::to_string(m.request->token);
@@ -334,7 +343,7 @@
     return out;
   }
   std::string name_of(const Step& s) const {
-    const auto message = [&] { return text(messages_[static_cast<std::size_t>(s.a)]); };
+    const auto message = [&] { return message_key(messages_[static_cast<std::size_t>(s.a)]); };
     const std::string n = "n" + std::to_string(s.a);
     switch (s.kind) {
       case Step::Kind::kDeliver:
@@ -348,50 +357,50 @@
         return "commit";
       case Step::Kind::kElect:
         return "elect";
-      case Step::Kind::kElectKeeping:
+      case Step::Kind::kElectKeepingPending:
         return "elect, keeping what was under way";
-      case Step::Kind::kDepose:
+      case Step::Kind::kStepDown:
         return "depose";
-      case Step::Kind::kStop:
+      case Step::Kind::kPause:
         return "stop " + n;
-      case Step::Kind::kWake:
+      case Step::Kind::kResume:
         return "wake " + n;
       case Step::Kind::kCrash:
         return "crash " + n;
-      case Step::Kind::kCheck:
-        return "check " + n + " " + s_.duties[static_cast<std::size_t>(s.b)];
-      case Step::Kind::kLand:
+      case Step::Kind::kCheckLease:
+        return "check " + n + " " + settings_.duties[static_cast<std::size_t>(s.b)];
+      case Step::Kind::kApplyEffect:
         return "land " + n;
-      case Step::Kind::kTime:
+      case Step::Kind::kAdvanceTime:
         return "time";
-      case Step::Kind::kSetBack:
+      case Step::Kind::kSetClockBack:
         return "set back " + n;
       default:
         return "lose table";
     }
   }
 
-  void take(const Step& s) {
+  void execute(const Step& s) {
     const auto a = static_cast<std::size_t>(s.a);
     switch (s.kind) {
       case Step::Kind::kDeliver:
       case Step::Kind::kDuplicate: {
         Message m = messages_[a];
         if (s.kind == Step::Kind::kDuplicate) {
-          messages_[a].copied = true;
+          messages_[a].duplicated = true;
         } else {
           messages_.erase(messages_.begin() + static_cast<std::ptrdiff_t>(a));
         }
         if (m.request) {
           const auto v = static_cast<std::size_t>(s.b);
           LeaseManager::Actions out;
-          voters_[v].keeper.on_request(local(voters_[v]), static_cast<LeaseManager::ClientId>(m.node) + 1,
-                                       *m.request, out);
-          did(v, out);
-        } else if (m.life == nodes_[static_cast<std::size_t>(m.node)].life) {
+          voters_[v].lease_manager.on_request(
+              local(voters_[v]), static_cast<LeaseManager::ClientId>(m.node) + 1, *m.request, out);
+          handle_manager_actions(v, out);
+        } else if (m.generation == nodes_[static_cast<std::size_t>(m.node)].generation) {
           LeaseHolder::Actions out;
-          nodes_[static_cast<std::size_t>(m.node)].holding.on_reply(local(m.node), *m.reply, out);
-          said(m.node, out);
+          nodes_[static_cast<std::size_t>(m.node)].lease_holder.on_reply(local(m.node), *m.reply, out);
+          handle_holder_actions(m.node, out);
         }
         break;
       }
@@ -400,23 +409,23 @@
         break;
       case Step::Kind::kCommit: {
         const auto v = static_cast<std::size_t>(leader_);
-        const Item item = voters_[v].pending.front();
+        const PendingItem item = voters_[v].pending.front();
         voters_[v].pending.erase(voters_[v].pending.begin());
         if (item.barrier != 0) {
           LeaseManager::Actions out;
-          voters_[v].keeper.on_barrier_done(local(voters_[v]), item.barrier, out);
-          did(v, out);
+          voters_[v].lease_manager.on_barrier_done(local(voters_[v]), item.barrier, out);
+          handle_manager_actions(v, out);
         } else {
           log_.push_back(item.command);
-          catch_up(v);
+          apply_log(v);
         }
         break;
       }
       case Step::Kind::kElect:
-      case Step::Kind::kElectKeeping: {
+      case Step::Kind::kElectKeepingPending: {
         const auto old = static_cast<std::size_t>(leader_);
-        if (s.kind == Step::Kind::kElectKeeping) {
-          for (const Item& i : voters_[old].pending) {
+        if (s.kind == Step::Kind::kElectKeepingPending) {
+          for (const PendingItem& i : voters_[old].pending) {
             if (i.barrier == 0) log_.push_back(i.command);
           }
         }
@@ -424,70 +433,72 @@
         leader_ = 1 - leader_;
         const auto v = static_cast<std::size_t>(leader_);
         voters_[v].pending.clear();
-        catch_up(v);
+        apply_log(v);
         LeaseManager::Actions out;
-        voters_[v].keeper.become_leader(local(voters_[v]) - (s_.faults.hasty_leader ? 100 : 0), out);
-        did(v, out);
+        voters_[v].lease_manager.become_leader(
+            local(voters_[v]) - (settings_.faults.no_leader_wait ? 100 : 0), out);
+        handle_manager_actions(v, out);
         break;
       }
-      case Step::Kind::kDepose: {
+      case Step::Kind::kStepDown: {
         const auto v = static_cast<std::size_t>(1 - leader_);
         LeaseManager::Actions out;
-        voters_[v].keeper.become_follower(out);
+        voters_[v].lease_manager.become_follower(out);
         voters_[v].pending.clear();
-        did(v, out);
-        catch_up(v);
+        handle_manager_actions(v, out);
+        apply_log(v);
         break;
       }
-      case Step::Kind::kStop:
+      case Step::Kind::kPause:
         nodes_[a].running = false;
         break;
-      case Step::Kind::kWake: {
+      case Step::Kind::kResume: {
         nodes_[a].running = true;  // and its next step may come before it has looked at its clock
         break;
       }
       case Step::Kind::kCrash: {
-        const std::uint64_t life = nodes_[a].life + 1;
+        const std::uint64_t generation = nodes_[a].generation + 1;
         const double offset = nodes_[a].offset;
-        nodes_[a] = node(s.a, life);
+        nodes_[a] = node(s.a, generation);
         nodes_[a].offset = offset;
         LeaseHolder::Actions out;
-        for (const std::string& duty : s_.duties) nodes_[a].holding.acquire(local(s.a), duty, out);
-        said(s.a, out);
+        for (const std::string& duty : settings_.duties)
+          nodes_[a].lease_holder.acquire(local(s.a), duty, out);
+        handle_holder_actions(s.a, out);
         break;
       }
-      case Step::Kind::kCheck: {
-        const std::string& duty = s_.duties[static_cast<std::size_t>(s.b)];
-        nodes_[a].effect = {duty, *nodes_[a].holding.held_token(local(s.a), duty)};
+      case Step::Kind::kCheckLease: {
+        const std::string& duty = settings_.duties[static_cast<std::size_t>(s.b)];
+        nodes_[a].effect = {duty, *nodes_[a].lease_holder.held_token(local(s.a), duty)};
         break;
       }
-      case Step::Kind::kLand: {
+      case Step::Kind::kApplyEffect: {
         const auto [duty, token] = *nodes_[a].effect;
         nodes_[a].effect.reset();
-        if (!fence_.admit(duty, token) && !s_.faults.no_fence) break;
+        if (!fencing_checker_.admit(duty, token) && !settings_.faults.no_fencing) break;
         auto& last = last_effect_[duty];
         if (token < last)
-          broken_ = "an effect of " + duty + " by token " + std::to_string(token) + " came after one by " +
-                    std::to_string(last);
+          violation_ = "an effect of " + duty + " by token " + std::to_string(token) + " came after one by " +
+                       std::to_string(last);
         last = std::max(last, token);
         effects_.push_back(token);
         break;
       }
-      case Step::Kind::kTime:
-        t_ += s_.time_step;
-        for (int n = 0; n < s_.nodes; ++n) {
+      case Step::Kind::kAdvanceTime:
+        true_time_ += settings_.time_step;
+        for (int n = 0; n < settings_.nodes; ++n) {
           if (!nodes_[static_cast<std::size_t>(n)].running) continue;
           LeaseHolder::Actions out;
-          nodes_[static_cast<std::size_t>(n)].holding.tick(local(n), out);
-          said(n, out);
+          nodes_[static_cast<std::size_t>(n)].lease_holder.tick(local(n), out);
+          handle_holder_actions(n, out);
         }
         for (std::size_t v = 0; v < 2; ++v) {
           LeaseManager::Actions out;
-          voters_[v].keeper.tick(local(voters_[v]), out);
-          did(v, out);
+          voters_[v].lease_manager.tick(local(voters_[v]), out);
+          handle_manager_actions(v, out);
         }
         break;
-      case Step::Kind::kSetBack:
+      case Step::Kind::kSetClockBack:
         nodes_[a].offset = -2;
         break;
       case Step::Kind::kLoseTable: {
@@ -496,40 +507,40 @@
           if (c.kind == Command::Kind::kDefine) defined.push_back(c);
         }
         log_ = defined;
-        for (Voter& v : voters_) {
+        for (VoterState& v : voters_) {
           LeaseManager::Actions out;
-          v.keeper.become_follower(out);
+          v.lease_manager.become_follower(out);
           v.table = LeaseTable();
           v.applied = 0;
           v.pending.clear();
         }
-        catch_up(static_cast<std::size_t>(leader_));
-        Voter& v = voters_[static_cast<std::size_t>(leader_)];
+        apply_log(static_cast<std::size_t>(leader_));
+        VoterState& v = voters_[static_cast<std::size_t>(leader_)];
         LeaseManager::Actions out;
-        v.keeper.become_leader(local(v), out);
-        did(static_cast<std::size_t>(leader_), out);
+        v.lease_manager.become_leader(local(v), out);
+        handle_manager_actions(static_cast<std::size_t>(leader_), out);
         break;
       }
     }
   }
 
   void check() {
-    if (!broken_.empty()) return;
+    if (!violation_.empty()) return;
     const LeaseTable& agreed = voters_[static_cast<std::size_t>(leader_)].table;
-    for (const std::string& duty : s_.duties) {
+    for (const std::string& duty : settings_.duties) {
       std::optional<int> first;
-      for (int n = 0; n < s_.nodes; ++n) {
-        if (!nodes_[static_cast<std::size_t>(n)].running || !believes(n, duty)) continue;
+      for (int n = 0; n < settings_.nodes; ++n) {
+        if (!nodes_[static_cast<std::size_t>(n)].running || !holds_locally(n, duty)) continue;
         if (first) {
-          broken_ = "n" + std::to_string(*first) + " and n" + std::to_string(n) + " both hold " + duty;
+          violation_ = "n" + std::to_string(*first) + " and n" + std::to_string(n) + " both hold " + duty;
           return;
         }
         first = n;
         const Lease* lease = agreed.find(duty);
-        const auto token = nodes_[static_cast<std::size_t>(n)].holding.held_token(local(n), duty);
-        if (!s_.faults.lost_table && (lease == nullptr || !lease->holder || lease->token != *token)) {
-          broken_ = "n" + std::to_string(n) + " holds " + duty + " by token " + std::to_string(*token) +
-                    ", which the voters have taken from it";
+        const auto token = nodes_[static_cast<std::size_t>(n)].lease_holder.held_token(local(n), duty);
+        if (!settings_.faults.table_loss && (lease == nullptr || !lease->holder || lease->token != *token)) {
+          violation_ = "n" + std::to_string(n) + " holds " + duty + " by token " + std::to_string(*token) +
+                       ", which the voters have taken from it";
           return;
         }
       }
@@ -545,18 +556,18 @@
     return out + std::to_string(table().last_token());
   }
 
-  ModelSettings s_;
-  double t_ = 0;  // true time, s
+  ModelSettings settings_;
+  double true_time_ = 0;  // true time, s
   std::vector<Command> log_;
-  std::vector<Voter> voters_;
+  std::vector<VoterState> voters_;
   std::vector<NodeState> nodes_;
   std::vector<Message> messages_;
   int leader_ = 0;  // who can commit
-  FencingChecker fence_;
+  FencingChecker fencing_checker_;
   std::map<std::string, Token> last_effect_;
   std::vector<Token> effects_;
-  std::map<Token, std::pair<int, std::uint64_t>> owners_;
-  std::string broken_;
+  std::map<Token, std::pair<int, std::uint64_t>> token_owners_;
+  std::string violation_;
 };
 
 }  // namespace nettlestand::duties::testing
--- a/tests/duties/world.h
+++ b/tests/duties/process_setup.h
@@ -19,27 +19,27 @@
 
 namespace nettlestand::standins::testing {
 
-inline constexpr double kLease = 1;  // s; of the tests' duties
+inline constexpr double kLeaseSeconds = 1;  // s; of the tests' duties
 
-struct DutiesWorld {
+struct DutiesSetup {
   // What nodes share outside of the world: where effects land.
-  struct Shared {
-    Shared() {
+  struct SharedDirectory {
+    SharedDirectory() {
       std::string name = ::testing::TempDir() + "nettlestand_place_XXXXXX";
       if (mkdtemp(name.data()) == nullptr) throw std::runtime_error("no folder");
       path = name;
     }
-    ~Shared() {
+    ~SharedDirectory() {
       std::error_code ignored;
       std::filesystem::remove_all(path, ignored);
     }
     std::string path;
-  } shared;
+  } shared_directory;
   WorldSettings settings;
 
   // `count` duties with the probe; `more`: further sections.
-  DutiesWorld(std::size_t nodes, std::size_t voters, std::size_t count, const std::string& step = "",
-              const std::string& more = "", const std::string& of_duty = "") {
+  DutiesSetup(std::size_t nodes, std::size_t voters, std::size_t count, const std::string& program_mode = "",
+              const std::string& extra_sections = "", const std::string& extra_duty_settings = "") {
     settings = small_world(nodes, 2);
     settings.peers = true;
     settings.voters = voters;
@@ -53,12 +53,12 @@
         "500\n"
         "programs = true\n";
     for (std::size_t i = 0; i < count; ++i) {
-      settings.duties += "[[duty]]\nname = \"d" + std::to_string(i) +
-                         "\"\nlease_ms = 1000\nstop_ms = 300\ncommand = [\"" + std::string(PROBE) + "\", \"" +
-                         shared.path + "/place.db\", \"20\"" + (step.empty() ? "" : ", \"" + step + "\"") +
-                         "]\n" + of_duty;
+      settings.duties +=
+          "[[duty]]\nname = \"d" + std::to_string(i) + "\"\nlease_ms = 1000\nstop_ms = 300\ncommand = [\"" +
+          std::string(EFFECT_WRITER) + "\", \"" + shared_directory.path + "/place.db\", \"20\"" +
+          (program_mode.empty() ? "" : ", \"" + program_mode + "\"") + "]\n" + extra_duty_settings;
     }
-    settings.duties += more;
+    settings.duties += extra_sections;
     settings.before_voting = [](std::size_t i, const std::string& folder) {
       duties::SqliteStore::create(folder);
       if (i != 0) return;
@@ -68,63 +68,64 @@
   }
 };
 
-inline std::string control(ProcessWorld& w, std::size_t i, const std::string& command) {
+inline std::string run_control_command(ProcessWorld& world, std::size_t i, const std::string& command) {
   try {
-    return ask_control(w.state(i).path() + "/control", command);
+    return ask_control(world.state(i).path() + "/control", command);
   } catch (const std::exception& problem) {
     return std::string("error: ") + problem.what();
   }
 }
 
 // Adds the voters behind the first one. Throws where that fails.
-inline void add_voters(ProcessWorld& w, std::size_t voters) {
+inline void add_voters(ProcessWorld& world, std::size_t voters) {
   for (std::size_t i = 1; i < voters; ++i) {
-    std::string said;
+    std::string reply;
     const auto added = [&] {
-      said = control(w, 0, "duties voters add n" + std::to_string(i));
-      return said.rfind("error", 0) != 0;
+      reply = run_control_command(world, 0, "duties voters add n" + std::to_string(i));
+      return reply.rfind("error", 0) != 0;
     };
     if (!ProcessWorld::until(added, 20))
-      throw std::runtime_error("a voter can't be added: " + said + w.node(0).log() + w.node(i).log());
+      throw std::runtime_error("a voter can't be added: " + reply + world.node(0).log() +
+                               world.node(i).log());
   }
 }
 
 // Who holds each duty, as the asked node's way to the leader has it; empty: nobody, or no leader answered.
-inline std::map<std::string, std::string> holders(ProcessWorld& w, std::size_t asked) {
+inline std::map<std::string, std::string> duty_holders(ProcessWorld& world, std::size_t asked) {
   std::map<std::string, std::string> out;
-  const std::string said = control(w, asked, "duties");
-  if (said.rfind("error", 0) == 0) return out;
-  const rapidjson::Document in = quinceusher::json::parse(said);
-  for (const auto& d : in["duties"].GetArray()) out[d["duty"].GetString()] = d["holder"].GetString();
+  const std::string reply = run_control_command(world, asked, "duties");
+  if (reply.rfind("error", 0) == 0) return out;
+  const rapidjson::Document in = quinceusher::json::parse(reply);
+  for (const auto& duty : in["duties"].GetArray()) out[duty["duty"].GetString()] = duty["holder"].GetString();
   return out;
 }
 
 // What one node believes that it holds.
-inline std::map<std::string, std::uint64_t> held_by(ProcessWorld& w, std::size_t i) {
+inline std::map<std::string, std::uint64_t> held_tokens(ProcessWorld& world, std::size_t i) {
   std::map<std::string, std::uint64_t> out;
-  const std::string said = control(w, i, "duties own");
-  if (said.rfind("error", 0) == 0) return out;
-  const rapidjson::Document in = quinceusher::json::parse(said);
-  for (const auto& d : in["duties"].GetArray()) {
-    if (d["held"].GetBool()) out[d["duty"].GetString()] = d["token"].GetUint64();
+  const std::string reply = run_control_command(world, i, "duties own");
+  if (reply.rfind("error", 0) == 0) return out;
+  const rapidjson::Document in = quinceusher::json::parse(reply);
+  for (const auto& duty : in["duties"].GetArray()) {
+    if (duty["held"].GetBool()) out[duty["duty"].GetString()] = duty["token"].GetUint64();
   }
   return out;
 }
 
-struct Effect {
+struct EffectRecord {
   std::string duty;
   std::uint64_t token = 0, pid = 0;
   double at = 0;
 };
-inline std::vector<Effect> effects(const DutiesWorld& d, const char* table = "effect") {
-  std::vector<Effect> out;
-  const std::string path = d.shared.path + "/place.db";
+inline std::vector<EffectRecord> read_effects(const DutiesSetup& setup, const char* table = "effect") {
+  std::vector<EffectRecord> out;
+  const std::string path = setup.shared_directory.path + "/place.db";
   if (!std::filesystem::exists(path)) return out;
   duties::Sqlite sql(path, false, 10000);
-  const bool away = std::string(table) == "away";
+  const bool rejected = std::string(table) == "away";
   try {
-    duties::Sqlite::Statement all(sql, away ? "SELECT duty, token, 0, at FROM away ORDER BY n"
-                                            : "SELECT duty, token, pid, at FROM effect ORDER BY n");
+    duties::Sqlite::Statement all(sql, rejected ? "SELECT duty, token, 0, at FROM away ORDER BY n"
+                                                : "SELECT duty, token, pid, at FROM effect ORDER BY n");
     while (all.step())
       out.push_back({all.column_bytes(0), all.column_uint64(1), all.column_uint64(2), all.column_double(3)});
   } catch (const duties::StoreError&) {  // not made yet
@@ -135,13 +136,13 @@
 // The rules over the place and all logs: tokens only grow where effects land, each is one process's, each is
 // gained by one node, and from `from` on no duty is without an effect for longer than `most` s, until
 // `until`.
-inline std::string broken_duties(const DutiesWorld& d, const Timeline& t, double most = 0, double from = 0,
-                                 double until = 0) {
+inline std::string duty_violations(const DutiesSetup& setup, const Timeline& timeline,
+                                   double max_gap_seconds = 0, double from = 0, double until = 0) {
   std::string out;
   std::map<std::string, std::uint64_t> last;
   std::map<std::uint64_t, std::uint64_t> pid;
-  std::map<std::string, double> seen;
-  for (const Effect& e : effects(d)) {
+  std::map<std::string, double> last_effect_at;
+  for (const EffectRecord& e : read_effects(setup)) {
     if (e.token < last[e.duty])
       out += "an effect of " + e.duty + " by token " + std::to_string(e.token) + " came after one by " +
              std::to_string(last[e.duty]) + "\n";
@@ -149,15 +150,15 @@
     const auto [it, fresh] = pid.try_emplace(e.token, e.pid);
     if (!fresh && it->second != e.pid)
       out += "token " + std::to_string(e.token) + " was used by two processes\n";
-    if (most > 0 && e.at > from && e.at < until) {
-      const double before = std::max(from, seen.contains(e.duty) ? seen[e.duty] : from);
-      if (e.at - before > most)
+    if (max_gap_seconds > 0 && e.at > from && e.at < until) {
+      const double before = std::max(from, last_effect_at.contains(e.duty) ? last_effect_at[e.duty] : from);
+      if (e.at - before > max_gap_seconds)
         out += e.duty + " was without an effect for " + std::to_string(e.at - before) + " s\n";
     }
-    seen[e.duty] = e.at;
+    last_effect_at[e.duty] = e.at;
   }
   std::map<std::string, std::string> gained;  // by token: who
-  for (const TimelineEntry& e : t.entries) {
+  for (const TimelineEntry& e : timeline.entries) {
     if (e.kind != "log" || e.what != "duties.gained") continue;
     const auto token = e.fields.find("token");
     if (token == e.fields.end()) continue;
