--- a/src/node/batch_request_handler.cpp
+++ b/src/node/batch_request_handler.cpp
@@ -19,13 +19,13 @@
 
 constexpr std::size_t kMaxItems = 200;
 constexpr Millis kSubmitTimeoutMs = BatchRequestHandler::kMaxCallMs;
-constexpr Millis kReadTimeoutMs = 1200;  // beyond the wait that the client allows
-constexpr Millis kReplyTimeoutMs = 700;  // beyond the store's own wait, before the call is sent again
+constexpr Millis kReadTimeoutMs = 1200;  // in addition to the wait that the client allows
+constexpr Millis kReplyTimeoutMs = 700;  // after the store's own wait, until the call is sent again
 constexpr Millis kSubmitReplyTimeoutMs = 900;
 constexpr Millis kRetryDelayMs = 40;
 constexpr Millis kMaxWaitMs = 10000;
-constexpr std::uint32_t kNotPrimary = 0;      // status of a store that can't answer and has kept nothing
-constexpr std::uint32_t kOutcomeUnknown = 1;  // that may have kept it: another store knows
+constexpr std::uint32_t kNotPrimary = 0;      // reply status: the store can't answer and has stored nothing
+constexpr std::uint32_t kOutcomeUnknown = 1;  // the store may have stored it; only another one can tell
 const HeaderList kJson = {{"Content-Type", "application/json"}};
 
 absl::Status invalid_job(const char* what) { return absl::InvalidArgumentError(what); }
@@ -49,13 +49,13 @@
   };
   std::string encoded;
   if (!text("id", item.id) || item.id.empty() || !has_no_line_break(item.id))
-    return invalid_job("an item has no id");
+    return invalid_job("an item has no valid id");
   if (!text("path", item.path) || !item.path.starts_with('/') || !has_no_line_break(item.path) ||
       item.path.find(' ') != std::string::npos) {
-    return invalid_job("an item has no path");
+    return invalid_job("an item has no valid path");
   }
   text("body", encoded);
-  if (!absl::Base64Unescape(encoded, &item.body)) return invalid_job("a body is not base64");
+  if (!absl::Base64Unescape(encoded, &item.body)) return invalid_job("an item's body is not valid base64");
   if (const auto tokens = json.FindMember("tokens"); tokens != json.MemberEnd()) {
     if (!tokens->value.IsNumber() || tokens->value.GetDouble() < 0)
       return invalid_job("tokens is not a number");
@@ -64,11 +64,11 @@
   if (const auto headers = json.FindMember("headers"); headers != json.MemberEnd()) {
     if (!headers->value.IsObject()) return invalid_job("headers is not an object");
     for (const auto& header : headers->value.GetObject()) {
-      if (!header.value.IsString()) return invalid_job("a header is not a text");
+      if (!header.value.IsString()) return invalid_job("a header value is not a string");
       const std::string name(header.name.GetString(), header.name.GetStringLength());
       const std::string value(header.value.GetString(), header.value.GetStringLength());
       if (!has_no_line_break(name) || !has_no_line_break(value) || name.find(':') != std::string::npos) {
-        return invalid_job("a header can't be sent");
+        return invalid_job("a header name or value has characters that are not allowed");
       }
       item.header_names.push_back(name);
       item.header_values.push_back(value);
@@ -82,18 +82,19 @@
 absl::StatusOr<JobSpec> parse_job(std::string_view json) {
   rapidjson::Document document;
   document.Parse<rapidjson::kParseIterativeFlag>(json.data(), json.size());
-  if (document.HasParseError() || !document.IsObject()) return invalid_job("no whole JSON");
+  if (document.HasParseError() || !document.IsObject())
+    return invalid_job("the body is not a complete JSON object");
   const auto requests = document.FindMember("requests");
   if (requests == document.MemberEnd() || !requests->value.IsArray())
-    return invalid_job("requests is not a list");
+    return invalid_job("requests is not an array");
   if (requests->value.Empty() || requests->value.Size() > kMaxItems)
-    return invalid_job("too few or too many items");
+    return invalid_job("requests is empty or has too many items");
   JobSpec spec{};
   std::set<std::string> ids;
   for (const auto& request : requests->value.GetArray()) {
     auto item = parse_item(request);
     if (!item.ok()) return item.status();
-    if (!ids.insert(item->id).second) return invalid_job("two items share an id");
+    if (!ids.insert(item->id).second) return invalid_job("two items have the same id");
     set_digest(*item);
     spec.items.push_back(*std::move(item));
   }
@@ -137,8 +138,8 @@
   const HttpRequest& request = exchange->request;
   if (digest_of(request.body) != request.body_digest) {
     body_check_.on_difference(BodyStep::kSubmission);
-    NETTLESTAND_WARNING("a body is not its client's id=" << request.header("X-Request-Id")
-                                                         << " step=" << name_of(BodyStep::kSubmission));
+    NETTLESTAND_WARNING("request body digest mismatch id=" << request.header("X-Request-Id")
+                                                           << " step=" << name_of(BodyStep::kSubmission));
     HeaderList headers = kJson;
     headers.emplace_back("Retry-After", "0.5");
     co_return co_await exchange->respond(503, std::move(headers), "{}");
@@ -160,12 +161,13 @@
   const PrimaryReply reply = co_await call_primary(std::move(call), steady_now() + kSubmitTimeoutMs);
   HeaderList headers = kJson;
   int status = static_cast<int>(reply.status);
-  // A refusal promises that nothing of it runs: not where a store may have kept it.
+  // 429 and 503 promise that no item will run. That can't be promised if a store may have stored the job.
   const bool refused = status == 0 || status == 429 || status == 503;
   if (refused && reply.may_be_stored) status = 504;
   if (status == 0) status = 503;
   if (status == 429 || status == 503) headers.emplace_back("Retry-After", "0.5");
-  // Made ahead: GCC 12 destroys a conditional's temporary twice inside an awaited expression.
+  // A variable of its own, because GCC 12 destroys the temporary of a conditional expression twice if it is
+  // inside an awaited expression.
   std::string body = reply.body;
   if (body.empty()) body = "{}";
   co_await exchange->respond(status, std::move(headers), std::move(body));
--- a/src/node/batch_request_handler.h
+++ b/src/node/batch_request_handler.h
@@ -1,5 +1,5 @@
-// Calls on batch jobs at an edge node: checked, turned into messages, and passed to the primary of the
-// tenant's shard.
+// Handles clients' requests about batch jobs at an edge node: validates them and sends them as messages to
+// the store that is the primary of the tenant's shard.
 #pragma once
 
 #include <absl/status/statusor.h>
@@ -17,37 +17,41 @@
 
 namespace nettlestand::tier {
 
-// The items of a submission's body; an InvalidArgumentError says what is wrong.
+// Parses the JSON body of a submission into its items. An InvalidArgumentError says what is wrong.
 absl::StatusOr<JobSpec> parse_job(std::string_view json);
 
+// Requests are retried until a store answers or the time for them is over.
 class BatchRequestHandler {
  public:
-  // A submission or an end is answered within this time.
+  // Time within which a submission, or a request to end a job, is answered.
   static constexpr Millis kMaxCallMs = 2600;
 
   BatchRequestHandler(boost::asio::io_context& io, Messenger& messenger, ControlClient& control_client,
                       std::uint64_t first_call)
       : io_(io), messenger_(messenger), control_client_(control_client), pending_calls_(io, first_call) {}
 
+  // Submits the job in the request's body for `tenant`.
   boost::asio::awaitable<void> submit(std::shared_ptr<HttpExchange> exchange, const Route& route,
                                       std::string tenant);
-  // GET and DELETE of /nettlestand/lots/ID, GET of /nettlestand/items/ID. `may_hold`: a read may wait for
-  // news as long as its client allows.
+  // Handles GET and DELETE of /nettlestand/lots/ID and GET of /nettlestand/items/ID. `may_long_poll`: a read
+  // may wait for new results for as long as its client allows.
   boost::asio::awaitable<void> handle_job_request(std::shared_ptr<HttpExchange> exchange, std::string tenant,
                                                   bool may_long_poll);
   void on_reply(JobReply reply) { pending_calls_.deliver(std::move(reply)); }
 
-  // Submissions whose bytes had changed before they were parsed.
+  // Counts the submissions whose body no longer matched its digest when it was to be parsed.
   const BodyCheck& body_check() const { return body_check_; }
 
+  // Whether a path belongs to `handle_job_request`.
   static bool is_job_path(std::string_view path);
 
  private:
   struct PrimaryReply {
-    std::uint32_t status = 0;  // 0: no store could answer
+    std::uint32_t status = 0;  // HTTP status; 0: no store has answered
     std::string body;
-    bool may_be_stored = false;  // a store was asked and its answer is not known
+    bool may_be_stored = false;  // a store was called and its reply is unknown
   };
+  // Sends a call to the current primary, again and again, until a store answers or the deadline has passed.
   boost::asio::awaitable<PrimaryReply> call_primary(JobCall call, Millis deadline);
 
   boost::asio::io_context& io_;
--- a/src/node/client_request_handler.cpp
+++ b/src/node/client_request_handler.cpp
@@ -12,14 +12,15 @@
 
 namespace asio = boost::asio;
 
-constexpr Millis kDefaultDeadlineMs = 30000;  // where neither client nor route states one
-constexpr Millis kQuotaTimeoutMs = 120;       // for a grant, before a request counts as beyond its quota
+constexpr Millis kDefaultDeadlineMs = 30000;  // if neither the client nor the route sets one
+constexpr Millis kQuotaTimeoutMs = 120;       // to wait for a grant, before the request is over quota
 constexpr Millis kQuotaPollIntervalMs = 15;
-constexpr Millis kConfigurationTimeoutMs =
-    250;  // for the control state to come back, before a request is refused
+// Time to wait for the control state to be available again, before a request is refused.
+constexpr Millis kConfigurationTimeoutMs = 250;
 constexpr Millis kConfigurationPollIntervalMs = 25;
-// Clients come back few times, so they are told when it pays: servers free up soon, the control state within
-// a second or so, a quota over its window.
+// Values of Retry-After, in seconds. Clients retry only a few times, so each value is the time after which a
+// retry is likely to succeed: servers have capacity again soon, the control state is back within about a
+// second, and a quota is refilled over its window.
 const char* const kServerRetryAfter = "0.25";
 const char* const kConfigurationRetryAfter = "1";
 const char* const kQuotaRetryAfter = "0.8";
@@ -30,7 +31,7 @@
   return parsed.ec == std::errc() ? value : otherwise;
 }
 
-// When the client gives up, or the route's time is over.
+// The client's deadline or the route's, whichever is first.
 Millis deadline_of(const HttpRequest& request, const Route& route) {
   const Millis client_ms = parse_number_or(request.header("X-Deadline-Ms"), kDefaultDeadlineMs);
   const Millis route_ms = route.timeout_ms > 0 ? static_cast<Millis>(route.timeout_ms) : kDefaultDeadlineMs;
@@ -52,7 +53,7 @@
   }
 }
 
-// When to come back; null where that would not help.
+// The value of Retry-After; null if a retry would not help.
 const char* retry_after(RefusalCause cause) {
   switch (cause) {
     case RefusalCause::kUnknownRoute:
@@ -81,12 +82,12 @@
   }
 }
 
-// Passes a server's answer on to the client as it comes.
+// Streams a server's response to the client.
 class ClientResponseSink : public ResponseSink {
  public:
   explicit ClientResponseSink(std::shared_ptr<HttpExchange> exchange) : exchange_(std::move(exchange)) {}
   asio::awaitable<bool> on_head(const ResponseHead& head) override {
-    // An event stream may be continued by another server, so its length is not promised.
+    // Another server may continue an event stream, so its length is not announced.
     co_return co_await exchange_->start(head.status, head.headers, head.has_length && !head.is_event_stream,
                                         head.length);
   }
--- a/src/node/client_request_handler.h
+++ b/src/node/client_request_handler.h
@@ -1,4 +1,5 @@
-// Clients' requests at an edge node: route, key, quota, and on to a server; batch calls to their own front.
+// Handles clients' requests at an edge node: finds the route, checks API key and quota, and forwards to a
+// server. Requests about batch jobs go to the BatchRequestHandler.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -16,6 +17,7 @@
 
 namespace nettlestand::tier {
 
+// The handler of the listener for clients.
 class ClientRequestHandler {
  public:
   ClientRequestHandler(boost::asio::io_context& io, ControlClient& control_client, Forwarder& forwarder,
@@ -23,28 +25,32 @@
       : io_(io), control_client_(control_client), forwarder_(forwarder), batch_(batch), random_(seed) {}
 
   boost::asio::awaitable<void> handle(std::shared_ptr<HttpExchange> exchange);
-  // Tells now and then what was refused, and why.
+  // Logs a summary of refused requests at intervals.
   void tick(Millis now);
   const RefusalCounters& refusals() const { return refusals_; }
-  // The process ends then: what may last longer is refused from now on.
+  // Sets the time at which the process exits: from now on, requests that may take longer are refused.
   void set_stop_deadline(Millis deadline) { stop_deadline_ = deadline; }
 
  private:
-  // Who asks, and whether that is known; answered where it isn't.
+  // The client of a request. `tenant` is empty and `tenant_entry` null if the route needs no key.
   struct Caller {
     std::string key, tenant;
     const Tenant* tenant_entry = nullptr;
   };
-  // Whether there is a fresh configuration; waits a moment for one, as after the start of everything.
+  // Whether there is a configuration that is certain to be in force. Waits a short time for one, which is
+  // needed after all nodes have started at once.
   boost::asio::awaitable<bool> has_configuration();
+  // Takes one request from the tenant's quota. Waits a short time for a grant; false if the quota is used up
+  // or no grant arrives in time.
   boost::asio::awaitable<bool> acquire_quota(const Tenant& tenant);
   boost::asio::awaitable<void> forward_request(std::shared_ptr<HttpExchange> exchange,
                                                std::shared_ptr<const Configuration> configuration,
                                                const Route& route, Caller caller);
-  // Whether the configuration in force now still lets this request go to this service.
+  // Whether the configuration that is in force now still allows this request to go to this service.
   bool still_allowed(const std::string& host, const std::string& path, const Caller& caller,
                      const std::string& service) const;
 
+  // Answers with the status of the cause, and counts it.
   boost::asio::awaitable<void> refuse(std::shared_ptr<HttpExchange> exchange, RefusalCause cause,
                                       const std::string& tenant = "");
 
--- a/src/node/http_server.cpp
+++ b/src/node/http_server.cpp
@@ -29,12 +29,13 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-constexpr Millis kWriteTimeoutMs = 8000;  // for a caller to take what was written
+constexpr Millis kWriteTimeoutMs = 8000;  // for a client to receive what was written
 constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(20);
 constexpr auto kLingerTimeout = std::chrono::milliseconds(500);
 constexpr int kServiceUnavailable = 503;
-const char* const kRejectedRetryAfter = "0.1";  // another node takes it
-// Of a caller's next requests, while one is being answered. Beyond that its close goes unnoticed.
+const char* const kRejectedRetryAfter = "0.1";  // seconds; another node can serve the retry at once
+// Limit on what is buffered of a client's next requests while one is being answered. If the client has sent
+// more, it is not noticed that it closes its connection.
 constexpr std::size_t kMaxPipelinedBytes = 64U << 10;
 constexpr std::size_t kPipelinedReadBytes = 4U << 10;
 
@@ -90,6 +91,7 @@
   return std::string(value.substr(0, value.find(':')));
 }
 
+// One connection, and the exchange for the request on it that is being answered.
 class HttpServer::Session : public HttpExchange, public std::enable_shared_from_this<Session> {
  public:
   Session(HttpServer& server, tcp::socket socket)
@@ -160,7 +162,7 @@
     responded_ = true;
   }
 
-  // Ends a connection that waits for its next request.
+  // Closes the connection if it is waiting for its next request.
   void close_if_idle() {
     if (!idle_) return;
     open_ = false;
@@ -196,7 +198,7 @@
       co_await http::async_read_header(stream_, buffer_, parser,
                                        asio::redirect_error(asio::use_awaitable, error));
     }
-    HeaderList headers;  // taken before the body is read, so that trailers never count as headers
+    HeaderList headers;  // copied before the body is read, so that trailers never count as headers
     if (!error) headers = headers_of(parser.get());
     if (!error && !parser.is_done()) {
       co_await http::async_read(stream_, buffer_, parser, asio::redirect_error(asio::use_awaitable, error));
@@ -264,8 +266,8 @@
     co_return !error;
   }
 
-  // While a request is being answered, a close by the caller is noticed. What the caller sends meanwhile, its
-  // next requests, is kept for later.
+  // Detects that the client closes its connection while a request is being answered. What the client sends
+  // meanwhile, its pipelined requests, is buffered.
   void watch_for_disconnect() {
     const unsigned watch_id = current_watch_ = ++last_watch_;
     wait_until_readable(watch_id);
@@ -283,7 +285,7 @@
                                 });
   }
 
-  // False where the caller has closed its connection, or has sent more than is kept.
+  // False if the client has closed its connection, or has sent more than is buffered.
   bool buffer_pipelined_bytes() {
     if (buffer_.size() >= kMaxPipelinedBytes) return false;
     const auto space = buffer_.prepare(kPipelinedReadBytes);
@@ -292,7 +294,8 @@
     return got > 0 || (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR));
   }
 
-  // In order: what was written arrives, and what still comes is thrown away for a while.
+  // Closes gracefully: the client still receives what was written, and what it still sends is discarded for a
+  // short time.
   asio::awaitable<void> close() {
     if (aborted_) co_return;
     error_code error;
@@ -344,7 +347,7 @@
     error_code error;
     tcp::socket socket = co_await acceptor_.async_accept(asio::redirect_error(asio::use_awaitable, error));
     if (error == asio::error::operation_aborted) co_return;
-    if (error) {  // out of descriptors: others end soon
+    if (error) {  // out of file descriptors: other connections will be closed soon
       asio::steady_timer timer(io_, kAcceptRetryDelay);
       co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, error));
       continue;
--- a/src/node/http_server.h
+++ b/src/node/http_server.h
@@ -1,4 +1,4 @@
-// HTTP/1.1 towards callers, on Boost.Beast: one handler for all requests of a listener.
+// An HTTP/1.1 server on Boost.Beast: each listener has one handler for all its requests.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -16,61 +16,67 @@
 
 namespace nettlestand::tier {
 
+// Names and values, in their order in the message.
 using HeaderList = std::vector<std::pair<std::string, std::string>>;
 
+// A request that was received whole.
 struct HttpRequest {
   std::string method, target;
-  HeaderList headers;  // as they came, without trailers
+  HeaderList headers;  // as received, without trailers
   std::string body;
-  std::uint64_t body_digest = 0;  // of the body as it came
+  std::uint64_t body_digest = 0;  // of the body as received
   Millis received_at = 0;
 
-  // The first value, or empty; names are compared without regard to case.
+  // The first value of a header, or empty. Names are compared case-insensitively.
   std::string_view header(std::string_view name) const;
   std::string_view path() const { return std::string_view(target).substr(0, target.find('?')); }
-  // Of the query; empty where it is absent.
+  // The value of a query parameter, not decoded; empty if there is none.
   std::string query(std::string_view name) const;
   // The Host header without its port.
   std::string host() const;
 };
 
-// One request and the way back to its caller. Exactly one answer is given, whole or in pieces.
+// One request and the means to respond to it. Exactly one response is sent: whole by `respond`, or streamed
+// by `start`, `write` and `finish`. The functions that return a bool return false once the connection is
+// closed.
 class HttpExchange {
  public:
   virtual ~HttpExchange() = default;
   HttpRequest request;
 
   virtual boost::asio::awaitable<void> respond(int status, HeaderList headers, std::string body) = 0;
-  // Starts an answer whose body follows; without a length it is sent in chunks.
+  // Starts a streamed response. Without a length, the body is sent with chunked encoding.
   virtual boost::asio::awaitable<bool> start(int status, const HeaderList& headers, bool has_length,
                                              std::uint64_t length) = 0;
   virtual boost::asio::awaitable<bool> write(std::string_view bytes) = 0;
   virtual boost::asio::awaitable<void> finish() = 0;
-  // Ends the connection, so that an answer that was begun is seen not to be whole.
+  // Closes the connection, so that the client can tell that a response that was started is incomplete.
   virtual void abort() = 0;
-  // Called once if the caller closes its connection before it is answered.
+  // Called once if the client closes its connection before it has its response.
   std::function<void()> on_disconnect;
 };
 
+// Limits on what clients may send, and on the time that they take for it.
 struct HttpLimits {
   std::uint64_t max_header_bytes = 16384, max_body_bytes = 4194304;
   Millis header_timeout = 3000, idle_timeout = 15000;
 };
 
+// Listens at one address. `limits` is called for each request.
 class HttpServer {
  public:
   using Handler = std::function<boost::asio::awaitable<void>(std::shared_ptr<HttpExchange>)>;
   HttpServer(boost::asio::io_context& io, std::string address, std::function<HttpLimits()> limits,
              Handler handler);
   ~HttpServer();
-  // Throws boost::system::system_error where the address can't be bound.
+  // Throws boost::system::system_error if the address can't be bound.
   void listen();
-  // Every further answer ends its connection.
+  // From now on, the connection is closed after each response.
   void set_draining() { draining_ = true; }
-  // Closes the connections on which no request is under way, in order; what else comes is refused at once
-  // with 503, so that it can be sent elsewhere.
+  // Closes idle connections gracefully, and answers every further request at once with 503, so that the
+  // client can retry it at another node.
   void reject_new_requests();
-  // Requests that are being read or answered.
+  // Number of requests that are being answered.
   std::size_t active_requests() const { return active_requests_; }
 
  private:
@@ -84,7 +90,7 @@
   boost::asio::ip::tcp::acceptor acceptor_;
   bool draining_ = false, rejecting_ = false;
   std::size_t active_requests_ = 0;
-  // Shared with the sessions, which may be destroyed with the event loop, after the server.
+  // Shared with the sessions, since the event loop may destroy them after the server.
   std::shared_ptr<std::set<Session*>> sessions_ = std::make_shared<std::set<Session*>>();
 };
 
--- a/src/node/log.h
+++ b/src/node/log.h
@@ -1,4 +1,5 @@
-// Logs through log4cplus: one line an event, with its fields as name=value; never a line for each request.
+// Logging through log4cplus: one line per event, with its fields as name=value. Nothing is logged for every
+// single request.
 #pragma once
 
 #include <log4cplus/logger.h>
@@ -8,8 +9,10 @@
 
 namespace nettlestand::tier {
 
-// To standard error, at "debug", "info", "warning" or "error" and above.
+// Starts logging to standard error. `level` is the lowest level that is logged: "debug", "info", "warning" or
+// "error".
 void start_logging(const std::string& level);
+// The logger that the macros below use.
 log4cplus::Logger& logger();
 
 }  // namespace nettlestand::tier
--- a/src/node/node_core.cpp
+++ b/src/node/node_core.cpp
@@ -8,12 +8,12 @@
 namespace {
 
 constexpr Millis kShuffleIntervalMs = 1200;
-constexpr Millis kStartupShuffleIntervalMs = 150;  // while the process is young
+constexpr Millis kStartupShuffleIntervalMs = 150;  // during the startup period
 constexpr Millis kStartupPeriodMs = 2500;
-constexpr Millis kLeaseMarginMs = 1300;  // of the bound on revocations: a leader's own lease, and clocks
+constexpr Millis kLeaseMarginMs = 1300;  // of the revocation bound: the leader's own lease, and clock drift
 constexpr Millis kMinLeaseMs = 500;
 constexpr Millis kLocalRevocationLeaseMs = 20000;
-constexpr double kConfigTextLinkShare = 0.4;  // of the machine's link that the configuration's bytes may take
+constexpr double kConfigTextLinkShare = 0.4;  // share of the node's link for configuration texts
 constexpr double kBytesPerMegabit = 125000;
 
 std::vector<std::string> seed_addresses(const Settings& settings) {
@@ -22,7 +22,7 @@
   return out;
 }
 
-// Calls a handler with the decoded message; what can't be decoded is dropped.
+// Calls the handler with the decoded message; drops a message that can't be decoded.
 template <class Message, class Handler>
 void decode_and_handle(std::string_view body, Handler&& handler) {
   if (auto message = decode<Message>(body)) handler(*std::move(message));
@@ -61,7 +61,7 @@
       config_texts_(kConfigTextLinkShare * kBytesPerMegabit * settings.limits.link_mbps),
       control_client_(messenger, view_, config_texts_, control_client_settings(settings, identity.is_store)),
       operator_relay_(messenger, control_client_, identity.random_seed),
-      // A seed with a disk that was used before may have voted in an earlier life.
+      // A seed node whose disk was used before may have voted before its restart, so it must not vote again.
       bootstrap_voter_(settings.bootstrap && (!disks.control || disks.control->journal->is_new())),
       started_at_(now) {
   store_disk_ = std::move(disks.store);
@@ -120,7 +120,7 @@
   if (store_) dispatch_store(now, from, type, body);
 }
 
-// What every process takes.
+// Handles the messages that every node accepts, whatever its role.
 void NodeCore::dispatch_common(Millis now, const std::string& from, MessageType type, std::string_view body) {
   switch (type) {
     case MessageType::kShuffle:
--- a/src/node/node_core.h
+++ b/src/node/node_core.h
@@ -1,5 +1,5 @@
-// All that a process decides with other nodes: membership, control state, batch jobs. Its messages, its time
-// and its disk are handed in, so that the program and simulations run the same code.
+// The part of a node that works with other nodes: membership, control state and batch jobs. The messenger,
+// the clock and the disk are passed in, so that the program and the simulations run the same code.
 #pragma once
 
 #include <functional>
@@ -15,43 +15,46 @@
 
 namespace nettlestand::tier {
 
+// Creates these components, drives them by `tick` and routes each message to the one that handles it.
 class NodeCore {
  public:
-  // What a machine with a disk has of it, by its role; empty on others.
+  // The opened storage of a node with a disk: `control` on an edge node, `store` on a store. Both are empty
+  // on a node without a disk.
   struct Disks {
     std::optional<ControlDisk> control;
     std::optional<StoreDisk> store;
   };
+  // The role of this process, and what tells its runs apart.
   struct Identity {
     bool is_store = false;
-    std::uint64_t generation = 0;   // rises with each start of the process
-    std::uint64_t random_seed = 0;  // drawn by chance at each start
+    std::uint64_t generation = 0;   // higher at each start of the process
+    std::uint64_t random_seed = 0;  // drawn anew at each start
   };
   struct Hooks {
     std::function<void()> on_server_list_changed;
-    std::function<void()>
-        on_position_updated;  // among the live nodes, which decides the subset of the servers
+    // This node's index among the live nodes, which decides its subset of the servers, may have changed.
+    std::function<void()> on_position_updated;
     std::function<void(JobReply)> on_job_reply;
   };
 
-  // `listing` is used by core machines alone.
+  // `server_list_source_factory` is used only by nodes that hold control state.
   NodeCore(Messenger& messenger, const Settings& settings, Identity identity, Disks disks,
            ServerListSourceFactory server_list_source_factory, Millis now);
   ~NodeCore();
-  // To be called once, before anything else: starts the store, where this is one.
+  // Has to be called once, before any other function. Starts the store if this node is one.
   void start(const JobRunnerFactory& job_runner_factory);
   void set_hooks(Hooks hooks) { hooks_ = std::move(hooks); }
 
   void on_message(Millis now, const std::string& from, std::string_view bytes);
   void tick(Millis now);
-  // The process is to end: hands on what it leads.
+  // Begins the shutdown: marks the node as leaving and hands over the leadership that it has.
   void begin_stop(Millis now);
 
   PartialView& view() { return view_; }
   ControlClient& control_client() { return control_client_; }
   const ControlClient& control_client() const { return control_client_; }
   OperatorRelay& operator_relay() { return operator_relay_; }
-  // Null on machines that don't hold them.
+  // Null on nodes that have no control state, or no store.
   ControlService* control() { return control_.get(); }
   StoreService* store() { return store_.get(); }
 
@@ -68,7 +71,7 @@
 
   Messenger& messenger_;
   const Settings& settings_;
-  std::optional<StoreDisk> store_disk_;  // until the start
+  std::optional<StoreDisk> store_disk_;  // until `start` moves it into the store
   Hooks hooks_;
   PartialView view_;
   ConfigTextProvider config_texts_;
--- a/src/node/node_program.cpp
+++ b/src/node/node_program.cpp
@@ -16,11 +16,11 @@
 
 constexpr auto kTickInterval = std::chrono::milliseconds(40);
 constexpr Millis kIdleCloseIntervalMs = 500;
-constexpr Millis kDeregistrationDelayMs =
-    2600;                                   // until the platform sends a stopping node no new connections
-constexpr Millis kConnectionCloseMs = 300;  // for the connections that are closed then
-constexpr Millis kGraceMarginMs = 500;
-constexpr Millis kStoreStopDelayMs = 300;
+// Time until the platform sends no new connections to a stopping node.
+constexpr Millis kDeregistrationDelayMs = 2600;
+constexpr Millis kConnectionCloseMs = 300;  // for the idle connections, which are closed after that delay
+constexpr Millis kGraceMarginMs = 500;      // by which the process exits before its grace period ends
+constexpr Millis kStoreStopDelayMs = 300;   // between the stop signal and the exit of a store
 constexpr std::size_t kMaxOperatorHeaderBytes = 16384;
 constexpr std::size_t kMaxOperatorBodyBytes = 16U << 20;
 constexpr Millis kOperatorHeaderTimeoutMs = 5000, kOperatorIdleTimeoutMs = 15000;
@@ -87,7 +87,7 @@
 int NodeProgram::run() {
   NodeCore::Disks disks;
   if (const absl::Status status = open_disk(disks); !status.ok()) {
-    NETTLESTAND_WARNING("can't start error=" << status.message());
+    NETTLESTAND_WARNING("startup failed error=" << status.message());
     return 1;
   }
   create_core(std::move(disks));
@@ -95,7 +95,7 @@
     network_->listen();
     start_http_servers();
   } catch (const boost::system::system_error& error) {
-    NETTLESTAND_WARNING("can't listen error=" << error.what());
+    NETTLESTAND_WARNING("listen failed error=" << error.what());
     return 1;
   }
   wait_for_signal();
@@ -196,7 +196,7 @@
          control_client.has_config_lease(now) && control_client.has_all_server_lists();
 }
 
-// ---------------------------------------------------------------- time and signals
+// ---------------------------------------------------------------- timer and signals
 
 void NodeProgram::tick() {
   const Millis now = steady_now();
@@ -222,16 +222,17 @@
   });
 }
 
+// Only the addresses of the seed nodes are reloaded; other settings hold until the next start.
 void NodeProgram::reload() {
   auto settings = read_settings(settings_path_);
   if (!settings.ok()) {
-    NETTLESTAND_WARNING("settings not taken over error=" << settings.status().message());
+    NETTLESTAND_WARNING("settings reload failed error=" << settings.status().message());
     return;
   }
   std::vector<std::string> seeds;
   for (const std::string& seed : settings->seeds) seeds.push_back(settings_.internal_address_of(seed));
   core_->view().set_seeds(std::move(seeds));
-  NETTLESTAND_INFO("settings taken over");
+  NETTLESTAND_INFO("settings reloaded");
 }
 
 // ---------------------------------------------------------------- stop
@@ -245,7 +246,7 @@
   client_handler_->set_stop_deadline(stop_deadline());
 }
 
-// Once the platform sends no new connections, those that rest are closed, and what still comes is refused.
+// Once the platform sends no new connections, idle ones are closed and further requests are rejected.
 void NodeProgram::continue_stop(Millis now) {
   if (rejecting_requests_ || role_ == NodeRole::kStore || now < stopping_since_ + kDeregistrationDelayMs)
     return;
--- a/src/node/node_program.h
+++ b/src/node/node_program.h
@@ -1,4 +1,5 @@
-// The process: wires the parts of an edge or a storage machine together, and runs until it is told to stop.
+// The process of an edge node or a store: creates the components, connects them, and runs them on one event
+// loop until a signal stops it.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -20,13 +21,14 @@
 
 namespace nettlestand::tier {
 
+// kEdge serves clients and operators; kStore keeps batch jobs and runs their items.
 enum class NodeRole : std::uint8_t { kEdge, kStore };
 
 class NodeProgram {
  public:
   NodeProgram(NodeRole role, Settings settings, std::string settings_path);
   ~NodeProgram();
-  // Returns the exit code.
+  // Runs until SIGTERM or SIGINT has been handled; SIGHUP reloads the settings file. Returns the exit code.
   int run();
 
  private:
--- a/src/node/operator_request_handler.cpp
+++ b/src/node/operator_request_handler.cpp
@@ -11,7 +11,7 @@
 constexpr std::string_view kConfigPrefix = "/nettlestand/config/";
 constexpr std::string_view kRetirePrefix = "/nettlestand/retire/";
 constexpr std::string_view kReadPath = "/nettlestand/config/read";
-constexpr Millis kReplyTimeoutMs = 3000;  // longer than the relay's own patience
+constexpr Millis kReplyTimeoutMs = 3000;  // longer than the relay's own timeout
 constexpr int kServiceUnavailable = 503, kGatewayTimeout = 504;
 const HeaderList kJson = {{"Content-Type", "application/json"}};
 
@@ -36,11 +36,12 @@
   call.path = std::string(request.path());
   call.body = request.body;
   const bool known = call.path.starts_with(kConfigPrefix) || call.path.starts_with(kRetirePrefix);
-  if (!known) co_return co_await exchange->respond(404, kJson, "{\"error\":\"no such call\"}");
+  if (!known) co_return co_await exchange->respond(404, kJson, "{\"error\":\"unknown operation\"}");
   if (is_configuration_change(call.path)) {
     const auto base = parse_base_version(request.header("X-Base-Version"));
     if (!base) {
-      co_return co_await exchange->respond(400, kJson, "{\"error\":\"X-Base-Version is no whole number\"}");
+      co_return co_await exchange->respond(400, kJson,
+                                           "{\"error\":\"X-Base-Version is not a whole number\"}");
     }
     call.base = *base;
   }
@@ -51,7 +52,8 @@
                });
   const auto reply = co_await pending_replies_.wait(call_number, kReplyTimeoutMs);
   const int status = reply ? static_cast<int>(reply->status) : kGatewayTimeout;
-  const std::string body = reply ? reply->body : std::string("{\"error\":\"no answer\"}");
+  const std::string body =
+      reply ? reply->body : std::string("{\"error\":\"no reply from the leader in time\"}");
   HeaderList headers = kJson;
   if (status == kServiceUnavailable || status == kGatewayTimeout) headers.emplace_back("Retry-After", "0.3");
   co_await exchange->respond(status, headers, body);
--- a/src/node/operator_request_handler.h
+++ b/src/node/operator_request_handler.h
@@ -1,4 +1,5 @@
-// The operator's calls over HTTP: reads and checks them, and has them passed on to the leader.
+// Handles the operator's calls over HTTP: validates them and forwards them to the leader of the control
+// state.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -13,9 +14,10 @@
 
 namespace nettlestand::tier {
 
-// The version that a change builds on; nothing where the text is no whole number.
+// Parses X-Base-Version, the version on which a change is based. Nothing if the text is not a whole number.
 std::optional<std::uint64_t> parse_base_version(std::string_view text);
 
+// The handler of the listener for operators.
 class OperatorRequestHandler {
  public:
   OperatorRequestHandler(boost::asio::io_context& io, OperatorRelay& relay)
--- a/src/node/pending_calls.h
+++ b/src/node/pending_calls.h
@@ -1,4 +1,4 @@
-// Calls to other nodes that wait for their replies.
+// Calls to other nodes whose replies are awaited by coroutines.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -15,18 +15,19 @@
 
 namespace nettlestand::tier {
 
+// Matches replies to calls by the call's number, `Reply::call`.
 template <class Reply>
 class PendingCalls {
  public:
-  // `first_number` has to be drawn by chance at each start of the process: a reply to a call of its earlier
-  // life must not be taken for the reply to one of this life.
+  // If replies come from other nodes, `first_number` has to be random at each start of the process, so that a
+  // reply to a call from before a restart is not mistaken for the reply to a new call.
   PendingCalls(boost::asio::io_context& io, std::uint64_t first_number)
       : io_(io), last_number_(first_number) {}
 
-  // A number for a call; numbers are never used twice in a process's life.
+  // Returns a number for a new call. No number is used twice until the process ends.
   std::uint64_t next_number() { return ++last_number_; }
 
-  // The reply to a call, or nothing where none came in time.
+  // Waits for the reply to a call; nothing if none arrived in time.
   boost::asio::awaitable<std::optional<Reply>> wait(std::uint64_t call, Millis timeout) {
     auto pending = std::make_shared<PendingCall>(io_);
     pending_[call] = pending;
@@ -37,6 +38,7 @@
     co_return std::move(pending->reply);
   }
 
+  // Passes a reply to the coroutine that waits for it; drops one that nobody waits for (any more).
   void deliver(Reply reply) {
     const auto found = pending_.find(reply.call);
     if (found == pending_.end()) return;
@@ -55,6 +57,7 @@
   std::map<std::uint64_t, std::shared_ptr<PendingCall>> pending_;
 };
 
+// Suspends the calling coroutine.
 inline boost::asio::awaitable<void> sleep_for(boost::asio::io_context& io, Millis time) {
   boost::asio::steady_timer timer(io, std::chrono::milliseconds(time));
   boost::system::error_code ignored;
--- a/src/node/refusal_counters.cpp
+++ b/src/node/refusal_counters.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr Millis kReportIntervalMs = 2000;
-constexpr std::size_t kMaxReportedTenants = 4;  // named in a report for each cause, those with most first
+constexpr std::size_t kMaxReportedTenants = 4;  // per cause, those with the most refusals first
 
 using Count = std::pair<std::string, std::uint64_t>;
 
--- a/src/node/refusal_counters.h
+++ b/src/node/refusal_counters.h
@@ -1,5 +1,5 @@
-// Why an edge node has refused or failed requests, counted by cause and told in the log now and then, never
-// for each request.
+// Counts the requests that an edge node has refused, by cause. The log gets a summary at intervals, never a
+// line for every request.
 #pragma once
 
 #include <array>
@@ -12,26 +12,29 @@
 
 namespace nettlestand::tier {
 
+// `name_of` gives the name under which a cause is logged.
 enum class RefusalCause : std::uint8_t {
-  kNoConfiguration,  // none that is certain to be in force
+  kNoConfiguration,  // no configuration that is certain to be in force
   kUnknownRoute,
   kUnknownKey,
-  kBadRequest,     // without an id
-  kStopping,       // the process ends before the request could
-  kQuota,          // the tenant's requests are beyond its quota
-  kLimit,          // by the client's learned limit
-  kNoServer,       // none that may be used has room
-  kWithdrawn,      // a change of the configuration, before it was sent
-  kServersRefused  // each server that was asked has turned it away
+  kBadRequest,     // it has no request id
+  kStopping,       // the process will exit before the request could end
+  kQuota,          // the tenant has exceeded its quota
+  kLimit,          // the client is over its adaptive limit
+  kNoServer,       // no eligible server has capacity
+  kWithdrawn,      // no longer allowed by the configuration when it was to be sent
+  kServersRefused  // all servers that were tried have rejected it
 };
 inline constexpr std::size_t kRefusalCauseCount = 10;
 const char* name_of(RefusalCause cause);
 
+// Totals since the start, and counts by tenant since the last summary.
 class RefusalCounters {
  public:
   void count(RefusalCause cause, const std::string& tenant);
   std::uint64_t total(RefusalCause cause) const { return totals_[static_cast<std::size_t>(cause)]; }
-  // Once in a while: what was refused since the last time, as text; empty where nothing was.
+  // Once per report interval, returns a summary of the refusals since the last one and clears it. Empty
+  // before the interval is over, or if nothing was refused.
   std::string take_due_report(Millis now);
 
  private:
--- a/src/node/settings.cpp
+++ b/src/node/settings.cpp
@@ -13,7 +13,8 @@
 
 namespace hana = boost::hana;
 
-// What a process can do without, and what it takes instead.
+// Settings that may be left out; `defaults` has the values that they then get. All of [bounds] is optional
+// too.
 const std::set<std::string> kOptionalSettings = {"seeds",
                                                  "bootstrap",
                                                  "data_dir",
@@ -62,7 +63,7 @@
   return out;
 }
 
-// Reads a table into a struct, member by member, and collects what is wrong.
+// Reads a TOML table into a struct, member by member, and collects the errors.
 class SettingsReader {
  public:
   template <class Struct>
@@ -89,11 +90,11 @@
   void read_value(const toml::node& node, const std::string& name, Value& out) {
     if constexpr (hana::Struct<Value>::value) {
       if (const toml::table* table = node.as_table()) return read(*table, name + ".", out);
-      add_error(node, absl::StrCat(name, " has to be a table"));
+      add_error(node, absl::StrCat(name, " must be a table"));
     } else if constexpr (std::is_same_v<Value, std::vector<std::string>> ||
                          std::is_same_v<Value, std::vector<std::int64_t>>) {
       const toml::array* array = node.as_array();
-      if (array == nullptr) return add_error(node, absl::StrCat(name, " has to be a list"));
+      if (array == nullptr) return add_error(node, absl::StrCat(name, " must be a list"));
       out.clear();
       for (const toml::node& element : *array) read_value(element, name, out.emplace_back());
     } else {
@@ -105,6 +106,7 @@
   std::vector<std::string> errors_;
 };
 
+// Checks values that have the right type. Runs only on a file that was read without errors.
 void validate(const toml::table& table, const Settings& settings, SettingsReader& reader) {
   const auto find_node = [&](const char* key) -> const toml::node& {
     const toml::node* node = table.get(key);
@@ -113,17 +115,17 @@
   const auto& ports = settings.internal_port_range;
   if (ports.size() != 2 || ports[0] < 1 || ports[1] > 65535 || ports[0] > ports[1]) {
     reader.add_error(find_node("internal_port_range"),
-                     "internal_port_range has to be two ports, the first not above the second");
+                     "internal_port_range must be two ports, the first not above the second");
   }
   const BoundsSettings& bounds = settings.bounds;
   if (bounds.grace_s <= 0 || bounds.revoke_ms <= 0 || bounds.quota_window_s <= 0 || bounds.drain_ms <= 0) {
-    reader.add_error(find_node("bounds"), "bounds have to be above 0");
+    reader.add_error(find_node("bounds"), "bounds must be above 0");
   }
   if (settings.fault_tolerance.machines < 0)
-    reader.add_error(find_node("fault_tolerance"), "machines can't be below 0");
+    reader.add_error(find_node("fault_tolerance"), "fault_tolerance.machines must not be negative");
   static const std::set<std::string> kLogLevels = {"debug", "info", "warning", "error"};
   if (!kLogLevels.contains(settings.log.level)) {
-    reader.add_error(find_node("log"), "log.level has to be debug, info, warning or error");
+    reader.add_error(find_node("log"), "log.level must be debug, info, warning or error");
   }
 }
 
--- a/src/node/tier_main.cpp
+++ b/src/node/tier_main.cpp
@@ -19,13 +19,12 @@
 const char* const kUsage =
     "Usage: nettlestand edge | store | check FILE\n"
     "\n"
-    "  edge        runs an edge machine: carries traffic, takes the operator's calls; with a disk, holds "
-    "the\n"
-    "              control state too\n"
-    "  store       runs a storage machine: keeps batch jobs and runs their items\n"
-    "  check FILE  says all that is wrong with a settings file, with lines\n"
+    "  edge        runs an edge node: forwards client requests and serves operator calls; with a disk, also\n"
+    "              holds control state\n"
+    "  store       runs a store: keeps batch jobs and runs their items\n"
+    "  check FILE  validates a settings file and lists its errors with line numbers\n"
     "\n"
-    "The settings file (TOML) is named by NETTLESTAND_CONFIG, or by --config.\n";
+    "The path of the settings file (TOML) is taken from --config, or else from NETTLESTAND_CONFIG.\n";
 
 int check_settings(const std::string& path) {
   const auto settings = read_settings(path);
@@ -37,7 +36,8 @@
   return kExitUsageError;
 }
 
-// Told from the operator's file of a single node by a setting that only these files have.
+// Whether a file has the serving tier's settings: only these files set `node_name`. The operator's file of a
+// single node doesn't.
 bool is_tier_settings(const std::string& path) {
   std::ifstream file(path);
   for (std::string line; std::getline(file, line);) {
@@ -46,8 +46,8 @@
   return false;
 }
 
-// Holds back the signals that a node heeds until it can: at their default a SIGHUP that comes early would end
-// it.
+// Blocks the signals that a node handles until its handlers are installed: by default, an early SIGHUP would
+// terminate the process.
 class BlockedSignals {
  public:
   BlockedSignals() {
@@ -64,7 +64,7 @@
 int run_role(NodeRole role, const std::string& path) {
   BlockedSignals signals;
   if (path.empty()) {
-    std::cerr << "NETTLESTAND_CONFIG names no settings file\n";
+    std::cerr << "no settings file: set NETTLESTAND_CONFIG or pass --config\n";
     return kExitUsageError;
   }
   auto settings = read_settings(path);
@@ -73,7 +73,7 @@
     return kExitUsageError;
   }
   start_logging(settings->log.level);
-  NodeProgram program(role, *std::move(settings), path);  // from here on they have handlers
+  NodeProgram program(role, *std::move(settings), path);  // installs the signal handlers
   signals.unblock();
   return program.run();
 }
@@ -92,7 +92,7 @@
   int help = 0;
   const poptOption options[] = {
       {"config", 'c', POPT_ARG_STRING, &config, 0, "the settings file", "FILE"},
-      {"help", 'h', POPT_ARG_NONE, &help, 0, "this text", nullptr},
+      {"help", 'h', POPT_ARG_NONE, &help, 0, "show this help", nullptr},
       {nullptr, 0, 0, nullptr, 0, nullptr, nullptr},
   };
   poptContext context = poptGetContext("nettlestand", argc, const_cast<const char**>(argv), options, 0);
--- a/src/node/tier_main.h
+++ b/src/node/tier_main.h
@@ -1,11 +1,12 @@
-// The command line of the serving tier's roles: `edge`, `store`, and `check` of their settings files.
+// The serving tier's commands: `edge` and `store` run a node in that role, `check` validates its settings
+// file.
 #pragma once
 
 namespace nettlestand::tier {
 
-// Whether the arguments are for the serving tier: a role, or the check of a settings file of its form.
+// Whether the arguments are a command of the serving tier: a role, or `check` with one of its settings files.
 bool is_tier_command(int argc, char** argv);
-// Returns the exit code.
+// Runs the command and returns the exit code.
 int tier_main(int argc, char** argv);
 
 }  // namespace nettlestand::tier
--- a/tests/system/settings_test.cpp
+++ b/tests/system/settings_test.cpp
@@ -75,7 +75,7 @@
   const std::string two = error_of(
       with_replacement("zone = \"a\"\ninternal_port_range = [7660, 7675]", "internal_port_range = 1"));
   CHECK(two.find("zone is missing") != std::string::npos);
-  CHECK(two.find("internal_port_range has to be a list") != std::string::npos);
+  CHECK(two.find("internal_port_range must be a list") != std::string::npos);
 }
 
 TEST_CASE("what is no TOML is told with its line") {
