--- a/src/forwarding/event_stream.cpp
+++ b/src/forwarding/event_stream.cpp
@@ -6,7 +6,7 @@
 namespace nettlestand::tier {
 namespace {
 
-// Calls `take(name, value)` for each line of an event.
+// Calls `on_field(name, value)` for each line of an event that has a colon.
 template <class Handler>
 void for_each_field(std::string_view event, Handler&& on_field) {
   while (!event.empty()) {
@@ -30,7 +30,7 @@
     const bool blank = at == begin || buffer_[at - 1] == '\n' ||
                        (buffer_[at - 1] == '\r' && (at - 1 == begin || buffer_[at - 2] == '\n'));
     if (blank && at > begin) return at + 1;
-    if (blank) return at + 1;  // a stray blank line is passed on as it is
+    if (blank) return at + 1;  // a blank line that ends no event is passed on unchanged
   }
   return std::string::npos;
 }
--- a/src/forwarding/event_stream.h
+++ b/src/forwarding/event_stream.h
@@ -1,4 +1,5 @@
-// Server-sent events (WHATWG HTML, "Server-sent events"): splits a stream into whole events. No I/O.
+// Parser for server-sent events (WHATWG HTML, "Server-sent events"): splits a byte stream into complete
+// events. Does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -9,14 +10,16 @@
 
 namespace nettlestand::tier {
 
+// One complete event; `bytes` is valid only during the call that passes it.
 struct StreamEvent {
-  std::string_view bytes;           // as it came, with the blank line that ends it
-  std::optional<std::uint64_t> id;  // of its "id" field
+  std::string_view bytes;           // unchanged, with the blank line that ends the event
+  std::optional<std::uint64_t> id;  // value of the "id" field, if it is a number
 };
 
+// Incremental parser: bytes may arrive cut at any place.
 class EventStreamParser {
  public:
-  // Takes bytes and calls `take(const StreamEvent&)` for each event that is whole.
+  // Appends bytes and calls `on_event(const StreamEvent&)` for each event that is now complete.
   template <class Handler>
   void feed(std::string_view bytes, Handler&& on_event) {
     buffer_.append(bytes);
@@ -28,18 +31,20 @@
     buffer_.erase(0, begin);
     scanned_ = 0;
   }
-  // What has come of an event that is not whole yet.
+  // The bytes of the last event as long as it is incomplete.
   const std::string& partial() const { return buffer_; }
   void reset() {
     buffer_.clear();
     scanned_ = 0;
   }
 
+  // The value of the last "id" field that is a number.
   static std::optional<std::uint64_t> id_of(std::string_view event);
-  // The values of its "data" fields, joined by line feeds.
+  // The values of the "data" fields, joined by line feeds.
   static std::string data_of(std::string_view event);
 
  private:
+  // Offset behind the first complete event from `begin` on, npos if there is none.
   std::size_t end_of_event(std::size_t begin);
   std::string buffer_;
   std::size_t scanned_ = 0;
--- a/src/forwarding/forwarder.cpp
+++ b/src/forwarding/forwarder.cpp
@@ -10,13 +10,14 @@
 
 namespace asio = boost::asio;
 
-constexpr std::size_t kMaxServersTried = 8;       // servers that one request is offered to
-constexpr Millis kItemFirstByteTimeoutMs = 4000;  // silence after which an item is tried elsewhere
-constexpr Millis kItemReadTimeoutMs = 2000;
-constexpr double kGapTimeoutFactor = 4;  // x the route's gap_aim_ms, for streams that may be resumed
+constexpr std::size_t kMaxServersTried = 8;       // servers that one request is sent to at most
+constexpr Millis kItemFirstByteTimeoutMs = 4000;  // then the item is tried at another server
+constexpr Millis kItemReadTimeoutMs = 2000;       // between reads of an item's response
+constexpr double kGapTimeoutFactor = 4;           // x the route's gap_aim_ms, for resumable streams
 constexpr Millis kMinGapTimeoutMs = 500;
-constexpr Millis kMinTimeLeftMs = 5;  // with less time left no server is asked
+constexpr Millis kMinTimeLeftMs = 5;  // with less time left no attempt is made
 
+// Serializes a request for one server.
 OutgoingRequest build_request(const ForwardRequest& request, const ChosenServer& server,
                               const std::uint64_t* last_event_id) {
   OutgoingRequest result;
@@ -48,14 +49,14 @@
 
 }  // namespace
 
-// What has become of a request over its attempts.
+// State of a request across its attempts.
 struct Forwarder::Progress {
   std::vector<std::string> tried;
-  int runs = 0;  // servers that may have run it
+  int runs = 0;  // attempts that may have run the request
   bool head_forwarded = false;
   bool is_stream = false;
   bool completed = false;
-  bool may_retry = false;  // after the present attempt, as far as the rules go
+  bool may_retry = false;  // after the current attempt, by the route's rules
   int status = 0;
   std::uint64_t last_event_id = 0;
   bool has_last_event_id = false;
@@ -77,7 +78,7 @@
   const auto result = [&](ForwardOutcome outcome, ForwardRefusal refusal = ForwardRefusal::kNone) {
     return ForwardResult{outcome, progress.status, progress.last_event_id, refusal};
   };
-  // The first decision: may this client's call go at all?
+  // The tenant's limit is checked before any server is chosen.
   if (tenant_admission.admit(steady_now(), random_) != TenantAdmission::Decision::kSend)
     co_return result(ForwardOutcome::kRefused, ForwardRefusal::kTenantLimit);
 
@@ -126,7 +127,7 @@
   };
   UpstreamConnectionPtr connection = co_await upstream_->open(server.address, request.deadline, force_new);
   if (!connection) co_return end_call(CallOutcome::kNotSent);
-  // The list and the configuration may have changed while the connection came up.
+  // The server list and the configuration may have changed while the connection was established.
   const bool allowed = !request.may_send || request.may_send();
   if (sink.client_gone || !allowed || !pool_.is_usable(request.service, server.id)) {
     upstream_->release(server.address, std::move(connection));
@@ -213,7 +214,7 @@
     if (!in_order) co_return release_and_end(CallOutcome::kConnectionLost);
   }
   if (progress.is_stream && !events.partial().empty()) {
-    // The server's last bytes end no event: they are its own all the same.
+    // An incomplete last event is part of the server's response too.
     if (!co_await sink.on_data(events.partial())) co_return release_and_end(CallOutcome::kClientGone);
   }
   progress.completed = true;
--- a/src/forwarding/forwarder.h
+++ b/src/forwarding/forwarder.h
@@ -1,5 +1,5 @@
-// The one way in which a request reaches a server: choosing it, sending, trying again where that is allowed,
-// and passing the answer on. Live requests and batch items alike go through it.
+// Forwards requests to servers: chooses a server, sends the request, retries where that is allowed, and
+// passes the response on. Live requests and batch items take the same path.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -16,66 +16,70 @@
 
 namespace nettlestand::tier {
 
-// A request on its way. The configuration is held, so the route stays valid while it changes.
+// A request to forward. It keeps its configuration alive, so `route` stays valid if a new one is applied.
 struct ForwardRequest {
   std::shared_ptr<const Configuration> configuration;
   const Route* route = nullptr;
   std::string service, tenant;
   std::string id, method, target, host;
-  std::vector<std::pair<std::string, std::string>> headers;  // that go on to the server
+  std::vector<std::pair<std::string, std::string>> headers;  // the forwarded ones only
   std::string body;
-  std::uint64_t body_digest = 0;    // of the body as its client sent it
-  Millis deadline = 0;              // of the client and of the route, whichever comes first
-  bool is_item = false;             // of a batch job
-  std::uint64_t last_event_id = 0;  // to continue after; 0: from the start
+  std::uint64_t body_digest = 0;    // of the body as received from the client
+  Millis deadline = 0;              // the earlier of the client's and the route's
+  bool is_item = false;             // item of a batch job
+  std::uint64_t last_event_id = 0;  // resume after this event; 0: from the start
   bool has_last_event_id = false;
-  // Asked right before each send: whether the request may still go to a server.
+  // Called right before each send: whether the request may still be sent.
   std::function<bool()> may_send;
 };
 
-// Where an answer goes.
+// Receives the response to a forwarded request.
 class ResponseSink {
  public:
   virtual ~ResponseSink() = default;
-  // The head of the answer that will be passed on; called once. False ends the request: the client is gone.
+  // Called once, with the head of the response that is passed on. False ends the request: the client is gone.
   virtual boost::asio::awaitable<bool> on_head(const ResponseHead& head) = 0;
-  // Bytes of the body; of an event stream, whole events.
+  // Called with bytes of the body; for an event stream, with complete events. False: the client is gone.
   virtual boost::asio::awaitable<bool> on_data(std::string_view bytes) = 0;
-  // Set once the client is known to be gone; `abandon` then ends the call that is under way.
+  // Set by the owner when the client has gone; it then calls `cancel_call`, if set, to end the call in
+  // progress.
   bool client_gone = false;
   std::function<void()> cancel_call;
 };
 
+// How a forwarded request ended.
 enum class ForwardOutcome : std::uint8_t {
-  kCompleted,  // the server's whole answer was passed on
-  kTruncated,  // it was begun and can't be completed
-  kRefused,    // it has not run and will not
+  kCompleted,  // the complete response was passed on
+  kTruncated,  // a part of the response was passed on and the rest cannot be had
+  kRefused,    // it did not run and will not
   kFailed,     // it may have run, and nothing was passed on
-  kTimedOut,   // the same, as the deadline has come
-  kClientGone  // the client left
+  kTimedOut,   // as kFailed, because the last attempt timed out
+  kClientGone  // the client has gone
 };
 
 // Why a request was refused without having run.
 enum class ForwardRefusal : std::uint8_t {
   kNone,
-  kTenantLimit,    // by the client's learned limit
-  kNoServer,       // no server that may be used has room
-  kWithdrawn,      // it may no longer be sent
-  kServersRefused  // each server that was asked has turned it away, or could not be reached
+  kTenantLimit,    // over the tenant's learned limit
+  kNoServer,       // no eligible server has capacity
+  kWithdrawn,      // `may_send` said that it may no longer be sent
+  kServersRefused  // every server tried rejected it or could not be reached
 };
 
 struct ForwardResult {
   ForwardOutcome outcome = ForwardOutcome::kFailed;
-  int status = 0;                   // of the last answer of a server
-  std::uint64_t last_event_id = 0;  // passed on
+  int status = 0;                   // of the last response received from a server
+  std::uint64_t last_event_id = 0;  // last event passed on
   ForwardRefusal refusal = ForwardRefusal::kNone;
 };
 
+// Forwards requests with the servers, connections and tenant limits of this node.
 class Forwarder {
  public:
   Forwarder(std::unique_ptr<Upstream> upstream, std::uint64_t seed);
   ~Forwarder();
 
+  // Runs a request to its end. `sink` has to stay alive until then.
   boost::asio::awaitable<ForwardResult> forward(ForwardRequest request, ResponseSink& sink);
 
   ServerPool& pool() { return pool_; }
@@ -83,6 +87,7 @@
 
  private:
   struct Progress;
+  // Sends the request to one server and passes its response on.
   boost::asio::awaitable<CallOutcome> attempt(ForwardRequest& request, const ChosenServer& server,
                                               Progress& progress, ResponseSink& sink);
   TenantAdmission& admission(const std::string& tenant, const std::string& service);
--- a/src/forwarding/request_headers.h
+++ b/src/forwarding/request_headers.h
@@ -1,5 +1,4 @@
-// Which headers of a request go on to a server. Live requests and items of batch jobs alike pass through
-// here.
+// Selects the request headers that are forwarded to a server, for live requests and for items of batch jobs.
 #pragma once
 
 #include <string>
@@ -11,13 +10,14 @@
 
 using HeaderFields = std::vector<std::pair<std::string, std::string>>;
 
-// Whether a header concerns one connection only, or frames its message.
+// Whether a header is hop-by-hop or describes the framing of its message.
 bool is_hop_by_hop_header(std::string_view name);
-// Whether the tier sets a header itself, or the server must not see it.
+// Whether a header is set by the forwarder itself, or must not reach the server.
 bool is_reserved_header(std::string_view name);
-// Whether the list of names in a `Connection` header holds `name`.
+// Whether the value of a `Connection` header lists `name`.
 bool is_named_by_connection(std::string_view connection, std::string_view name);
-// The headers that go on: neither of one connection, nor named by `Connection`, nor the tier's own.
+// The headers to forward: those that are neither hop-by-hop, nor listed by a `Connection` header, nor
+// reserved.
 HeaderFields forwarded_headers(const HeaderFields& fields);
 
 }  // namespace nettlestand::tier
--- a/src/forwarding/server_pool.cpp
+++ b/src/forwarding/server_pool.cpp
@@ -8,36 +8,37 @@
 namespace nettlestand::tier {
 namespace {
 
-constexpr std::size_t kMinSubsetSize = 8;      // servers at least: enough spread, few connections
-constexpr std::size_t kMinNodesPerServer = 2;  // nodes that use each server, at least
+constexpr std::size_t kMinSubsetSize = 8;  // servers; spreads the calls while connections stay few
+constexpr std::size_t kMinNodesPerServer = 2;
 constexpr Millis kMinFirstByteTimeoutMs = 300;
-constexpr double kFirstByteTimeoutFactor = 6;  // x the usual time to the first byte
-constexpr double kSuspectFactor = 2.5;         // the same, before a silent server is looked at again
+constexpr double kFirstByteTimeoutFactor = 6;  // x the service's mean time to the first byte
+constexpr double kSuspectFactor = 2.5;         // x the same, until a server without a response is suspect
 constexpr Millis kMinSuspectMs = 80;
-constexpr double kFirstByteGain = 0.05;
-constexpr int kFailuresToEject = 2;     // in a row
-constexpr Millis kMinEjectionMs = 700;  // doubled with each further failure
+constexpr double kFirstByteGain = 0.05;  // weight of a new sample in that mean
+constexpr int kFailuresToEject = 2;      // consecutive
+constexpr Millis kMinEjectionMs = 700;   // doubled with each further failure
 constexpr Millis kMaxEjectionMs = 3000;
-constexpr double kItemSlotShare = 0.8;  // of a server's slots that calls may fill before items stay away
-// Calls that may run at a server before items stay away, however many slots it has: each one makes the events
-// of all others come more slowly, until the pauses of live streams are beyond their aim.
+constexpr double kItemSlotShare = 0.8;  // of a server's slots; with more of them taken it gets no items
+// Calls that may run at a server that gets items, however many slots it has: each call slows down the events
+// of all others, until the gaps between the events of live streams exceed their target.
 constexpr double kMaxCallsBesideItems = 48;
-constexpr int kMaxQueueForItems = 1;         // calls that wait at a server, beyond which items stay away
-constexpr int kBusyQueueLength = 4;          // from so many on live calls look for another server
-constexpr double kItemOversubscription = 2;  // x the nodes that a server has room for may send it an item
-                                             // untold: most have none at a time
-constexpr Millis kLoadReportTtlMs = 400;  // what a server told of its load counts for so long
-constexpr int kMaxItemsAwaitingFirstByte =
-    2;                                  // items at a server that wait for their first byte, from one node
-constexpr double kBusySlotShare = 0.7;  // of a server's slots
-
-// Admission: a project's defaults round the source's design.
+constexpr int kMaxQueueForItems = 1;  // waiting calls; a server with more of them gets no items
+constexpr int kBusyQueueLength = 4;   // waiting calls from which live calls prefer another server
+// Without a fresh load report, so many times the nodes that a server has capacity for may send it an item:
+// most of them have none to send at a given time.
+constexpr double kItemOversubscription = 2;
+constexpr Millis kLoadReportTtlMs = 400;
+constexpr int kMaxItemsAwaitingFirstByte = 2;  // of one node at one server
+constexpr double kBusySlotShare = 0.7;  // of a server's slots, from which live calls prefer another server
+
+// Parameters of the tenants' admission; the project's defaults around the published design.
 constexpr double kBucketSeconds = 0.1;
 constexpr int kBuckets = 20;
 constexpr int kLastSecondBuckets = 10;
-constexpr double kInitialCallsPerSecond = 400;  // calls per second: generous
+constexpr double kInitialCallsPerSecond = 400;  // of a tenant's limit; generous
 constexpr double kMinCallsPerSecond = 20;
-// Denied calls count too: with a lower factor a client that keeps asking would be denied whole for ever.
+// Denied calls count towards the rate too: with a lower factor a tenant that keeps calling would be denied
+// every call for ever.
 constexpr double kHardLimitFactor = 20;
 constexpr quinceusher::SuppressionParameters kSuppression{
     kBuckets * kBucketSeconds, kLastSecondBuckets* kBucketSeconds, 10, kHardLimitFactor, 0.1};
@@ -54,7 +55,8 @@
     if (server.slots == 0) server.slots = static_cast<int>(listed.slots);
     services[listed.service].all.push_back(listed.id);
   }
-  // Calls that are out at a server that is gone are still to be told of.
+  // Servers that left the list are kept while calls to them are in flight, since their ends are still
+  // reported.
   for (auto& [id, server] : servers_) {
     if (kept.contains(id) || server.in_flight == 0) continue;
     server.listing.draining = true;
@@ -123,7 +125,7 @@
   return server.slots <= 0 || server.in_flight < server.slots;
 }
 
-// Slots of a server that may be taken before items stay away.
+// Number of a server's slots from which, once taken, it gets no further items.
 double ServerPool::item_slot_limit(const Server& server) {
   return std::min(kItemSlotShare * server.slots, kMaxCallsBesideItems);
 }
@@ -154,9 +156,9 @@
   return any ? 1 : 0;
 }
 
-// Items that this node may have at a server that has not told its load just now: its share of the room. Where
-// there is less room than nodes, a server is open to some of the nodes for one item each, and each server to
-// others.
+// Number of items that this node may have at a server without a fresh load report: its share of the server's
+// capacity for items. If that is less than one, some of the nodes may send one item each, and which nodes
+// these are differs from server to server.
 int ServerPool::item_limit_without_load(const Server& server) const {
   const double share = item_slot_limit(server) / static_cast<double>(item_node_count_);
   if (share >= 1) return static_cast<int>(share);
@@ -195,8 +197,8 @@
   const CallKind kind = is_item ? CallKind::kItem : CallKind::kLive;
   const Server* chosen = choose(now, view.own_zone_subset, tried, kind, true);
   if (chosen == nullptr) chosen = choose(now, view.subset, tried, kind, true);
-  if (chosen == nullptr) chosen = choose(now, view.all, tried, kind, false);  // before a call is refused
-  // Whoever is open nowhere would never hear of any room.
+  if (chosen == nullptr) chosen = choose(now, view.all, tried, kind, false);  // rather than refuse the call
+  // A node that may use no server would never receive a load report, and so never learn of capacity.
   if (chosen == nullptr && is_item && items_in_flight(service) == 0)
     chosen = choose(now, view.all, tried, CallKind::kOnlyItem, false);
   if (chosen == nullptr) return std::nullopt;
@@ -266,7 +268,7 @@
     case CallOutcome::kNotExecuted:
       return;
     case CallOutcome::kMisdirected:
-      server.listing.draining = true;  // until a list shows it again
+      server.listing.draining = true;  // until the list shows it again
       return;
     case CallOutcome::kNotSent:
     case CallOutcome::kConnectionLost:
--- a/src/forwarding/upstream.cpp
+++ b/src/forwarding/upstream.cpp
@@ -29,16 +29,17 @@
 using boost::system::error_code;
 
 constexpr Millis kConnectTimeoutMs = 300;
-constexpr Millis kDefaultIdleMs =
-    500;  // a server that states no Keep-Alive time may close sooner than in a second
-constexpr double kKeepAliveShare = 0.75;  // of the stated time
+// Idle timeout for servers that announce no Keep-Alive timeout: they may close within a second.
+constexpr Millis kDefaultIdleMs = 500;
+constexpr double kKeepAliveShare = 0.75;  // of the announced timeout, so that this side closes first
 constexpr std::uint32_t kMaxHeadBytes = 64U << 10;
 constexpr std::size_t kReadBufferBytes = 8U << 10;
 constexpr std::size_t kMaxIdlePerServer = 64;
 
 std::string_view view_of(beast::string_view text) { return {text.data(), text.size()}; }
 
-// "3,0,8" as three numbers; false where it is something else.
+// Parses an X-Server-Load value: calls running, calls waiting and slots, as in "3,0,8". False if it is
+// malformed.
 bool parse_load(std::string_view text, ResponseHead& head) {
   std::array<int, 3> values{};
   for (std::size_t i = 0; i < values.size(); ++i) {
@@ -53,6 +54,7 @@
   return true;
 }
 
+// How long a connection may stay idle, from the response's Keep-Alive header.
 Millis idle_timeout_of(const http::fields& fields) {
   const std::string_view text = view_of(fields[http::field::keep_alive]);
   const std::size_t at = text.find("timeout=");
@@ -106,10 +108,9 @@
       if (error) co_return read_failure(error);
       const std::string_view id = view_of(parser_->get()["X-Request-Id"]);
       if (id == request_id_) break;
-      // Servers name the request that they answer; what names none may be anybody's.
+      // Servers echo the request id; a response without one may belong to any request.
       if (id.empty()) co_return Read::kBroken;
-      // Told more than it was asked, the connection may hold more such answers: it carries no further
-      // request.
+      // A connection that carried a response to another request may hold more of them, so it is not reused.
       has_foreign_response_ = true;
       const Read skipped = co_await skip_body(deadline);
       if (skipped != Read::kEnd || !parser_->keep_alive()) co_return Read::kBroken;
@@ -137,7 +138,7 @@
                                      asio::redirect_error(asio::use_awaitable, error));
       bytes.append(chunk.data(), chunk.size() - body.size);
       if (error == http::error::need_buffer) error = {};
-      read_error_ = error;  // told once the bytes before it are
+      read_error_ = error;  // reported after the bytes that precede it
       if (error && bytes.empty()) co_return read_failure(error);
     }
     co_return Read::kOk;
@@ -150,13 +151,15 @@
     return parser_ && parser_->keep_alive() && buffer_.size() == 0;
   }
 
-  // Whether an idle connection still looks usable: neither closed nor holding bytes that nobody asked for.
+  // Whether an idle connection still looks usable: neither closed by the server nor holding unsolicited
+  // bytes.
   bool looks_alive(Millis now) {
     if (now >= idle_until_) return false;
     char byte;
     const ssize_t got = ::recv(stream_.socket().native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
     return got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
   }
+  // Prepares a connection whose call has ended for its time in the pool.
   void become_idle(Millis now) {
     idle_until_ = now + idle_timeout_of(parser_->get());
     stream_.expires_never();
@@ -165,14 +168,15 @@
   Millis idle_until() const { return idle_until_; }
 
  private:
+  // Compares the body with its digest; logs and counts a difference.
   bool verify_body(const OutgoingRequest& request) {
     const std::string_view bytes = request.bytes;
     const bool same = request.body_size <= bytes.size() &&
                       digest_of(bytes.substr(bytes.size() - request.body_size)) == request.body_digest;
     if (same) return true;
     check_->on_difference(BodyStep::kSend);
-    NETTLESTAND_WARNING("a body is not its client's id=" << request.id
-                                                         << " step=" << name_of(BodyStep::kSend));
+    NETTLESTAND_WARNING("request body does not match its digest id=" << request.id
+                                                                     << " step=" << name_of(BodyStep::kSend));
     return false;
   }
   void set_timeout(Millis deadline) {
--- a/src/forwarding/upstream.h
+++ b/src/forwarding/upstream.h
@@ -1,4 +1,4 @@
-// Connections to servers over HTTP/1.1: kept between calls, one call at a time on each.
+// HTTP/1.1 connections to servers: reused between calls, with one call at a time on each.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -16,59 +16,62 @@
 
 namespace nettlestand::tier {
 
+// Status line and headers of a server's response.
 struct ResponseHead {
   int status = 0;
-  std::vector<std::pair<std::string, std::string>> headers;  // without those that concern one connection
+  std::vector<std::pair<std::string, std::string>> headers;  // without hop-by-hop headers
   bool is_event_stream = false;
   bool has_length = false;
   std::uint64_t length = 0;
-  bool not_executed = false;                                // the server says that it has not run the request
-  int load_running = -1, load_waiting = 0, load_slots = 0;  // running below 0: not told
+  bool not_executed = false;  // X-Not-Executed: the server did not run the request
+  int load_running = -1, load_waiting = 0, load_slots = 0;  // X-Server-Load; running is -1 if absent
 };
 
-// A request as it is written to a server.
+// A serialized request, with what is needed to verify it and to recognise its response.
 struct OutgoingRequest {
-  std::string bytes;  // head and body
-  std::string id;     // that the answer has to name
-  bool head_only = false;
-  std::size_t body_size = 0;      // of the last bytes
-  std::uint64_t body_digest = 0;  // that these have to have
+  std::string bytes;              // head and body
+  std::string id;                 // the response has to carry the same X-Request-Id
+  bool head_only = false;         // HEAD: the response has no body
+  std::size_t body_size = 0;      // the body is the last `body_size` bytes
+  std::uint64_t body_digest = 0;  // digest that the body has to match
 };
 
-// One connection to a server, and the call that is under way on it.
+// One connection to a server, and the call in progress on it.
 class UpstreamConnection {
  public:
   enum class Read { kOk, kEnd, kBroken, kTimedOut };
 
   virtual ~UpstreamConnection() = default;
-  // Sends a request; false where that failed, or where its body is not the one that it should be. `sent`: any
-  // of it may have reached the server.
+  // Sends a request. False if sending failed or the body does not match its digest. Sets `sent` if any byte
+  // may have reached the server.
   virtual boost::asio::awaitable<bool> send(OutgoingRequest request, Millis deadline, bool& sent) = 0;
-  // The head of the answer. Answers to earlier requests, told by their id, are passed over.
+  // Reads the head of the response. Responses that carry the id of another request are skipped.
   virtual boost::asio::awaitable<Read> read_head(ResponseHead& head, Millis deadline) = 0;
-  // More of the body; kEnd once it was whole.
+  // Reads more of the body; kEnd after the last byte of a complete body.
   virtual boost::asio::awaitable<Read> read_some(std::string& bytes, Millis deadline) = 0;
-  // Breaks the connection, and with it whatever waits on it.
+  // Closes the connection, so that pending operations on it fail.
   virtual void cancel() = 0;
-  // Whether the answer was whole and the connection may carry another call.
+  // Whether the response was complete and the connection can carry another call.
   virtual bool is_reusable() const = 0;
 };
 
 using UpstreamConnectionPtr = std::shared_ptr<UpstreamConnection>;
 
-// Where connections to servers come from: the program's are sockets, simulations have their own.
+// Source of connections to servers. The program uses sockets; tests substitute their own.
 class Upstream {
  public:
   virtual ~Upstream() = default;
-  // A kept connection that looks alive, or a new one (always a new one where `force_new`); null where none
-  // came about in time.
+  // Returns an idle connection that looks alive, or a new one; always a new one if `force_new`. Null if none
+  // could be established in time.
   virtual boost::asio::awaitable<UpstreamConnectionPtr> open(std::string address, Millis deadline,
                                                              bool force_new) = 0;
-  // Keeps a connection whose call is over for the next one, or closes it.
+  // Returns a connection whose call has ended: it is kept for the next call, or closed.
   virtual void release(const std::string& address, UpstreamConnectionPtr connection) = 0;
+  // Closes the connections whose idle timeout has expired.
   virtual void close_idle(Millis now) = 0;
 };
 
+// Pool of TCP connections, with the idle ones kept by server address.
 class UpstreamConnectionPool : public Upstream {
  public:
   explicit UpstreamConnectionPool(boost::asio::io_context& io);
@@ -77,7 +80,7 @@
                                                      bool force_new) override;
   void release(const std::string& address, UpstreamConnectionPtr connection) override;
   void close_idle(Millis now) override;
-  // Bodies that were not the client's when they were to be sent, or had been.
+  // Counts request bodies that did not match their digest before or after they were sent.
   const BodyCheck& body_check() const { return *body_check_; }
 
  private:
