--- a/tests/system/forwarding_test.cpp
+++ b/tests/system/forwarding_test.cpp
@@ -1,4 +1,4 @@
-// Event streams, the choice of servers, and admission of a client's calls.
+// Event stream parser, choice of servers, and admission of a tenant's calls.
 #include <catch2/catch.hpp>
 #include <map>
 #include <random>
@@ -30,6 +30,7 @@
   return out;
 }
 
+// The servers that are chosen in `times` attempts.
 std::set<std::string> picked(ServerPool& pool, Millis now, int times = 200, bool is_item = false) {
   std::set<std::string> out;
   for (int i = 0; i < times; ++i) {
@@ -72,7 +73,7 @@
   for (const char* id : {"i0", "i3", "i6"}) pool.on_load_report(100, id, 9, 0, 10);
   CHECK(picked(pool, 110).size() >= 5);
   CHECK(picked(pool, 110).count("i0") == 0);
-  CHECK(picked(pool, 2000) == std::set<std::string>{"i0", "i3", "i6"});  // what was told is old
+  CHECK(picked(pool, 2000) == std::set<std::string>{"i0", "i3", "i6"});  // the load reports have expired
 }
 
 TEST_CASE("live calls pass by a server at which others wait, as long as another has none waiting") {
@@ -83,7 +84,7 @@
   CHECK(picked(pool, 110) == std::set<std::string>{"i1", "i2"});
   pool.on_load_report(120, "i1", 1, 5, 10);
   pool.on_load_report(120, "i2", 1, 5, 10);
-  CHECK(picked(pool, 130).size() == 3);  // before a call is refused
+  CHECK(picked(pool, 130).size() == 3);  // rather than refuse the call
 }
 
 TEST_CASE("items stay away from servers at which calls wait, and from those that run many") {
@@ -94,9 +95,9 @@
   pool.on_load_report(100, "i0", 0, 2, 10);
   pool.on_load_report(100, "i1", 40, 1, 96);
   CHECK(picked(pool, 110, 200, true) == std::set<std::string>{"i1"});
-  CHECK(pool.item_capacity(110, "s") == 2);  // two may wait for their first byte at a time
+  CHECK(pool.item_capacity(110, "s") == 2);  // two at a time may await their first byte
   pool.on_load_report(120, "i0", 7, 0, 10);
-  pool.on_load_report(120, "i1", 48, 0, 96);  // where slots are many, the pauses between events count
+  pool.on_load_report(120, "i1", 48, 0, 96);  // with many slots the gaps between events decide
   CHECK(picked(pool, 130, 200, true) == std::set<std::string>{"i0"});
   CHECK(pool.item_capacity(130, "s") == 1);
   pool.on_sent(130, "i0", true);
@@ -163,7 +164,7 @@
     pool.on_sent(0, "i1", false);
     pool.set_servers({server("i2", "a")});
     CHECK_FALSE(pool.is_usable("s", "i1"));
-    pool.on_call_ended(5, "i1", CallOutcome::kCompleted, false, false);  // and the call's end is no surprise
+    pool.on_call_ended(5, "i1", CallOutcome::kCompleted, false, false);  // the end of the call is accepted
     CHECK(picked(pool, 5) == std::set<std::string>{"i2"});
   }
 }
@@ -184,9 +185,9 @@
     pool.on_sent(1, "i1", true);
     pool.on_first_byte(1, "i1", 1, true);
   }
-  CHECK_FALSE(pool.pick(1, "s", {}, true));  // its part of eight tenths of ten slots
+  CHECK_FALSE(pool.pick(1, "s", {}, true));  // its half of eight tenths of ten slots
   pool.on_load_report(1, "i1", 4, 0, 10);
-  CHECK(pool.pick(1, "s", {}, true));  // the server tells that the others leave it more
+  CHECK(pool.pick(1, "s", {}, true));  // the report shows that the other node uses less
   pool.on_load_report(1, "i1", 8, 0, 10);
   CHECK_FALSE(pool.pick(1, "s", {}, true));
 }
@@ -204,7 +205,7 @@
   CHECK(sent == 8);  // eight tenths of ten slots
 }
 
-// Pools of so many nodes that all have items, before servers that have told nothing.
+// Server pools of `nodes` nodes that all have items, without load reports from the servers.
 std::vector<ServerPool> pools_of(std::size_t nodes, const std::vector<ListedServer>& listed) {
   std::vector<ServerPool> out;
   for (std::size_t i = 0; i < nodes; ++i) {
@@ -228,12 +229,12 @@
       ++items[chosen->id];
       REQUIRE(++sent < 1000);
     }
-    CHECK(sent >= 20);  // each node has servers enough of its own
+    CHECK(sent >= 20);  // each node may use enough servers
   }
   CHECK(items.size() == kServers);
   for (const auto& [id, count] : items) {
     INFO(id);
-    CHECK(count <= 16);  // twice eight tenths of ten slots, and not one of each node
+    CHECK(count <= 16);  // twice eight tenths of ten slots, not one per node
     CHECK(count >= 8);
   }
 }
--- a/tests/system/scripted_server.h
+++ b/tests/system/scripted_server.h
@@ -1,4 +1,5 @@
-// A server on loopback that does what a script says with each request, and the few lines of HTTP for it.
+// Test double of a server: listens on loopback and answers each request by a script. With helpers for HTTP
+// messages on plain sockets.
 #pragma once
 
 #include <arpa/inet.h>
@@ -13,6 +14,7 @@
 #include <thread>
 #include <vector>
 
+// Time after which a test no longer waits.
 inline constexpr int kTestTimeoutMs = 10000;
 
 inline sockaddr_in loopback(std::uint16_t port) {
@@ -30,7 +32,8 @@
   return ntohs(address.sin_port);
 }
 
-// Reads until a whole request, or an answer with a length, is there; empty at the end of the stream.
+// Reads one complete request, or response with a Content-Length, and leaves further bytes in `buffer`.
+// Returns an empty string at the end of the stream and after the timeout.
 inline std::string read_message(int fd, std::string& buffer) {
   for (;;) {
     const std::size_t head = buffer.find("\r\n\r\n");
@@ -63,26 +66,29 @@
   }
 }
 
+// Makes the next close() reset the connection.
 inline void reset_on_close(int fd) {
   const linger now{1, 0};
   ::setsockopt(fd, SOL_SOCKET, SO_LINGER, &now, sizeof(now));
 }
 
+// The value of the X-Request-Id header.
 inline std::string request_id_of(const std::string& request) {
   const std::size_t at = request.find("X-Request-Id: ");
   return request.substr(at + 14, request.find("\r\n", at) - at - 14);
 }
 
+// A response with status 200; without an X-Request-Id header if `id` is empty. `more`: further header lines.
 inline std::string http_response(const std::string& id, const std::string& body,
                                  const std::string& more = "") {
   return "HTTP/1.1 200 OK\r\n" + (id.empty() ? "" : "X-Request-Id: " + id + "\r\n") + more +
          "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-// Accepts connections on loopback and serves each on a thread of its own.
+// Accepts connections on loopback and handles each on its own thread.
 class LoopbackListener {
  public:
-  // `number`: of the connection, from 0.
+  // `number`: index of the connection, from 0.
   using ConnectionHandler = std::function<void(int fd, std::size_t number)>;
   explicit LoopbackListener(ConnectionHandler handler) : handler_(std::move(handler)) {
     listener_ = ::socket(AF_INET, SOCK_STREAM, 0);
@@ -98,7 +104,7 @@
 
   std::string address() const { return "127.0.0.1:" + std::to_string(port_); }
   int accepted() const { return accepted_; }
-  // Waits until all connections are over; takes no further ones.
+  // Accepts no further connections and waits until all handlers have returned.
   void stop() {
     if (!thread_.joinable()) return;
     ::shutdown(listener_, SHUT_RDWR);
@@ -128,7 +134,7 @@
   std::thread thread_;
 };
 
-// A server that does what a script says with each request: false ends the connection.
+// A server that calls a script for each request. The connection is closed when the script returns false.
 class ScriptedServer {
  public:
   using Script = std::function<bool(int fd, int number, const std::string& request)>;
--- a/tests/system/simulation_test.cpp
+++ b/tests/system/simulation_test.cpp
@@ -1,5 +1,5 @@
-// Whole tiers in simulated time: worlds from seeds, in which no promise may be broken, and planted faults
-// that have to be found.
+// Complete systems in simulated time: random scenarios, in which no guarantee may be violated, and injected
+// faults that have to be found.
 #include <atomic>
 #include <catch2/catch.hpp>
 #include <mutex>
@@ -18,7 +18,8 @@
   std::string first;
 };
 
-// Plays worlds on all cores. Each world is a thread's own, so their outcomes do not depend on the order.
+// Runs scenarios on all cores. Each one belongs to a single thread, so the outcomes do not depend on the
+// order.
 Totals play_worlds(std::uint64_t from, std::uint64_t count, Planted planted, bool until_broken) {
   Totals totals;
   std::mutex mutex;
@@ -43,7 +44,7 @@
 }  // namespace
 
 #ifdef PLANTED_VARIANT
-// Built with one file of the tier changed: see CMakeLists.txt.
+// Built with a fault injected into one source file: see CMakeLists.txt.
 TEST_CASE("the planted fault of this build is found") {
   start_logging("error");
   const Totals totals = play_worlds(1, 4000, Planted::kNone, true);
@@ -56,7 +57,7 @@
   const Totals totals = play_worlds(1, SIMULATED_WORLDS, Planted::kNone, false);
   INFO(totals.first);
   CHECK(totals.broken == 0);
-  // The worlds are neither idle nor dead.
+  // The scenarios did a minimum of work.
   CHECK(totals.orders > 30 * SIMULATED_WORLDS);
   CHECK(totals.results > 100 * SIMULATED_WORLDS);
 }
@@ -72,7 +73,7 @@
 TEST_CASE("faults planted in disk, clock and identity are found") {
   const auto planted = GENERATE(Planted::kAcknowledgeBeforeSync, Planted::kIdentityAfterWipe,
                                 Planted::kNoSyncAtStart, Planted::kStandingClock);
-  INFO("planted fault " << static_cast<int>(planted));
+  INFO("injected fault " << static_cast<int>(planted));
   CHECK(play_worlds(1, 2000, planted, true).broken > 0);
 }
 #endif
--- a/tests/system/soak_test.cpp
+++ b/tests/system/soak_test.cpp
@@ -1,5 +1,5 @@
-// A short soak from fixed seeds, and that its oracle sees what it is there to see. Long ones are played by
-// hand with nettlestand-soak.
+// A short soak test with fixed seeds, and tests of its oracle. Long soak tests are run by hand with
+// nettlestand-soak.
 #include "soak/soak.h"
 
 #include <signal.h>
@@ -34,6 +34,7 @@
   return out;
 }
 
+// A run of that request, as the server recorded it.
 standins::SeenRequest seen_request(const std::string& id) {
   standins::SeenRequest out;
   out.id = id;
@@ -43,7 +44,7 @@
   return out;
 }
 
-// What the oracle says of one request and its runs.
+// The violations that the oracle reports for one request and its runs.
 std::vector<std::string> violations_of(const LiveRequest& sent,
                                        const std::vector<standins::SeenRequest>& runs) {
   Ledger ledger;
@@ -56,7 +57,7 @@
 
 namespace {
 
-// Counts its calls in all processes that share it.
+// A counter in memory that is shared with child processes.
 std::atomic<int>* shared_counter() {
   void* memory =
       ::mmap(nullptr, sizeof(std::atomic<int>), PROT_READ | PROT_WRITE, MAP_SHARED | MAP_ANONYMOUS, -1, 0);
@@ -68,8 +69,9 @@
 
 }  // namespace
 
-// Catch2 has a handler for SIGTERM that allocates and prints. A child that is told to end between fork and
-// exec ran it, among locks that threads of its parent had held at the fork, and stood still for good.
+// Catch2 installs a SIGTERM handler that allocates and prints. A child process that received SIGTERM between
+// fork and exec ran this handler, and deadlocked on locks that other threads of the parent had held at the
+// fork.
 TEST_CASE("a process that is told to end before it is executed runs none of its parent's handlers") {
   constexpr int kStarts = 100, kEndedBySignal = -1;
   handler_calls = shared_counter();
@@ -81,7 +83,7 @@
   options.program = PROGRAM;
   {
     standins::TierWorld world(options);
-    world.kill(0);  // it was started with the world
+    world.kill(0);  // it was started by the constructor
     for (int i = 0; i < kStarts; ++i) {
       world.start(0, false);
       world.terminate(0);
@@ -103,7 +105,7 @@
   for (const std::string& line : report.broken) broken += line + "\n";
   INFO("seed " << options.seed << "\n" << broken);
   CHECK(report.broken.empty());
-  // It was neither idle nor dead.
+  // It did a minimum of work.
   CHECK(report.totals.served > 500);
   CHECK(report.totals.results > 50);
   CHECK(report.signals > 5);
@@ -117,7 +119,7 @@
   CHECK(violations_of(kept, {seen_request("a"), seen_request("nobody's")}).size() == 1);  // UNASKED
   CHECK(violations_of(live_request("a", false, 503), {seen_request("a")}).size() == 1);   // REFUSED
   CHECK(violations_of(live_request("a", false, 0), {seen_request("a")}).size() == 1);     // LOST
-  CHECK(violations_of(live_request("a", false, 0), {}).size() == 1);  // LOST, read and not passed on
+  CHECK(violations_of(live_request("a", false, 0), {}).size() == 1);  // LOST, read and not forwarded
   standins::SeenRequest changed = seen_request("a");
   changed.body = "";
   CHECK(violations_of(kept, {changed}).size() == 1);
--- a/tests/system/traffic_test.cpp
+++ b/tests/system/traffic_test.cpp
@@ -1,5 +1,5 @@
-// Fronts, forwarder and item runner over many worlds, among engines that answer, refuse, hang, break off and
-// stream, and clients that leave.
+// Request handlers, forwarder and item runner in many random scenarios, with servers that respond, reject,
+// hang, close the connection and stream, and with clients that disconnect.
 #include <catch2/catch.hpp>
 
 #include "traffic_world.h"
@@ -9,13 +9,13 @@
 TEST_CASE(
     "each server request is one that a client sent, byte for byte, and runs no more often than allowed") {
 #ifdef PLANTED_VARIANT
-  // The fault that is built in has to be found.
+  // This build contains an injected fault, which has to be found.
   std::string broken;
   std::uint64_t seed = 0;
   while (broken.empty() && seed < TRAFFIC_WORLDS) broken = traffic::World(++seed).run();
-  INFO("worlds played: " << seed);
+  INFO("scenarios run: " << seed);
   CHECK_FALSE(broken.empty());
-  WARN("found in world " << seed << ": " << broken);
+  WARN("found in scenario " << seed << ": " << broken);
 #else
   std::size_t answered = 0, items = 0, arrivals = 0;
   for (std::uint64_t seed = 1; seed <= TRAFFIC_WORLDS; ++seed) {
--- a/tests/system/traffic_world.cpp
+++ b/tests/system/traffic_world.cpp
@@ -49,7 +49,7 @@
   return out;
 }
 
-// The request line and headers of a request's bytes.
+// Request line and headers of a serialized request.
 struct ParsedHead {
   std::string method, target;
   std::map<std::string, std::string> headers;
@@ -71,7 +71,7 @@
   return out;
 }
 
-// What an engine does with a request.
+// What a fake server does with a request.
 enum class Behaviour {
   kNoConnection,
   kClosesBeforeRequest,
@@ -91,7 +91,7 @@
   return static_cast<Behaviour>(world.random_below(static_cast<std::uint64_t>(Behaviour::kAnswers) + 1));
 }
 
-// A connection to an engine, which answers by the drawn behaviour.
+// A connection to a fake server with one behaviour.
 class FakeConnection : public UpstreamConnection {
  public:
   FakeConnection(World& world, Behaviour behaviour) : world_(world), behaviour_(behaviour) {}
@@ -99,7 +99,7 @@
   asio::awaitable<bool> send(OutgoingRequest request, Millis, bool& sent) override {
     id_ = request.id;
     if (world_.is_known(id_) && world_.sent_request(id_).client_gone)
-      world_.fail("a request is sent after its client left: " + id_);
+      world_.fail("request sent after its client disconnected: " + id_);
     co_await world_.yield_randomly();
     if (cancelled_ || behaviour_ == Behaviour::kClosesBeforeRequest) co_return false;
     sent = true;
@@ -143,7 +143,7 @@
     if (stops && world_.chance(40)) {
       co_return behaviour_ == Behaviour::kClosesInBody ? Read::kBroken : Read::kTimedOut;
     }
-    // Who stops never gives the last byte.
+    // A server that stops midway never sends the last byte.
     const std::size_t left = body_.size() - read_ - (stops ? 1 : 0);
     if (left == 0) co_return Read::kBroken;
     bytes = body_.substr(read_, 1 + world_.random_below(left));
@@ -162,6 +162,7 @@
   bool is_stream_ = false, complete_ = false, cancelled_ = false;
 };
 
+// Opens connections to fake servers with random behaviour.
 class FakeUpstream : public Upstream {
  public:
   explicit FakeUpstream(World& world) : world_(world) {}
@@ -178,7 +179,7 @@
   World& world_;
 };
 
-// A client's end of a request: takes the answer, leaves now and then, and says whether the answer was right.
+// The client's side of a request: receives the response, may disconnect, and checks the response.
 class ClientExchange : public HttpExchange {
  public:
   ClientExchange(World& world, std::string id) : world_(world), id_(std::move(id)) {}
@@ -188,8 +189,9 @@
     ended_ = true;
     if (status == 429 || status == 503) world_.sent_request(id_).refused = true;
     if (world_.sent_request(id_).refused && world_.sent_request(id_).runs > 0)
-      world_.fail("a request that has run is refused: " + id_);
-    if (status >= 200 && status < 300 && status != 202) world_.fail("a success of the tier's own: " + id_);
+      world_.fail("request refused although it ran: " + id_);
+    if (status >= 200 && status < 300 && status != 202)
+      world_.fail("success response that no server sent: " + id_);
     co_return;
   }
   asio::awaitable<bool> start(int status, const HeaderList& headers, bool, std::uint64_t) override {
@@ -197,7 +199,7 @@
     status_ = status;
     const bool is_signed = std::any_of(headers.begin(), headers.end(),
                                        [this](const auto& header) { return header.second == "of " + id_; });
-    if (!is_signed) world_.fail("an answer without its server's signature: " + id_);
+    if (!is_signed) world_.fail("response without its server's signature: " + id_);
     co_await world_.yield_randomly();
     co_return !disconnected_;
   }
@@ -213,7 +215,7 @@
     const SentRequest& sent = world_.sent_request(id_);
     const bool is_whole_stream = sent.target.starts_with("/stream") && body_ == expected_events(id_, 1);
     if (!is_whole_stream && !sent.response_bodies.contains(body_))
-      world_.fail("another body than a server's: " + id_);
+      world_.fail("response body differs from the server's: " + id_);
   }
   void abort() override { ended_ = true; }
   // The client closes its connection.
@@ -227,7 +229,7 @@
 
  private:
   void on_response_started() {
-    if (ended_ || started_) world_.fail("a request is answered twice: " + id_);
+    if (ended_ || started_) world_.fail("second response to a request: " + id_);
     started_ = true;
   }
   World& world_;
@@ -238,7 +240,7 @@
 
 }  // namespace
 
-// Messages between the process's own front and its store; the copies' part is played by the world.
+// Messages between the node's own request handler and store; World answers those to the replica.
 class World::LoopbackMessenger : public RecordingMessenger {};
 
 World::World(std::uint64_t seed)
@@ -267,7 +269,7 @@
 }
 
 World::~World() {
-  // What still waits in the loop refers to this world.
+  // Handlers that are still queued refer to this object.
   io_.stop();
 }
 
@@ -277,7 +279,7 @@
     co_await asio::post(executor, asio::use_awaitable);
 }
 
-// As the platform's list shows them, again and again.
+// Sets the server list, as the platform does repeatedly.
 void World::list_servers() {
   std::vector<ListedServer> servers;
   for (std::size_t i = 0; i < kServers; ++i) {
@@ -301,7 +303,7 @@
   disk.table = std::make_unique<JobTable>();
   jobs_ = disk.table.get();
   auto journal = JobJournal::open(options, 55, *disk.table, steady_now());
-  if (!journal.ok()) return fail("no journal");
+  if (!journal.ok()) return fail("cannot open the journal");
   disk.journal = *std::move(journal);
   disk.queue = std::make_unique<storage::InlineDiskQueue>([raw = disk.journal.get()] { return raw->sync(); },
                                                           [] { return steady_now(); });
@@ -430,50 +432,50 @@
   store_->on_job_call(steady_now(), kOtherStore, call);
 }
 
-// The shard goes to another store, and comes back.
+// Makes another store the primary of the shard, or this one again.
 void World::move_shard() {
   shard_moved_ = !shard_moved_;
   set_placement(shard_moved_ ? std::vector<StoreId>{kOtherStoreDisk, store_->disk_id()}
                              : std::vector<StoreId>{store_->disk_id(), kReplicaDisk});
 }
 
-// ---------------------------------------------------------------- the engines' side
+// ---------------------------------------------------------------- servers
 
 void World::on_arrival(const std::string& id, const OutgoingRequest& request, bool runs) {
   ++arrivals_;
-  if (!is_known(id)) return fail("a server gets a request that nobody sent: " + id);
+  if (!is_known(id)) return fail("server received a request that no client sent: " + id);
   SentRequest& sent = sent_[id];
   const ParsedHead head = parse_head(request.bytes);
   const std::string body = request.bytes.substr(head.size);
-  if (head.method != sent.method || head.target != sent.target) fail("another method or target: " + id);
-  if (body != sent.body) fail("another body: " + id + " got " + std::to_string(body.size()));
+  if (head.method != sent.method || head.target != sent.target) fail("method or target differs: " + id);
+  if (body != sent.body) fail("body differs: " + id + " size " + std::to_string(body.size()));
   if (request.body_size != body.size() || request.body_digest != digest_of(sent.body)) {
-    fail("another digest than of the client's body: " + id);
+    fail("digest differs from that of the client's body: " + id);
   }
   for (const auto& [name, value] : sent.headers) {
     const auto found = head.headers.find(name);
-    if (found == head.headers.end() || found->second != value) fail("another " + name + ": " + id);
+    if (found == head.headers.end() || found->second != value) fail("header differs: " + name + ": " + id);
   }
   for (const char* own : {"X-Api-Key", "X-Hop", "Connection"}) {
-    if (head.headers.contains(own)) fail(std::string(own) + " goes on: " + id);
+    if (head.headers.contains(own)) fail(std::string(own) + " is forwarded: " + id);
   }
-  if (head.headers.at("X-Tenant") != kTenant) fail("another tenant: " + id);
-  if (head.headers.at("X-Request-Id") != id) fail("another id: " + id);
+  if (head.headers.at("X-Tenant") != kTenant) fail("tenant differs: " + id);
+  if (head.headers.at("X-Request-Id") != id) fail("request id differs: " + id);
   if (sent.is_item) {
     const std::string job = id.substr(0, id.find('-'));
     const Job* held = jobs_->find({kTenant, job});
-    if (held == nullptr || held->ended) fail("an item of a job that is not open: " + id);
-    if (shard_moved_) fail("an item of another store's job: " + id);
+    if (held == nullptr || held->ended) fail("item sent of a job that is not open: " + id);
+    if (shard_moved_) fail("item sent of a job whose primary is another store: " + id);
   }
   if (!runs) return;
   ++sent.runs;
-  if (sent.refused) fail("a request runs that was refused: " + id);
-  if (sent.runs > sent.max_runs) fail("a request runs more often than it may: " + id);
+  if (sent.refused) fail("request runs after it was refused: " + id);
+  if (sent.runs > sent.max_runs) fail("request runs more often than allowed: " + id);
 }
 
 void World::answer_as_replica() {
   for (const auto& [to, message] : messenger_->take<Replicate>(MessageType::kReplicate)) {
-    if (!is_fault_free() && chance(20)) continue;  // it is sent again
+    if (!is_fault_free() && chance(20)) continue;  // the message is sent again
     ReplicateReply reply{};
     reply.shard = message.shard;
     reply.epoch = message.epoch;
@@ -514,26 +516,26 @@
   }
   fault_free_ = true;
   if (shard_moved_) move_shard();
-  std::string open = "not played";
+  std::string open = "not run";
   for (int i = 0; i < kMaxFaultFreeSteps && failure_.empty() && !open.empty(); ++i) {
     step();
     open = check_jobs();
   }
   if (failure_.empty() && !open.empty()) fail(open);
-  if (failure_.empty() && !store_->body_check().is_clean()) fail("bodies differed on their way");
+  if (failure_.empty() && !store_->body_check().is_clean()) fail("bodies did not match their digests");
   return failure_;
 }
 
-// What is still open; empty once all is over.
+// Returns what is still open, or an empty string once all jobs are done. Checks the results.
 std::string World::check_jobs() {
   items_done_ = 0;
   for (const auto& [key, job] : jobs_->jobs()) {
-    if (job.open()) return "an open job's items are not all listed: " + key.id;
+    if (job.open()) return "job without a result for each item: " + key.id;
     for (const JobResult& result : job.results) {
       const std::string& id = job.spec.items[result.item].id;
       if (result.state != ResultState::kCompleted) continue;
       ++items_done_;
-      if (result.text != expected_text(id)) fail("a result is not the whole text of its item: " + id);
+      if (result.text != expected_text(id)) fail("result is not the complete text of its item: " + id);
     }
   }
   return "";
--- a/tests/system/traffic_world.h
+++ b/tests/system/traffic_world.h
@@ -1,5 +1,6 @@
-// One process of the tier with its fronts, forwarder, item runner and store, among engines and clients that
-// do what a seed says. The engines compare each request that reaches them with what a client has sent.
+// Random test scenario: the request handlers, forwarder, item runner and store of one node, with fake servers
+// and clients whose behaviour is derived from a seed. The fake servers compare each request that they receive
+// with what a client sent.
 #pragma once
 
 #include <absl/strings/escaping.h>
@@ -33,32 +34,34 @@
 namespace asio = boost::asio;
 
 inline constexpr int kMaxAttempts = 3;
-inline constexpr std::size_t kEventsPerStream = 4;  // of each stream
+inline constexpr std::size_t kEventsPerStream = 4;
 inline const std::string kTenant = "t", kKey = "k", kHost = "h.example";
 
-// A request as its client sent it, and what has become of it.
+// A request as its client sent it, and what became of it.
 struct SentRequest {
   std::string method = "POST", target, body;
-  std::map<std::string, std::string> headers;  // that have to go on
+  std::map<std::string, std::string> headers;  // that have to be forwarded
   bool repeatable = false, is_item = false;
   int max_runs = 1;
   int runs = 0;
-  bool refused = false;                   // with a promise that it has not run
-  bool client_gone = false;               // its client has left
-  std::set<std::string> response_bodies;  // whole bodies that engines have given
+  bool refused = false;                   // with the guarantee that it did not run
+  bool client_gone = false;               // its client has disconnected
+  std::set<std::string> response_bodies;  // complete bodies sent by servers
 };
 
+// The scenario of one seed.
 class World {
  public:
   explicit World(std::uint64_t seed);
   ~World();
-  // Plays requests and jobs under faults, then in calm until all is over; the first broken promise, or empty.
+  // Runs requests and jobs with faults, then without faults until all are done. Returns the first violation
+  // found, or an empty string.
   std::string run();
   std::size_t live_answered() const { return live_answered_; }
   std::size_t items_done() const { return items_done_; }
   std::size_t arrivals() const { return arrivals_; }
 
-  // ---- for clients, connections and engines
+  // ---- for the fake clients, connections and servers
   std::uint64_t random_below(std::uint64_t bound) { return random_() % bound; }
   bool chance(std::uint64_t percent) { return random_below(100) < percent; }
   void fail(const std::string& what) {
@@ -67,9 +70,10 @@
   bool is_fault_free() const { return fault_free_; }
   SentRequest& sent_request(const std::string& id) { return sent_[id]; }
   bool is_known(const std::string& id) const { return sent_.contains(id); }
-  // A request reaches an engine and runs there, or is turned away.
+  // A request reaches a server, which runs it or rejects it.
   void on_arrival(const std::string& id, const OutgoingRequest& request, bool runs);
   void on_answered() { ++live_answered_; }
+  // Lets other coroutines run a few times.
   asio::awaitable<void> yield_randomly();
 
  private:
@@ -105,7 +109,7 @@
   BatchRequestHandler batch_front_;
   ClientRequestHandler live_front_;
   std::map<std::string, SentRequest> sent_;
-  std::map<std::string, std::vector<std::string>> job_items_;  // of the jobs that were sent
+  std::map<std::string, std::vector<std::string>> job_items_;  // items of the submitted jobs
   std::set<std::string> ended_jobs_;
   std::string failure_;
   std::uint64_t last_id_ = 0;
