--- a/discovery/discovery.cpp
+++ b/discovery/discovery.cpp
@@ -17,18 +17,19 @@
 namespace http = beast::http;
 using boost::system::error_code;
 
-// What discovery has to tell counts as told 6 s after it could have been asked, or after a watch fell silent,
-// whatever came in between. So silence is noticed, and a call that comes to nothing is given up, soon enough
-// for another call within that time.
+// A change must be known here at the latest 6 s after discovery could have been asked, or after a watch fell
+// silent, whatever happened in between. The timeouts detect a silent watch and abandon a failed call soon
+// enough for another call within that time.
 constexpr auto kConnectTimeout = std::chrono::seconds(2);
-constexpr auto kResponseTimeout = std::chrono::seconds(3);  // calls wait in discovery's queue
-constexpr auto kSilenceTimeout = std::chrono::seconds(3);   // an empty line's period of 2 s, and half of that
-constexpr std::size_t kMaxBytesPerServer = 512;             // bytes of a list, for each server there may be
-// s. Where a fleet that has lost discovery asks more often, its calls keep discovery busy and all fail.
+constexpr auto kResponseTimeout = std::chrono::seconds(3);  // includes waiting in discovery's queue
+constexpr auto kSilenceTimeout = std::chrono::seconds(3);   // 1.5 times the interval of keep-alive lines, 2 s
+constexpr std::size_t kMaxBytesPerServer = 512;             // in a list
+// If all nodes retry more often after losing discovery, their calls overload it and all of them fail.
 constexpr double kMinBackoffSeconds = 0.25, kMaxBackoffSeconds = 4;
 
 }  // namespace
 
+// One streaming request for server lists.
 class Discovery::Watch : public std::enable_shared_from_this<Watch> {
  public:
   explicit Watch(Discovery& owner) : owner_(owner), stream_(owner.io_) {
@@ -75,7 +76,8 @@
                             });
   }
 
-  // Guards against a watch that is silent but up: without its empty lines for so long it counts as broken.
+  // Discovery sends empty lines as keep-alives; a watch without any input for kSilenceTimeout counts as
+  // failed.
   void read() {
     stream_.expires_after(kSilenceTimeout);
     http::async_read_some(stream_, buffer_, parser_,
@@ -85,23 +87,23 @@
                           });
   }
 
-  // What is cut in the middle of a line is dropped with its connection; only whole lines count.
+  // Processes complete lists only; a partial one is dropped with its connection.
   void process_lines() {
     splitter_.add(parser_.get().body());
     parser_.get().body().clear();
     while (const auto text = closed_ ? std::nullopt : splitter_.next()) {
-      // Guards against a list that can't be read or taken over: it must not leave this watch without a wait.
+      // A list that can't be parsed or applied must fail the watch, which would otherwise read no further.
       try {
         owner_.on_list_received(this, parse_server_list(*text, owner_.options_.zones));
       } catch (const std::exception& problem) {
-        owner_.last_seq_.reset();  // the whole list next time, or the same line would come for ever
+        owner_.last_seq_.reset();  // request the full list, or the same line would be sent again
         return fail(std::string("watch: ") + problem.what());
       }
     }
     if (closed_) return;
     if (splitter_.buffered_bytes() > owner_.options_.max_servers * kMaxBytesPerServer)
-      return fail("watch: a list too long");
-    if (parser_.is_done()) return fail("watch: ended");
+      return fail("watch: list too long");
+    if (parser_.is_done()) return fail("watch: closed by discovery");
     read();
   }
 
@@ -147,16 +149,16 @@
   current_->start();
 }
 
-// Guards the drains and the list over a move: the new address is asked at once and for the whole list, since
-// its versions need not be those of the old one, and nothing is given up before it has spoken.
+// Requests the full list from the new address at once, because its version numbers may differ from the old
+// address's. The old watch and list stay in use until the new address has delivered a list.
 void Discovery::set_address(const boost::asio::ip::tcp::endpoint& address) {
   if (is_shut_down_) return;
-  if (address == address_) {  // asked at once all the same, where it has failed and a pause is on
+  if (address == address_) {  // the same address: retry at once if it is in backoff
     if (!address_pending_) return watch();
     if (next_) return;
   }
   const std::string to = address.address().to_string() + ":" + std::to_string(address.port());
-  log_({LogLevel::kInfo, "discovery", "moved", "discovery: moves to " + to, {{"address", to}}});
+  log_({LogLevel::kInfo, "discovery", "moved", "discovery: switching to " + to, {{"address", to}}});
   address_ = address;
   last_seq_.reset();
   address_pending_ = true;
@@ -171,9 +173,10 @@
   next_->start();
 }
 
-// Jittered: all nodes lose it at once and must not come back at once.
+// The backoff is jittered: all nodes lose discovery at once and must not return at once.
 void Discovery::retry_after_backoff(std::function<void()> action) {
-  // An agent on the node's own machine answers at no cost, and what it has counts as told at once.
+  // With auto_retry, discovery is an agent on the node's own host: calls are cheap, and a change there must
+  // be known at once.
   backoff_seconds_ = std::clamp(backoff_seconds_ * 2, kMinBackoffSeconds,
                                 options_.auto_retry ? kMinBackoffSeconds : kMaxBackoffSeconds);
   retry_timer_.expires_after(std::chrono::milliseconds(
@@ -184,9 +187,9 @@
 }
 
 void Discovery::on_list_received(Watch* which, ServerList&& list) {
-  callbacks_.on_list(list);  // throws for what can't be taken over: the watch has not spoken well then
+  callbacks_.on_list(list);  // throws if it can't be applied; the watch is then not healthy
   if (which == next_.get()) {
-    if (current_) current_->close();  // what an abandoned watch says later is old
+    if (current_) current_->close();  // later lists of the old address are outdated
     current_ = std::exchange(next_, nullptr);
     address_pending_ = false;
   }
@@ -205,7 +208,7 @@
           "discovery: " + reason + "; the last list is kept",
           {{"why", reason}}});
   is_healthy_ = false;
-  if (which == next_.get()) {  // the module has not asked for this one: it is asked for again here
+  if (which == next_.get()) {  // opened by set_address(), so it is always retried here
     next_.reset();
     return retry_after_backoff([this] { open_next_watch(); });
   }
--- a/discovery/discovery.h
+++ b/discovery/discovery.h
@@ -1,5 +1,6 @@
-// The watch on discovery: one at a time, asked for again when it has failed. While discovery moves to another
-// address, a second one at the new address takes over as soon as it has spoken.
+// The watch on the discovery service: one long-lived HTTP request that streams server lists, reopened after a
+// failure. When the service's address changes, a second watch on the new address takes over as soon as it has
+// delivered a list.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -18,20 +19,21 @@
 
 namespace nettlestand {
 
+// Settings of the watch.
 struct DiscoveryOptions {
   boost::asio::ip::tcp::endpoint address;
-  std::vector<std::string> zones;    // their names, in the order of the settings
-  std::uint64_t seed = 0;            // for the jitter of what is asked again
-  std::optional<std::uint64_t> seq;  // of the list that is known already
-  bool auto_retry = true;            // after a failure, by itself; else whoever watches asks
-  std::size_t max_servers = 8192;    // bounds what it holds of a line
+  std::vector<std::string> zones;    // zone names, in the order of the settings
+  std::uint64_t seed = 0;            // of the backoff's jitter
+  std::optional<std::uint64_t> seq;  // version of the list that is already known
+  bool auto_retry = true;            // reopen a failed watch here; otherwise the owner calls watch()
+  std::size_t max_servers = 8192;    // bounds the buffer for one list
 };
 
-// Everything on the thread of the one event loop.
+// Client of the discovery service. Runs on the thread of the one event loop.
 class Discovery {
  public:
   struct Callbacks {
-    // Throws for a list that can't be taken over.
+    // Throws if the list can't be applied.
     std::function<void(const ServerList&)> on_list;
     std::function<void()> on_failure;
   };
@@ -39,14 +41,14 @@
   Discovery(boost::asio::io_context& io, DiscoveryOptions options, Callbacks callbacks, Log log);
   ~Discovery();
 
-  // Starts a watch unless one is under way. Where the module asks for watches it also chooses when to ask
-  // again; elsewhere that happens here.
+  // Opens a watch unless there is one. If the decision module requests watches, it also chooses when to
+  // retry; otherwise retries happen here (auto_retry).
   void watch();
 
-  // The end: nobody is told of anything from here on.
+  // Closes the watches; no callback is called afterwards.
   void shut_down();
 
-  // Discovery is at another address from now on. Until that has spoken, what the old watch says still counts.
+  // Switches to another address. The old watch stays in use until the new address has delivered a list.
   void set_address(const boost::asio::ip::tcp::endpoint& address);
 
  private:
@@ -62,10 +64,9 @@
   Callbacks callbacks_;
   const Log log_;
   boost::asio::ip::tcp::endpoint address_;
-  std::optional<std::uint64_t>
-      last_seq_;  // of what this address told; without it the whole list is asked for
-  std::shared_ptr<Watch> current_, next_;  // next: at an address that has not spoken yet
-  bool address_pending_ = false;           // the address has not spoken yet
+  std::optional<std::uint64_t> last_seq_;  // from this address; without it the full list is requested
+  std::shared_ptr<Watch> current_, next_;  // next_: on a new address without a list yet
+  bool address_pending_ = false;           // no list from the current address yet
   bool is_healthy_ = true, is_shut_down_ = false;
   double backoff_seconds_ = 0;
   std::minstd_rand random_;
--- a/discovery/server_list_parser.cpp
+++ b/discovery/server_list_parser.cpp
@@ -13,13 +13,13 @@
 namespace json = quinceusher::json;
 using json::Json;
 
-constexpr std::size_t kMaxHostBytes = 255;  // bytes of a server's name
+constexpr std::size_t kMaxHostBytes = 255;  // of a server's name
 
 int zone_index_of(std::string_view name, const std::vector<std::string>& zones) {
   for (std::size_t i = 0; i < zones.size(); ++i) {
     if (zones[i] == name) return static_cast<int>(i);
   }
-  return static_cast<int>(zones.size());  // none that the settings name: not this node's own
+  return static_cast<int>(zones.size());  // not in the settings, so it is not this node's own zone
 }
 
 ListedServer read_server(const Json& in, const std::vector<std::string>& zones) {
@@ -64,8 +64,9 @@
   return server_list_from_json(json::parse(text), zones);
 }
 
-// Guards against a list that never ends: discovery writes nothing inside of one, so an empty line there,
-// which tells that nothing has changed, tells that the list was cut. So does a line's end inside of a string.
+// Also ends a truncated list, which would otherwise never be complete. Discovery writes empty lines as
+// keep-alives, but never within a list, so an empty line or a line break in a string means that the list is
+// truncated.
 std::optional<std::string_view> ServerListSplitter::next() {
   buffer_.erase(0, text_end_);
   scanned_ -= text_end_;
--- a/http/arena_parser.h
+++ b/http/arena_parser.h
@@ -1,5 +1,5 @@
-// Memory for the fields of one message at a time: what a parser takes for them is given back at once with the
-// next.
+// A message parser whose header fields are allocated in an arena, which is released as a whole with the next
+// message.
 #pragma once
 
 #include <array>
@@ -17,7 +17,7 @@
 using FieldAllocator = std::pmr::polymorphic_allocator<char>;
 using Fields = boost::beast::http::basic_fields<FieldAllocator>;
 
-// A parser of messages with whole bodies; heads of up to `Bytes` take one piece of the heap.
+// Parses messages with complete bodies. Heads of up to `Bytes` bytes need a single heap allocation.
 template <bool IsRequest, std::size_t Bytes>
 class ArenaParser {
  public:
@@ -34,7 +34,7 @@
   void reset() { state_.reset(); }
 
  private:
-  // Apart, so that an idle connection holds none of it.
+  // Allocated separately, so that an idle connection uses no memory for it.
   struct State {
     std::array<std::byte, Bytes> bytes;
     std::pmr::monotonic_buffer_resource memory{bytes.data(), bytes.size()};
--- a/http/listener.cpp
+++ b/http/listener.cpp
@@ -23,20 +23,19 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-constexpr std::size_t kMaxOtherBodyBytes = 64 * 1024;  // bytes of a body that is not for /api
-constexpr std::size_t kMaxPipelinedBytes =
-    8 * 1024;  // bytes kept of a next request while one is being answered
-constexpr std::size_t kMaxCopiedBodyBytes = 4 * 1024;   // bytes of a body that are copied behind its head
-constexpr std::size_t kMaxDiscardedBytes = 256 * 1024;  // bytes thrown away after the last answer
-constexpr double kEndingTimeoutSeconds = 1;             // s for a client to close after its last answer
-constexpr double kEvictionGraceSeconds =
-    0.25;  // s in which a new connection or a request being read is not evicted
-constexpr int kMaxEvictionCandidates = 16;  // connections looked at to find one that can go
+constexpr std::size_t kMaxOtherBodyBytes = 64 * 1024;   // of a request that is not for /api
+constexpr std::size_t kMaxPipelinedBytes = 8 * 1024;    // kept of further requests while one is pending
+constexpr std::size_t kMaxCopiedBodyBytes = 4 * 1024;   // larger bodies are written separately from the head
+constexpr std::size_t kMaxDiscardedBytes = 256 * 1024;  // after the last response
+constexpr double kEndingTimeoutSeconds = 1;             // for a client to close after its last response
+constexpr double kEvictionGraceSeconds = 0.25;          // new connections and requests being read are spared
+constexpr int kMaxEvictionCandidates = 16;              // examined per list for one eviction
 constexpr auto kSweepPeriod = std::chrono::milliseconds(200);
-constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(20);  // after a failed accept: never a busy loop
+constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(20);  // avoids a busy loop after a failed accept
 
 }  // namespace
 
+// A caller's connection, which handles one request at a time.
 class Listener::Connection final : public std::enable_shared_from_this<Connection>,
                                    public Caller,
                                    public Poller::Watcher {
@@ -57,7 +56,7 @@
     enter(State::kUnused);
   }
 
-  // The last look: what has come is answered, and the rest is told that it came too late.
+  // Reads a last time: complete requests get a response, and an incomplete one gets an error.
   void end_reading() {
     const auto self = shared_from_this();
     run_guarded([&] {
@@ -66,17 +65,17 @@
     });
   }
 
-  // Ends it unless a request is being read, waits or is being answered.
+  // Ends the connection unless a request is being read, is pending or is being answered.
   bool end_if_idle() {
     if (state_ != State::kIdle && state_ != State::kUnused) return false;
     char byte = 0;
-    // What has come and is not read yet is a request that this machine has taken.
+    // Bytes not read yet belong to a request that this host has already acknowledged.
     if (socket_.read(&byte, 1, MSG_PEEK) > 0) return false;
     end();
     return true;
   }
 
-  // Ends it with an error where it has sent a part of a request and has had its time.
+  // Ends the connection, with a 408 for an incomplete request, if it has exceeded the time limit.
   bool end_if_overdue(double limit) {
     if (now() - (has_answered_ ? state_since_ : connected_at_) < limit) return false;
     static constexpr std::string_view kRequestTimeoutResponse =
@@ -86,9 +85,9 @@
     return true;
   }
 
-  // Ends it in order. Guards what was written last, and the client: closing over unread bytes resets the
-  // connection, and may take an answer with it that the client has not read; a request that crosses this end
-  // is never read, so that its client may send it again. So what still comes is thrown away for a while.
+  // Shuts the connection down in order. Closing a socket with unread bytes would reset the connection, which
+  // may destroy a response that the client has not read yet. Further input is therefore discarded for a
+  // while. A request that crosses the shutdown is never parsed, so its client may send it again.
   void end() {
     reader_.reset();
     socket_.shutdown_send();
@@ -97,15 +96,15 @@
     read();
   }
 
-  // Closes it where its end has been seen, by all that can be told.
+  // Closes the connection if the client has probably seen its end.
   bool close_if_end_seen() {
     if (!socket_.end_arrived() && now() - state_since_ < kEvictionGraceSeconds) return false;
-    run_guarded([this] { read(); });  // what crossed the end: closing over it would reset the connection
+    run_guarded([this] { read(); });  // closing with unread bytes would reset the connection
     close();
     return true;
   }
 
-  // Asks the socket: the close may lie there while this loop is busy with something else.
+  // Asks the socket itself, because the event loop may not have processed the client's close yet.
   bool left() const override {
     if (state_ != State::kWaiting) return true;
     pollfd at{socket_.descriptor(), POLLRDHUP, 0};
@@ -148,7 +147,7 @@
   static bool is_busy(State state) { return state == State::kWaiting || state == State::kWriting; }
 
   void enter(State state) {
-    const auto self = weak_from_this().lock();  // its place may be what keeps it
+    const auto self = weak_from_this().lock();  // its list entry may hold the last reference
     if (ConnectionList* list = is_listed_ ? list_for(state_) : nullptr) list->erase(list_position_);
     is_listed_ = false;
     if (is_busy(state_)) --listener_.busy_count_;
@@ -161,7 +160,7 @@
     }
   }
 
-  // Guards the other connections: what goes wrong in one, be it memory, ends that one alone.
+  // An exception on one connection, such as a failed allocation, ends only that connection.
   template <class Step>
   void run_guarded(Step&& step) {
     try {
@@ -170,7 +169,7 @@
       listener_.log_({LogLevel::kError,
                       "listener",
                       "connection_ended",
-                      std::string("a caller's connection ends: ") + problem.what(),
+                      std::string("closing a caller's connection: ") + problem.what(),
                       {{"why", std::string(problem.what())}}});
       close();
     }
@@ -180,18 +179,18 @@
     const auto self = shared_from_this();
     run_guarded([&] {
       if ((events & EPOLLOUT) != 0 && state_ == State::kWriting) write();
-      // A client that has ended its side has gone, whatever it has left behind unread. But what is being
-      // thrown away is so up to its end, for what was written last.
+      // A client that has closed its side is gone, even with unread bytes left. In the ending state the input
+      // is discarded up to its end, so that the last response is not lost to a reset.
       const bool ended = (events & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0;
       if (ended && state_ != State::kEnding) return close();
       if ((events & ~static_cast<std::uint32_t>(EPOLLOUT)) != 0) read();
     });
   }
 
-  // Reads what is there, also while a request waits for its answer: what its client does is told in between.
+  // Reads the available input, also while a request is pending, in order to notice that the client closes.
   void read() {
     while (state_ != State::kClosed) {
-      // Guards the memory: so much is kept of a next request, and the rest is read when this one is answered.
+      // Bounds the memory for pipelined requests; the rest is read once this one is answered.
       reading_paused_ = is_busy(state_) && in_.size() >= kMaxPipelinedBytes;
       if (reading_paused_) return;
       const ssize_t got = socket_.read(listener_.scratch_.data(), listener_.scratch_.size());
@@ -202,19 +201,19 @@
         if ((discarded_bytes_ += size) > kMaxDiscardedBytes) return close();
         continue;
       }
-      // A request's time counts from its last byte; of what is kept for later, from the first.
+      // A request's deadline counts from its last byte; for pipelined input, from the first.
       if (!is_busy(state_) || in_.empty()) received_at_ = now();
       in_.append(listener_.scratch_.data(), size);
-      if (!is_busy(state_)) {  // else the next request's bytes are kept
+      if (!is_busy(state_)) {  // otherwise the bytes are kept for the next request
         if (state_ != State::kReading) enter(State::kReading);
         parse_pending();
       }
-      if (size < listener_.scratch_.size()) return;  // that was all; more makes it ready again
+      if (size < listener_.scratch_.size()) return;  // no more input for now; ready() follows when there is
     }
   }
 
-  // Reads requests out of what has come, until one waits or more is needed. Not by recursion: answers that
-  // are there at once would nest.
+  // Parses requests from the input until one is pending or more input is needed. A loop instead of recursion,
+  // because immediate responses would nest.
   void parse_pending() {
     parse_again_ = true;
     if (is_parsing_) return;
@@ -230,7 +229,7 @@
       case RequestReader::Step::kRejected:
         return reject(reader_.rejection());
       case RequestReader::Step::kHead:
-        // Guards against a request that runs twice, or an answer that goes to the wrong client.
+        // A duplicate id could run a request twice or return a response to the wrong client.
         if (reader_.is_call() && listener_.engine_.has_request(reader_.client_id()))
           return reject(kRequestIdInUse);
         if (reader_.expects_continue()) {
@@ -282,7 +281,7 @@
     if (std::exchange(head_only_, false)) response_.body.clear();
     enter(State::kWriting);
     written_ = 0;
-    if (response_.body.size() <= kMaxCopiedBodyBytes) {  // one part is written quicker than two
+    if (response_.body.size() <= kMaxCopiedBodyBytes) {  // one part is faster to write than two
       response_head_ += response_.body;
       response_.body.clear();
     }
@@ -297,7 +296,7 @@
           of_body > 0 ? std::string_view()
                       : std::string_view(response_head_).substr(std::min(written_, response_head_.size()));
       const ssize_t sent = socket_.write(head, std::string_view(response_.body).substr(of_body));
-      if (sent < 0 && Socket::would_block()) return;  // it gets ready for more
+      if (sent < 0 && Socket::would_block()) return;  // ready() continues
       if (sent <= 0) return close();
       written_ += static_cast<std::size_t>(sent);
     }
@@ -326,7 +325,7 @@
   State state_ = State::kNew;
   bool is_listed_ = false, head_only_ = false, close_after_ = false;
   bool reading_paused_ = false, is_parsing_ = false, parse_again_ = false;
-  bool has_answered_ = false;  // has had an answer
+  bool has_answered_ = false;  // has had a response
   ConnectionList::iterator list_position_;
   double state_since_ = 0, received_at_ = 0;
   const double connected_at_ = now();
@@ -358,8 +357,8 @@
   close_expired();
 }
 
-// Guards the limit on descriptors: a connection that does nothing makes room; where there is none, the rest
-// wait in the machine's queue until one ends.
+// Keeps to the descriptor limit: inactive connections are evicted; if there is none, new clients wait in the
+// kernel's accept queue until a connection closes.
 void Listener::accept() {
   if (accept_pending_ || !acceptor_.is_open()) return;
   accept_pending_ = true;
@@ -368,7 +367,7 @@
     if (error == asio::error::operation_aborted) return;
     if (error) return retry_accept_later();
     for (int i = 0; i < 64; ++i) {
-      // Guards who has just been accepted: nobody is pushed out where nobody waits to come in.
+      // Evicts a connection only if a client is waiting, which spares those just accepted.
       if (connection_count_ >= max_connections_ - ending_reserve()) {
         if (!has_pending_client()) break;
         if (connection_count_ - ending_.size() >= max_connections_ - ending_reserve()) evict_one();
@@ -379,14 +378,14 @@
           log_({LogLevel::kWarning,
                 "listener",
                 "full",
-                "no room for further connections of callers",
+                "connection limit reached; new callers wait in the accept queue",
                 {{"connections", static_cast<std::int64_t>(connection_count_)}}});
         is_full_ = true;
-        return;  // the next one that closes accepts
+        return;  // on_connection_closed() resumes accepting
       }
       if (!accept_one()) {
         if (Socket::would_block() || errno == ECONNABORTED) break;
-        evict_one();  // no descriptor left, most likely
+        evict_one();  // probably out of descriptors
         reclaim_ended();
         return retry_accept_later();
       }
@@ -408,7 +407,7 @@
   });
 }
 
-// False with errno where there is none.
+// False with errno set if no connection was accepted.
 bool Listener::accept_one() {
   const int descriptor = ::accept4(acceptor_.native_handle(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
   if (descriptor < 0) return false;
@@ -419,7 +418,7 @@
     log_({LogLevel::kError,
           "listener",
           "connection_not_taken",
-          std::string("a caller's connection is not taken: ") + problem.what(),
+          std::string("cannot set up a caller's connection: ") + problem.what(),
           {{"why", std::string(problem.what())}}});
   }
   return true;
@@ -430,22 +429,22 @@
   if (is_full_) accept();
 }
 
-// Frees the descriptor of who was ended longest ago, if its client's machine knows of that, or has had time
-// to.
+// Closes the connection that was ended longest ago, if the client's host has acknowledged the end or has had
+// time to.
 bool Listener::reclaim_ended() {
   if (ending_.empty()) return false;
   const std::shared_ptr<Connection> oldest = ending_.front();
   return oldest->close_if_end_seen();
 }
 
-// The most useless go first: those that never sent a byte, those that are idle, and last those that are slow
-// to send. Guards the usual clients against hundreds that connect and wait.
+// Evicts connections that have never sent a byte first, then idle ones, then those that send slowly, so that
+// hundreds of clients that only connect don't displace the others.
 void Listener::evict_one() {
-  // Guards clients that have just connected and are about to send: evicted at once, they would come again,
-  // and push each other out for ever (seen: 800 connections a second).
+  // Spares clients that have just connected and are about to send: evicted at once, they reconnect and
+  // displace each other endlessly (seen: 800 connections a second).
   const double old = now() - kEvictionGraceSeconds;
   const auto evict = [](const ConnectionList& list, double before) {
-    int candidates = 0;  // one with a request that is not read yet must not protect those behind it
+    int candidates = 0;  // one with unread input must not shield those behind it
     for (auto it = list.begin(); it != list.end() && candidates < kMaxEvictionCandidates; ++candidates) {
       const std::shared_ptr<Connection> next = *it++;
       if (next->state_since() > before) break;
@@ -474,7 +473,7 @@
     const std::shared_ptr<Connection> next = *it++;
     next->end_if_overdue(limits_.read);
   }
-  if (is_full_) accept();  // what was busy when somebody wanted in may be idle by now
+  if (is_full_) accept();  // a connection that was busy before may be idle by now
   sweep_timer_.expires_after(kSweepPeriod);
   sweep_timer_.async_wait([this](const error_code& error) {
     if (!error) close_expired();
@@ -483,7 +482,8 @@
 
 void Listener::close_idle_connections() {
   closing_idle_ = true;
-  // Guards who has just connected and is about to send: it has no answer yet that would tell it to leave.
+  // Spares clients that have just connected and are about to send: they have no response yet that tells them
+  // to leave.
   const double old = now() - kEvictionGraceSeconds;
   for (const ConnectionList* list : {&unused_, &idle_}) {
     const ConnectionList all = *list;
--- a/http/listener.h
+++ b/http/listener.h
@@ -1,4 +1,5 @@
-// Callers' connections: reads requests, answers what needs no server, and passes /api on to the engine.
+// The HTTP/1.1 listener for callers: reads requests, responds to those that need no server, and submits
+// requests for /api to the engine.
 #pragma once
 
 #include <array>
@@ -17,33 +18,34 @@
 
 namespace nettlestand {
 
-// How long a listener waits for its clients.
+// Timeouts of a listener's connections.
 struct ListenerLimits {
-  double idle = 20;   // s without a request
-  double read = 2.2;  // s for a request, from the connection's start if it is its first
-  double write = 5;   // s for a client to take its answer
+  double idle = 20;   // s; without a request
+  double read = 2.2;  // s; for receiving a request, from the connection's start for the first one
+  double write = 5;   // s; for writing a response
 };
 
+// Accepts connections and limits their number by evicting inactive ones.
 class Listener {
  public:
   class Connection;
 
-  // Throws boost::system::system_error when the address can't be listened on.
+  // Throws boost::system::system_error if it can't listen on the address.
   Listener(boost::asio::io_context& io, Poller& poller, const boost::asio::ip::tcp::endpoint& address,
            RequestValidator request_validator, Engine& engine, ByteBudget& budget,
            std::size_t max_connections, const ListenerLimits& limits, Log log);
 
   boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
 
-  // Says that the node leaves: /healthz answers 503 from now on. Clients may go on using what they have.
+  // Starts draining: /healthz responds with 503 from now on. Clients may keep using their connections.
   void drain() { draining_ = true; }
-  // Answers from now on end their connections, and what is idle is ended; to be called again and again, for
-  // what becomes idle later. New ones are still accepted.
+  // From now on each response ends its connection, and idle connections are ended. Must be called repeatedly,
+  // for connections that become idle later. New connections are still accepted.
   void close_idle_connections();
-  // No request is sent on from here on: those that have come are refused, half of one gets its error, and
-  // every connection on which nothing waits for its answer is ended. After stop_accepting().
+  // Stops forwarding requests: those received from now on are refused, an incomplete one gets an error, and
+  // every connection without a pending response is ended. Call it after stop_accepting().
   void stop_reading();
-  // Accepts what has been connected by now, and nothing after that.
+  // Accepts the connections that are already queued, and none after that.
   void stop_accepting();
   std::size_t connections() const { return connection_count_; }
 
@@ -58,7 +60,7 @@
   bool reclaim_ended();
   void on_connection_closed();
   void close_expired();
-  // Of the connections, so many are for those that have been ended and whose clients have not closed yet.
+  // The part of the connections reserved for ended ones whose clients have not closed yet.
   std::size_t ending_reserve() const { return max_connections_ / 8; }
   bool is_saturated() const { return busy_count_ > max_connections_ - max_connections_ / 8; }
 
@@ -70,12 +72,13 @@
   const std::size_t max_connections_;
   const ListenerLimits limits_;
   std::size_t connection_count_ = 0,
-              busy_count_ = 0;  // busy: with a request that waits for its answer or gets it
+              busy_count_ = 0;  // busy: a response is pending or being written
   bool draining_ = false, closing_idle_ = false, reading_stopped_ = false, accept_pending_ = false,
        is_full_ = false;
-  // Each in the order in which they became so. fresh: has sent nothing yet; ending: has its last answer.
+  // Connections by state, each list ordered by the time of entry. unused_: no bytes received yet; ending_:
+  // the last response is written.
   ConnectionList unused_, idle_, reading_, writing_, ending_;
-  std::array<char, 16 * 1024> scratch_{};  // what is read goes through here: one thread, one buffer
+  std::array<char, 16 * 1024> scratch_{};  // read buffer, shared because there is one thread
   boost::asio::ip::tcp::acceptor acceptor_;
   boost::asio::steady_timer accept_retry_timer_, sweep_timer_;
 };
--- a/http/request_reader.cpp
+++ b/http/request_reader.cpp
@@ -8,8 +8,8 @@
 
 namespace http = boost::beast::http;
 
-constexpr std::size_t kMaxBodyBytes = 64 * 1024;  // bytes, of a request for /api
-constexpr std::size_t kMaxHeadBytes = 8 * 1024;   // bytes, of a request's head and of a chunk's
+constexpr std::size_t kMaxBodyBytes = 64 * 1024;  // of a request for /api
+constexpr std::size_t kMaxHeadBytes = 8 * 1024;   // of a request's head, and of a chunk header
 
 }  // namespace
 
@@ -26,8 +26,8 @@
   claim_ = {};
 }
 
-// Not eager: an eager parser of Beast 1.74 goes on after a head whose body is over the limit, and takes the
-// body for more of the head.
+// The parser is not eager: an eager parser of Beast 1.74 continues after a head whose body is over the limit,
+// and parses the body as part of the head.
 RequestReader::Step RequestReader::read(std::string& in) {
   if (!parser_) {
     parser_.emplace();
@@ -40,7 +40,7 @@
   while (from < in.size() && !parser_->is_done()) {
     const bool in_head = !parser_->is_header_done();
     const std::string_view bytes = std::string_view(in).substr(from);
-    // Guards against a header that goes on in the next line: Beast joins them, others read them as two.
+    // Beast joins folded header lines, while other parsers read them as two.
     if (in_head && has_folded_line(bytes)) return reject(400);
     const std::size_t body = parser_->get().body().size();
     const std::size_t used = parser_->put(boost::asio::buffer(bytes.data(), bytes.size()), error);
@@ -48,7 +48,7 @@
     std::size_t framing = used - (parser_->get().body().size() - body);
     if (in_head) framing = head_bytes_ += framing;
     if (error == http::error::need_more) framing += in.size() - from;
-    // Guards against heads and chunk heads without end: Beast's own limit counts no line that is whole.
+    // Bounds heads and chunk headers: Beast's own limit doesn't count complete lines.
     if (framing > kMaxHeadBytes) return reject(431);
     if (error == http::error::need_more) break;
     if (error) {
@@ -59,7 +59,7 @@
       in.erase(0, from);
       return on_head();
     }
-    // The last of a chunked body are its trailers, all at once.
+    // A chunked body ends with its trailers, which the parser consumes in one call.
     if (parser_->is_done() && parser_->chunked() && has_folded_line(bytes.substr(0, used)))
       return reject(400);
     const std::size_t now = parser_->get().body().size();
@@ -71,7 +71,7 @@
   return parser_->is_done() ? Step::kRequest : Step::kNeedMore;
 }
 
-// Looks at a request as soon as its head is there: what can't be used is turned away without its body.
+// Validates a request as soon as its head is complete, so that an invalid one is rejected before its body.
 RequestReader::Step RequestReader::on_head() {
   const RequestValidator::Head& head = parser_->get().base();
   keep_alive_ = parser_->get().keep_alive();
@@ -88,7 +88,7 @@
       upstream_request_ = std::make_shared<UpstreamRequest>();
       call_.emplace(request_validator_.read_call(head, fields, *upstream_request_));
     }
-    // Guards the memory limit: answers need room too, so requests leave half of the budget to them.
+    // Requests may use at most half of the memory budget; the other half is left for responses.
     if (!claim_.grow_to(length, budget_.size() / 2)) throw RequestRejection{503, "no memory to spare"};
   } catch (const RequestRejection& bad) {
     return reject(bad.status, bad.what);
--- a/http/request_reader.h
+++ b/http/request_reader.h
@@ -1,5 +1,5 @@
-// Reads one connection's requests: bytes in, requests or verdicts out. No sockets and no clock. Every front
-// that takes HTTP/1.1 reads through it, so that the same bytes mean the same everywhere.
+// Parses the requests of one connection: takes bytes and returns requests or rejections, without sockets or a
+// clock. Every front end that accepts HTTP/1.1 uses it, so that all of them interpret the same bytes alike.
 #pragma once
 
 #include <optional>
@@ -14,38 +14,39 @@
 
 namespace nettlestand {
 
+// Parses and validates one request at a time.
 class RequestReader {
  public:
   enum class Step {
-    kNeedMore,  // all that was there is taken, and more is needed
-    kHead,      // a sound head has come; read() goes on with the body
-    kRequest,   // a whole request: path(), method(), body(), call()
-    kRejected   // verdict(): nothing that follows on this connection can be read
+    kNeedMore,  // all input is consumed, and more is needed
+    kHead,      // the head is complete and valid; read() continues with the body
+    kRequest,   // the request is complete: request(), path(), take_call()
+    kRejected   // see rejection(); nothing after it on this connection can be read
   };
 
-  // `other_body_limit`: bytes of the body of a request that is not for /api.
+  // `other_body_limit`: maximum body size in bytes of a request that is not for /api.
   RequestReader(const RequestValidator& request_validator, ByteBudget& budget, std::size_t other_body_limit)
       : request_validator_(request_validator), budget_(budget), other_body_limit_(other_body_limit) {}
 
-  // Takes from the front of `in` as much as belongs to the request at hand.
+  // Consumes from the front of `in` what belongs to the current request.
   Step read(std::string& in);
 
-  // From kHead on.
+  // Available from kHead on.
   bool is_call() const { return call_.has_value(); }
   const std::string& client_id() const { return call_->client_id; }
   bool expects_continue() const { return expects_continue_; }
   bool keep_alive() const { return keep_alive_; }
-  // At kRejected.
+  // Available at kRejected.
   const RequestRejection& rejection() const { return rejection_; }
-  // At kRequest. The views hold until forget().
+  // Available at kRequest. The views are valid until reset().
   const boost::beast::http::message<true, boost::beast::http::string_body, Fields>& request() const {
     return parser_->get();
   }
   std::string_view path() const { return RequestValidator::path_of(parser_->get()); }
-  // The request for /api, with its body; only once, and only where is_call(). Throws RequestRejection.
+  // Moves out the request for /api with its body. May be called once, if is_call(). Throws RequestRejection.
   Call take_call(double received_at);
 
-  // Lets go of all that is held of a request; the next one may be read.
+  // Releases everything held for the current request, so that the next one can be read.
   void reset();
 
  private:
@@ -60,7 +61,7 @@
   std::shared_ptr<UpstreamRequest> upstream_request_;
   std::size_t head_bytes_ = 0;
   bool keep_alive_ = false, expects_continue_ = false;
-  Claim claim_;  // on the bytes of the body
+  Claim claim_;  // memory reserved for the body
   RequestRejection rejection_{400, nullptr};
 };
 
--- a/http/request_validator.cpp
+++ b/http/request_validator.cpp
@@ -15,17 +15,18 @@
 
 namespace http = boost::beast::http;
 
-constexpr double kMaxTimeoutSeconds = 600;     // s
+constexpr double kMaxTimeoutSeconds = 600;
 constexpr std::size_t kMaxNameBytes = 128;     // bytes of an id or a key
 constexpr std::size_t kMaxTargetBytes = 2048;  // bytes
 
-// What the lines are called; those up to kFencingToken are the protocol's and our own.
+// In the order of FieldId. The fields up to kFencingToken belong to this service's protocol; the others are
+// standard HTTP.
 constexpr std::array<std::string_view, RequestValidator::kFieldCount> kFieldNames = {
     "Request-Id",   "Request-Class", "Tenant",         "Request-Timeout-Ms", "Idempotency-Key",
     "Client-Retry", "Work-Hint",     "Request-Info",   "Fencing-Token",      "Host",
     "Cookie",       "Content-Type",  "Content-Length", "Transfer-Encoding",  "Expect"};
-// Those that go on to the server, in this order; but for the time, which the transport writes. Whatever else
-// came says nothing to a server, or belongs to the one connection.
+// The fields that are forwarded to the server, in this order. The transport writes Request-Timeout-Ms itself.
+// Other fields have no meaning for the servers or are specific to the client's connection.
 constexpr std::array kForwardedFields = {RequestValidator::kHost,           RequestValidator::kCookie,
                                          RequestValidator::kContentType,    RequestValidator::kRequestId,
                                          RequestValidator::kRequestClass,   RequestValidator::kTenant,
@@ -33,7 +34,7 @@
                                          RequestValidator::kWorkHint,       RequestValidator::kRequestInfo};
 constexpr std::size_t kTypicalHeadBytes = 512;  // bytes
 
-// Letters, digits and these others (RFC 3986).
+// A lookup table of letters, digits and the given other bytes (RFC 3986).
 constexpr std::array<bool, 256> byte_set(std::string_view others) {
   std::array<bool, 256> out{};
   for (char c = '0'; c <= '9'; ++c) out[static_cast<unsigned char>(c)] = true;
@@ -43,7 +44,7 @@
   return out;
 }
 constexpr auto kTargetBytes = byte_set("-._~%!$&'()*+,;=:@/?");
-constexpr auto kHostBytes = byte_set("-._~%!$&'()*+;=");  // no comma: it would join two hosts
+constexpr auto kHostBytes = byte_set("-._~%!$&'()*+;=");  // no comma: it would join two hosts into one value
 
 bool contains_only(std::string_view text, const std::array<bool, 256>& allowed) {
   return std::all_of(text.begin(), text.end(),
@@ -53,10 +54,11 @@
 bool is_address_v6(std::string_view text) {
   boost::system::error_code error;
   boost::asio::ip::make_address_v6(std::string(text), error);
-  return !error && text.find('%') == std::string_view::npos;  // a zone means something on one machine only
+  return !error &&
+         text.find('%') == std::string_view::npos;  // a zone identifier is valid on one machine only
 }
 
-// A name or an address, and perhaps a port.
+// Whether the text is a host name or address with an optional port.
 bool is_host(std::string_view text) {
   const bool literal = text.starts_with('[');
   const std::size_t end = std::min(text.find(literal ? ']' : ':'), text.size());
@@ -119,13 +121,13 @@
       .append(" HTTP/1.1\r\n");
   for (const RequestValidator::FieldId id : kForwardedFields) {
     if (fields.count[id] == 0) continue;
-    // Guards against a header that this node reads in one way and a server in another.
+    // This node and a server could choose different occurrences of a repeated field.
     if (fields.count[id] > 1) throw RequestRejection{400, "a header twice"};
     upstream_request.head.append(kFieldNames[id]).append(": ").append(fields.value[id]).append("\r\n");
   }
   if (!forward_fencing_token || fields.count[RequestValidator::kFencingToken] == 0) return;
   const std::string_view token = fields.value[RequestValidator::kFencingToken];
-  // Guards what compares tokens: a place that reads it in another way would let a former holder in.
+  // A resource that parsed the token differently would accept a former lease holder.
   if (fields.count[RequestValidator::kFencingToken] > 1 || token.size() > 19 || !parse_unsigned(token))
     throw RequestRejection{400, "bad Fencing-Token"};
   upstream_request.head.append("Fencing-Token: ").append(token).append("\r\n");
@@ -159,9 +161,9 @@
   for (const std::string& name : tenants) tenants_.emplace(name, tenants_.size());
 }
 
-// Guards against a second request hidden in a body. Beast 1.74 turns away a length beside "chunked", but
-// takes a length after any other encoding, a list of encodings that ends in "chunked", the same length twice,
-// and an encoding in HTTP/1.0, which has none.
+// Prevents request smuggling, where a body contains a second request. Beast 1.74 rejects a length beside
+// "chunked", but accepts a length after any other encoding, a list of encodings that ends in "chunked", the
+// same length twice, and a transfer encoding in HTTP/1.0, which doesn't define any.
 void RequestValidator::check_framing(const Head& head, const FieldValues& fields) {
   if (fields.count[kContentLength] + fields.count[kTransferEncoding] > 1)
     throw RequestRejection{400, "more than one length"};
@@ -178,7 +180,7 @@
   }
 }
 
-// Guards the servers: what stands on the way to them must not read another target or host than they do.
+// Intermediaries between this node and the servers must not read a different target or host than the servers.
 void RequestValidator::check_target_and_host(const Head& head, const FieldValues& fields) {
   if (!contains_only(to_std_view(head.target()), kTargetBytes)) throw RequestRejection{400, "bad target"};
   if (fields.count[kHost] > 1 || (fields.count[kHost] == 1 && !is_host(fields.value[kHost]))) {
@@ -210,8 +212,8 @@
     if (!tenant) throw RequestRejection{400, "unknown Tenant"};
     out.request.tenant = *tenant;
   }
-  // Guards the classes that are not safe: what servers take for safe, or can't tell from a repeat, runs
-  // twice.
+  // The method and Idempotency-Key must match the class: a server would run a request twice if it took an
+  // unsafe one for safe or could not recognize a repeat.
   const quinceusher::RequestClass& class_settings = class_settings_[*request_class];
   const bool safe = class_settings.effect == quinceusher::Effect::kSafe;
   if (head.method() != (safe ? http::verb::get : http::verb::post)) {
--- a/http/request_validator.h
+++ b/http/request_validator.h
@@ -1,4 +1,4 @@
-// Which requests can be used: how they are framed and what their headers say.
+// Validates requests: message framing, target, host and the protocol's header fields.
 #pragma once
 
 #include <array>
@@ -16,17 +16,19 @@
 
 namespace nettlestand {
 
-// What a client is told that sent what can't be used; it reaches no server.
+// The response to a request that is not accepted: a status and a text for its body, or nullptr for none. Such
+// a request reaches no server.
 struct RequestRejection {
   unsigned status;
   const char* what;
 };
 
+// Checks the head of a request and converts a call to /api into the core's form.
 class RequestValidator {
  public:
   using Head = boost::beast::http::header<true, Fields>;
 
-  // The lines of a head that mean something here, found in one pass.
+  // The header fields that this node interprets or forwards.
   enum FieldId : std::size_t {
     kRequestId,
     kRequestClass,
@@ -45,25 +47,26 @@
     kExpect,
     kFieldCount
   };
+  // The values of those fields, collected in one pass over the head.
   struct FieldValues {
     explicit FieldValues(const Head& head);
-    std::array<std::string_view, kFieldCount> value{};  // of the first one; views into the head
+    std::array<std::string_view, kFieldCount> value{};  // of the first occurrence; views into the head
     std::array<std::size_t, kFieldCount> count{};
   };
 
-  // The names of the classes and tenants are in the order of the settings. `fencing`: a Fencing-Token, of a
-  // request that is made under a duty, goes on to the server; else it means nothing here.
+  // The names of the classes and tenants are in the order of the settings. `forward_fencing_token`: whether
+  // the Fencing-Token of a request made under a lease is forwarded to the server; otherwise it is ignored.
   RequestValidator(const quinceusher::Settings& settings, const std::vector<std::string>& classes,
                    const std::vector<std::string>& tenants, bool forward_fencing_token = false);
 
-  // Throws RequestRejection for a head that leaves it open where its message ends.
+  // Throws RequestRejection if the head doesn't determine unambiguously where its message ends.
   static void check_framing(const Head& head, const FieldValues& fields);
 
-  // Throws RequestRejection for a target or a Host that is none.
+  // Throws RequestRejection if the target or the Host is invalid.
   static void check_target_and_host(const Head& head, const FieldValues& fields);
 
-  // A request to /api, but for its body, the time at which it came and its cargo: what goes on to the server
-  // is written to `upstream_request`. Throws RequestRejection.
+  // Converts the head of a request to /api and writes the head for the server to `upstream_request`. Sets
+  // everything but the body, the time of receipt and the payload. Throws RequestRejection.
   Call read_call(const Head& head, const FieldValues& fields, UpstreamRequest& upstream_request) const;
 
   static std::string_view path_of(const Head& head);
@@ -74,7 +77,7 @@
   const bool forwards_fencing_token_;
 };
 
-// Whether the bytes hold a header line that goes on in the next one, before the end of the head or trailers.
+// Whether a header line is folded (continued on the next line) before the end of the head or trailers.
 bool has_folded_line(std::string_view bytes);
 
 }  // namespace nettlestand
--- a/http/responses.h
+++ b/http/responses.h
@@ -1,4 +1,4 @@
-// What a front tells its clients: the statuses and heads of HTTP/1.1 answers.
+// The HTTP/1.1 responses that a front end sends to its clients.
 #pragma once
 
 #include <string>
@@ -9,23 +9,24 @@
 
 namespace nettlestand {
 
-// The final answer to a request.
+// The final (not interim) response to a request.
 struct FinalResponse {
   unsigned status = 500;
-  double retry_after = 0;  // s; 0: no advice
+  double retry_after = 0;  // s; 0: no Retry-After field
   std::string body, content_type;
-  Claim claim;  // on the bytes of the body
+  Claim claim;  // memory reserved for the body
 };
 
 inline constexpr RequestRejection kRequestIdInUse{409, "this Request-Id is open"};
 
+// The response to a call that the engine has answered.
 FinalResponse response_to(Reply&& reply);
-// To what is turned away; a 503 carries the engine's advice.
+// The response to a rejected request; a 503 carries the engine's Retry-After.
 FinalResponse response_to(const RequestRejection& bad, const Engine& engine);
 
-// Status line and headers, with the empty line.
+// Status line and header fields, with the final empty line. `close`: whether to add Connection: close.
 std::string response_head(const FinalResponse& answer, bool close);
-// As `Retry-After` has it: seconds with three decimals.
+// Seconds with three decimals, as in Retry-After.
 std::string retry_after_text(double seconds);
 
 }  // namespace nettlestand
--- a/http/upstream.cpp
+++ b/http/upstream.cpp
@@ -22,24 +22,23 @@
 using boost::system::error_code;
 using quinceusher::Outcome;
 
-// The protocol's 64 KiB are not what servers keep to: whole answers of 130 to 390 KB were seen on days of
-// service. An answer over this limit is taken for spoilt.
-constexpr std::size_t kMaxBodyBytes = 1024 * 1024;  // bytes
-constexpr std::size_t kMaxHeadBytes = 16 * 1024;    // bytes, of an answer's head and of a chunk's
+// Servers exceed the protocol's limit of 64 KiB: complete responses of 130 to 390 KB were seen in service. A
+// response over this limit is treated as corrupt.
+constexpr std::size_t kMaxBodyBytes = 1024 * 1024;
+constexpr std::size_t kMaxHeadBytes = 16 * 1024;  // of a response's head, and of a chunk header
 constexpr double kNever = std::numeric_limits<double>::infinity();
-constexpr double kFreshIdleSeconds = 0.1;    // s; a connection idle for less has hardly ever gone stale
-constexpr double kStaleResetSeconds = 0.02;  // s; a kept connection that breaks so soon was stale
-constexpr double kDistrustIdleSeconds = 10;  // s after such a one
-constexpr double kReuseDelaySeconds = 0.02;  // s; what a server says too much comes by then, or shows by then
-constexpr std::size_t kMaxRestingConnections =
-    4;  // connections to a server, while which a further one is opened
-constexpr double kRestBeforeReuseSeconds = 60;  // s after such a word from any server
-constexpr int kMaxInterimResponses = 8;         // answers 1xx ahead of the final one
-constexpr double kIdleShare = 0.9;  // of the servers' idle time; what is older is closed, not used
+constexpr double kFreshIdleSeconds = 0.1;          // a connection idle for less is rarely stale
+constexpr double kStaleResetSeconds = 0.02;        // a reused connection reset within this time was stale
+constexpr double kDistrustIdleSeconds = 10;        // after such a reset
+constexpr double kReuseDelaySeconds = 0.02;        // surplus bytes of a server arrive within this time
+constexpr std::size_t kMaxRestingConnections = 4;  // per server, before the oldest of them is reused anyway
+constexpr double kRestBeforeReuseSeconds = 60;     // after surplus bytes from any server
+constexpr int kMaxInterimResponses = 8;            // 1xx responses before the final one
+constexpr double kIdleShare = 0.9;  // of the servers' idle timeout; older connections are closed, not reused
 
 }  // namespace
 
-// One connection and, while it carries one, the attempt on it.
+// A connection to a server and, if there is one, the attempt in flight on it.
 class Upstream::Connection final : public std::enable_shared_from_this<Connection>, public Poller::Watcher {
  public:
   enum class State { kConnecting, kWriting, kReading, kIdle, kClosed };
@@ -73,7 +72,7 @@
 
   void connect(const tcp::endpoint& to) {
     const int failed = socket_.connect(to);
-    // No descriptor left: nothing to do with the server.
+    // Out of descriptors, which says nothing about the server.
     if (!socket_.opened()) return end(Outcome::kNotSent, false);
     if (failed != 0) return end(Outcome::kDialFailed, false);
     poller_key_ = pool_.poller_.add(socket_.descriptor(), *this);
@@ -92,7 +91,7 @@
       if (state == State::kWriting && (events & EPOLLOUT) != 0) write();
       if (state == State::kWriting && readable && is_stale()) return end_before_written();
       if (state == State::kReading && readable) read(peer_ended);
-      // What a server says on a parked connection, also its end, is of no use to anybody.
+      // Any input on an idle connection, including its end, makes it unusable.
       if (state == State::kIdle && (idle ? readable && is_stale() : peer_ended)) {
         pool_.remove_idle(self);
         close();
@@ -122,12 +121,12 @@
     arm_timer(deadline_);
   }
 
-  // Whether its request's last byte is still here.
+  // Whether the last byte of the request has not been written yet.
   bool is_unwritten() const { return state == State::kConnecting || state == State::kWriting; }
 
   const AttemptId& attempt() const { return attempt_; }
 
-  // Whether the server has closed it, or has said what nobody asked for.
+  // Whether the server has closed the connection or has sent unsolicited bytes.
   bool is_stale() {
     char byte = 0;
     const ssize_t got = socket_.read(&byte, 1, MSG_PEEK);
@@ -135,7 +134,7 @@
     return got >= 0 || !Socket::would_block();
   }
 
-  // Ends the attempt, if there is one, and with it the connection unless it may be kept.
+  // Ends the attempt, if there is one, and closes the connection unless `keep`.
   void end(Outcome outcome, bool keep) {
     std::unique_ptr<UpstreamResponse> answer;
     if (outcome == Outcome::kReset && idle_before_use_ >= kFreshIdleSeconds &&
@@ -178,7 +177,7 @@
   }
 
  private:
-  // Guards the other attempts: what goes wrong on one connection, be it memory, ends that one alone.
+  // An exception on one connection, such as a failed allocation, ends only that connection.
   template <class Step>
   void run_guarded(Step&& step) {
     try {
@@ -187,7 +186,7 @@
       pool_.log_({LogLevel::kError,
                   "upstream",
                   "connection_ended",
-                  "a connection to " + server + " ends: " + problem.what(),
+                  "closing the connection to " + server + ": " + problem.what(),
                   {{"server", server}, {"why", std::string(problem.what())}}});
       end(state == State::kReading ? Outcome::kUnknown : Outcome::kDialFailed, false);
     }
@@ -200,25 +199,25 @@
     });
   }
 
-  // When an attempt whose request is not written is over.
+  // The deadline of an attempt whose request is not fully written.
   double write_phase_deadline() const { return std::min({deadline_, connect_deadline_, write_deadline_}); }
 
-  // Guards against taking a sent request for one that never ran: only bytes still here prove it.
+  // Only unwritten bytes prove that a request never ran, so a written one ends as timed out.
   void expire() {
     const double until = is_unwritten() ? write_phase_deadline() : deadline_;
-    if (now() < until) return arm_timer(until);  // an older deadline's shot
+    if (now() < until) return arm_timer(until);  // the timer was set for an earlier deadline
     if (state == State::kReading) {
       const std::uint64_t serial = attempt_serial_;
       report_progress();
       if (serial != attempt_serial_ || !has_attempt_ || now() < deadline_) return;
     }
     if (state == State::kReading) return end(Outcome::kTimedOut, false);
-    // What only came too late for a repeat is not held against the server.
+    // Missing only the write deadline of a repeat doesn't count as the server's failure.
     end(now() < std::min(deadline_, connect_deadline_) ? Outcome::kNotSent : Outcome::kDialFailed, false);
   }
 
   void report_progress() {
-    // It may end this attempt.
+    // The sink may end this attempt.
     if (head_received_at_ == 0) return pool_.sink_->arriving(attempt_, {-1, 0, 0, 0});
     const auto length = parser_->content_length();
     pool_.sink_->arriving(attempt_, {now() - head_received_at_, now() - last_byte_at_,
@@ -226,7 +225,7 @@
                                      length ? static_cast<double>(*length) : 0});
   }
 
-  // Until all of it is written: only then may it run.
+  // Writes the request. The server may run it only once all of it is written.
   void write() {
     const std::size_t head = out_.size(), all = head + request_->body.size();
     for (bool first = written_ == 0; written_ < all; first = false) {
@@ -235,7 +234,7 @@
       const std::string_view rest =
           written_ < head ? std::string_view(out_).substr(written_) : std::string_view();
       const ssize_t sent = socket_.write(rest, std::string_view(request_->body).substr(of_body));
-      if (sent < 0 && Socket::would_block()) return;  // it gets ready for more
+      if (sent < 0 && Socket::would_block()) return;  // ready() continues
       if (sent <= 0) return end_before_written();
       written_ += static_cast<std::size_t>(sent);
     }
@@ -244,9 +243,8 @@
     if (write_deadline_ < deadline_) arm_timer(deadline_);
   }
 
-  // Guards against taking for an answer what a server said before it had the request. Without its last byte
-  // the request never runs, and that is never written; but the server's word that it turns the request away
-  // counts.
+  // Bytes that a server sent before it had the whole request are not taken for a response: the last byte is
+  // never written, so the request never runs. Only a rejection by the server is honored.
   void end_before_written() {
     error_code error;
     const ssize_t got = socket_.read(pool_.scratch_.data(), pool_.scratch_.size());
@@ -255,7 +253,7 @@
     end(rejected ? Outcome::kRejected : Outcome::kDialFailed, false);
   }
 
-  // `read_to_end`: the server has ended its side, and what is left must be read up to that.
+  // `read_to_end`: the server has closed its side, and the remaining bytes must be read up to the end.
   void read(bool read_to_end) {
     const std::uint64_t serial = attempt_serial_;
     while (state == State::kReading && serial == attempt_serial_) {
@@ -266,14 +264,15 @@
       const auto size = static_cast<std::size_t>(got);
       in_.append(pool_.scratch_.data(), size);
       parse();
-      if (size < pool_.scratch_.size() && !read_to_end) return;  // that was all; more makes it ready again
+      if (size < pool_.scratch_.size() && !read_to_end)
+        return;  // no more input for now; ready() follows when there is
     }
   }
 
-  // An answer with neither a length nor chunks is whole where its server ends the connection in order (RFC
-  // 9112, 6.3); a reset is no end, and any other answer is cut.
+  // A response with neither a length nor chunks is complete when the server closes the connection in order
+  // (RFC 9112, 6.3). A reset doesn't complete it, and any other response is truncated.
   void on_server_closed() {
-    // Beast 1.74 takes an end before the first byte for the end of a message.
+    // Beast 1.74 treats an end of the stream before the first byte as the end of a message.
     const bool whole = parser_->is_header_done() && parser_->need_eof();
     end(whole ? head_outcome_ : Outcome::kReset, false);
   }
@@ -290,8 +289,8 @@
       if (in_head) framing = head_bytes_ += framing;
       if (error == http::error::need_more) framing += in_.size() - from;
       if (error && error != http::error::need_more) return end(Outcome::kUnknown, false);
-      // Guards the memory and the client: an answer whose head has no end, or whose length is in doubt or too
-      // long, is spoilt. It ends here, as one that may have run, and its connection is of no further use.
+      // A response with an oversized head, or whose length is ambiguous or too large, is corrupt. The attempt
+      // ends as one that may have run, and its connection is closed.
       if (framing > kMaxHeadBytes || (in_head && parser_->is_header_done() && !on_head())) {
         return end(Outcome::kUnknown, false);
       }
@@ -316,7 +315,8 @@
     }
   }
 
-  // Not eager: an eager parser of Beast 1.74 goes on after a head whose body is over the limit.
+  // The parser is not eager: an eager parser of Beast 1.74 continues after a head whose body is over the
+  // limit.
   void reset_parser() {
     parser_.emplace();
     parser_->body_limit(kMaxBodyBytes);
@@ -325,8 +325,8 @@
     claim_ = Claim(pool_.budget_);
   }
 
-  // Takes what a head says; false where it leaves in doubt where its answer ends, or there is no room for it.
-  // Guards against trailers: Beast puts them among the header fields once the body is read.
+  // Evaluates the head; false if the end of the response is ambiguous or there is no memory for its body.
+  // Must run before the body is read, because Beast then adds the trailers to the header fields.
   bool on_head() {
     const auto& head = parser_->get();
     const std::size_t encodings = head.count(http::field::transfer_encoding);
@@ -344,7 +344,7 @@
     return status >= 100 && status < 200 && status != 101;
   }
 
-  // Only the two statuses with the server's word for it, said once, prove that a request never ran.
+  // Only these two statuses with exactly one Not-Started field prove that a request never ran.
   static Outcome outcome_of(const http::header<false, Fields>& head) {
     const unsigned status = head.result_int();
     if (status == 200) return Outcome::kDelivered;
@@ -360,25 +360,25 @@
   const std::uint64_t generation;
   State state = State::kConnecting;
   double idle_since = 0;
-  std::list<std::shared_ptr<Connection>>::iterator idle_position;  // among all that are parked
+  std::list<std::shared_ptr<Connection>>::iterator idle_position;  // in Upstream::idle_
 
  private:
   Socket socket_;
   Poller::Key poller_key_ = 0;
   asio::steady_timer timer_;
-  std::string in_, out_;  // out: the head of the request
+  std::string in_, out_;  // out_: the head of the request
   std::size_t written_ = 0, head_bytes_ = 0;
   int interim_count_ = 0;
   Claim claim_;
-  std::uint64_t attempt_serial_ = 0;  // of what it carries
+  std::uint64_t attempt_serial_ = 0;  // counts the attempts on this connection
   AttemptId attempt_;
   bool has_attempt_ = false;
   std::shared_ptr<const UpstreamRequest> request_;
   double attempt_started_at_ = 0, idle_before_use_ = 0, deadline_ = 0;
   double connect_deadline_ = kNever, write_deadline_ = kNever;
-  double head_received_at_ = 0, last_byte_at_ = 0;  // since: the answer's head is there; 0: it is not
+  double head_received_at_ = 0, last_byte_at_ = 0;  // 0: not yet received
   ArenaParser<false, 1024> parser_;
-  // As the answer's head has it.
+  // From the response's head.
   Outcome head_outcome_ = Outcome::kUnknown;
   bool keep_alive_ = false;
   std::string content_type_;
@@ -399,7 +399,7 @@
 
 Upstream::~Upstream() { shut_down(); }
 
-// What is out on connections ends with them: their handlers find them closed and look at nothing else.
+// Attempts in flight end with their connections: their handlers find them closed and access nothing else.
 void Upstream::shut_down() {
   *alive_ = false;
   expiry_timer_.cancel();
@@ -421,7 +421,7 @@
 void Upstream::report_outcome(const AttemptId& attempt, Outcome outcome, std::unique_ptr<Payload> answer) {
   attempts_.erase(attempt);
   if (!inside_start_) return sink_->ended(attempt, outcome, std::move(answer));
-  asio::post(io_, [this, alive = alive_, attempt, outcome] {  // nothing is delivered inside start()
+  asio::post(io_, [this, alive = alive_, attempt, outcome] {  // outcomes are never reported inside start()
     if (*alive) sink_->ended(attempt, outcome, nullptr);
   });
 }
@@ -462,10 +462,11 @@
   if (connection != nullptr && connection->is_unwritten()) connection->end(Outcome::kNotSent, false);
 }
 
-// The most recently used, so that the others can idle out. Guards against writing on a connection that the
-// server has closed or is about to close: what may not be repeated would be lost.
-// Where kept connections break under their next request all the same, as when something on the way forgets
-// them, that request may have run: what may not be repeated then goes on one just used, or on a new one.
+// Prefers the most recently used connection, so that the others can expire. Avoids connections that the
+// server has closed or is about to close, where a request that must not be repeated would be lost. If idle
+// connections are still reset on reuse, for example because a middlebox has dropped their state, such a
+// request may have run; requests that must not be repeated then use only a connection that was just used, or
+// a new one.
 std::shared_ptr<Upstream::Connection> Upstream::take_idle(Server& server, bool retryable) {
   while (!server.idle.empty()) {
     const auto it = choose_idle(server);
@@ -481,12 +482,11 @@
   return nullptr;
 }
 
-// Guards the next request's client where servers say more than they were asked: an answer is tied to its
-// request by its place on the connection alone, and a second one that comes a moment late would be taken for
-// the next request's. So a connection rests before it is used again, the longest where all have just been
-// used.
+// Handles servers that send surplus responses. A response belongs to a request only by its position on the
+// connection, so a late second response would be taken for that of the next request. A connection therefore
+// rests before it is reused; with many resting ones, the one that has rested longest is taken.
 std::deque<std::shared_ptr<Upstream::Connection>>::iterator Upstream::choose_idle(Server& server) {
-  auto& idle = server.idle;  // the most recently used at the back
+  auto& idle = server.idle;  // the most recently used is at the back
   if (now() >= rest_before_reuse_until_) return idle.end() - 1;
   for (auto it = idle.end(); it != idle.begin();) {
     if (now() - (*--it)->idle_since >= kReuseDelaySeconds) return it;
@@ -496,7 +496,7 @@
 
 void Upstream::on_surplus_bytes() { rest_before_reuse_until_ = now() + kRestBeforeReuseSeconds; }
 
-// Guards the limit on sockets: the longest idle connection makes room for one that is needed.
+// Keeps to the socket limit by closing the longest idle connection.
 bool Upstream::free_socket_slot() {
   if (open_sockets_ < max_sockets_) return true;
   if (idle_.empty()) return false;
@@ -508,7 +508,7 @@
 
 void Upstream::add_idle(const std::shared_ptr<Connection>& connection) {
   Server* known = find(connection->server);
-  // Guards against a connection that leads to the process before: it was busy while another took its place.
+  // The connection may lead to a former process that was replaced while the connection was busy.
   if (known == nullptr || known->generation != connection->generation) return connection->close();
   connection->state = Connection::State::kIdle;
   connection->idle_since = now();
@@ -561,7 +561,7 @@
       continue;
     }
     Server& server = servers_[listed.info.address];
-    // Another process, or the same at another address: what is parked or on its way leads nowhere.
+    // A new process or address: idle and connecting connections lead to the former one.
     if (server.endpoint != listed.endpoint || server.started_at != listed.info.started) {
       close_idle(server);
       collect_connecting(server, stopped);
@@ -570,7 +570,7 @@
     server.endpoint = listed.endpoint;
     server.started_at = listed.info.started;
   }
-  // Guards the drains: a send that still waits for its connection must not be written later.
+  // A request still waiting for its connection must not be written to a server that drains or is gone.
   for (const std::string& name : gone) {
     const auto it = servers_.find(name);
     if (it == servers_.end()) continue;
--- a/http/upstream_payload.h
+++ b/http/upstream_payload.h
@@ -1,4 +1,4 @@
-// What HTTP/1.1 fronts and transports hand each other through the core.
+// The HTTP/1.1 payloads that front ends and the upstream transport exchange through the core.
 #pragma once
 
 #include <string>
@@ -8,18 +8,18 @@
 
 namespace nettlestand {
 
-// A request as it goes on to a server.
+// A request as it is forwarded to a server.
 struct UpstreamRequest final : Payload {
-  std::string head;  // request line and headers, but for Request-Timeout-Ms and the empty line
+  std::string head;  // request line and headers, without Request-Timeout-Ms and the final empty line
   std::string body;
-  Claim claim;  // on the bytes of the body
+  Claim claim;  // memory reserved for the body
   bool retryable = false;
 };
 
-// A server's 200, as it goes on to a caller.
+// A server's complete 200 response, as it is returned to a caller.
 struct UpstreamResponse final : Payload {
   std::string body, content_type;
-  Claim claim;  // on the bytes of the body
+  Claim claim;  // memory reserved for the body
 };
 
 }  // namespace nettlestand
