--- a/http/request_validator.cpp
+++ b/http/request_validator.cpp
@@ -16,8 +16,8 @@
 namespace http = boost::beast::http;
 
 constexpr double kMaxTimeoutSeconds = 600;
-constexpr std::size_t kMaxNameBytes = 128;     // bytes of an id or a key
-constexpr std::size_t kMaxTargetBytes = 2048;  // bytes
+constexpr std::size_t kMaxNameBytes = 128;  // bytes of an id or a key
+constexpr std::size_t kMaxTargetBytes = 2048;
 
 // In the order of FieldId. The fields up to kFencingToken belong to this service's protocol; the others are
 // standard HTTP.
@@ -32,7 +32,7 @@
                                          RequestValidator::kRequestClass,   RequestValidator::kTenant,
                                          RequestValidator::kIdempotencyKey, RequestValidator::kClientRetry,
                                          RequestValidator::kWorkHint,       RequestValidator::kRequestInfo};
-constexpr std::size_t kTypicalHeadBytes = 512;  // bytes
+constexpr std::size_t kTypicalHeadBytes = 512;
 
 // A lookup table of letters, digits and the given other bytes (RFC 3986).
 constexpr std::array<bool, 256> byte_set(std::string_view others) {
--- a/http/request_validator.h
+++ b/http/request_validator.h
@@ -69,6 +69,7 @@
   // everything but the body, the time of receipt and the payload. Throws RequestRejection.
   Call read_call(const Head& head, const FieldValues& fields, UpstreamRequest& upstream_request) const;
 
+  // The target without its query.
   static std::string_view path_of(const Head& head);
 
  private:
--- a/http/upstream.h
+++ b/http/upstream.h
@@ -82,7 +82,7 @@
   ByteBudget& budget_;
   const Log log_;
   Sink* sink_ = nullptr;
-  const double connect_timeout_, max_idle_seconds_;  // s
+  const double connect_timeout_, max_idle_seconds_;
   const std::size_t max_sockets_;
   std::size_t open_sockets_ = 0;
   double distrust_idle_until_ = 0;      // set after idle connections were reset on reuse
--- a/tests/acceptance/close_interceptor.cpp
+++ b/tests/acceptance/close_interceptor.cpp
@@ -1,8 +1,9 @@
-// Preloaded before a node: holds it at the moment in which it ends a connection that it has accepted, so that
-// a test can let bytes cross that end. Without NETTLESTAND_CROSSING it does nothing.
+// A library that is loaded into a node with LD_PRELOAD. It blocks the node in shutdown() or close() of an
+// accepted connection, so that a test can send bytes that cross the end of the connection.
 //
-// NETTLESTAND_CROSSING names a folder. Where its file `armed` holds the port of the connection's other side,
-// the file becomes `held`, and the call waits for somebody to open the pipe `go` there.
+// NETTLESTAND_CROSSING names a directory; without it the library does nothing. If the file `armed` there
+// contains the port of the connection's peer, the library renames the file to `held`, and the call blocks
+// until a test opens the named pipe `go`.
 #include <arpa/inet.h>
 #include <dlfcn.h>
 #include <fcntl.h>
--- a/tests/acceptance/closes_test.cpp
+++ b/tests/acceptance/closes_test.cpp
@@ -1,5 +1,6 @@
-// How callers' connections end: in order, whatever arrives in the very moment, and at SIGTERM with an answer
-// for whatever has been taken.
+// How callers' connections end: in order, whatever arrives at the same moment, and after SIGTERM with a
+// response to every request that was accepted. A reset would destroy responses, and a request that was read
+// after the end could run twice.
 #include "tests/acceptance/customer_world.h"
 
 namespace nettlestand::testing {
@@ -9,7 +10,8 @@
 
 #ifdef CLOSE_INTERCEPTOR
 
-// A request crosses the end of a connection: its client sees that end and no reset, and nothing is sent on.
+// Sends a request that crosses the end of its connection: the client sees the end and no reset, and nothing
+// is forwarded.
 void send_across_close(CustomerWorld& world, const CloseInterceptor& interceptor, TcpConnection& client,
                        const std::string& before) {
   interceptor.await();
@@ -20,7 +22,7 @@
     EXPECT_TRUE(has(client.message(), before));
   }
   EXPECT_TRUE(client.ended_in_order()) << "the client may send it once more elsewhere";
-  EXPECT_TRUE(world.servers[0].no_data()) << "what is read after the end is not sent on";
+  EXPECT_TRUE(world.servers[0].no_data()) << "what is read after the end is not forwarded";
 }
 
 TEST_P(Ends, ARequestCrossesTheEndOfAConnectionThatNeverSentAByte) {
@@ -84,7 +86,7 @@
 
 #endif
 
-// Half a request at the last moment: its client is told, and is not reset.
+// An incomplete request at the end of the process gets an error response and no reset.
 TEST_P(Ends, HalfARequestAtTheEndOfTheProcessGetsItsError) {
   CustomerWorld w(GetParam());
   w.serve(host("s0", w.servers[0].port()));
@@ -109,8 +111,8 @@
   EXPECT_EQ(w.node->exit_code(), 0);
 }
 
-// Every place is taken by who waits for an answer or is sending: who wants in does so once one of them is
-// idle.
+// While every connection is busy or receiving a request, a new client waits. It is accepted once one of them
+// is idle.
 TEST_P(Ends, WhoWaitsToComeInDoesSoOnceAnotherIsIdle) {
   CustomerWorld w(GetParam());
   w.sockets = 100;  // 33 for callers, 27 for servers
@@ -132,8 +134,8 @@
   EXPECT_TRUE(has(late.message(), " 200 "));
 }
 
-// SIGTERM finds requests that wait for their answer, are half written, half read, pipelined, and some come
-// after it: each gets its answer within its time, and each connection ends in order.
+// At SIGTERM, some requests are pending, partly written, partly read or pipelined, and others arrive
+// afterwards: each gets its response in time, and each connection ends in order.
 TEST_P(Ends, WhatSigtermFindsIsAnswered) {
   CustomerWorld w(GetParam());
   w.servers[0].shrink_receive_buffer();
@@ -149,7 +151,7 @@
   pipelines.send(w.unsafe("two", "r3"));
   writes.send(w.unsafe(std::string(65536, 'q'), "r4"));
   std::vector<TcpConnection> connections;
-  connections.push_back(w.servers[0].accept());  // takes a part of it, until it is read
+  connections.push_back(w.servers[0].accept());  // receives only a part until the test reads
   const std::string last = w.unsafe("half", "r5");
   half.send(last.substr(0, last.size() - 1));
   w.node->signal(SIGTERM);
--- a/tests/acceptance/customer_world.h
+++ b/tests/acceptance/customer_world.h
@@ -1,4 +1,5 @@
-// A node of one customer or another among scripted peers, and the seams with which a moment is held.
+// A node with one customer's settings among scripted clients, servers and discovery, and an interceptor that
+// holds the node at a chosen moment.
 #pragma once
 
 #include <sys/stat.h>
@@ -14,19 +15,19 @@
 
 namespace nettlestand::testing {
 
-// Whose settings a node has. The tests must hold for each.
+// The settings of one customer. The tests must pass for each customer.
 struct Customer {
   const char* name;
-  const char *keyed, *unsafe, *tenant;  // names of its classes, and of its tenant
-  const char* group;                    // that drops repeats
-  bool pushed;                          // lists
-  bool cancel;                          // work that nobody waits for may be called off
+  const char *keyed, *unsafe, *tenant;  // names of its request classes and its tenant
+  const char* group;                    // within which servers drop repeats
+  bool pushed;                          // whether lists are pushed
+  bool cancel;                          // whether abandoned work may be cancelled
   double give_up, window, ask_within;   // s
 };
 
-// Asked lists, long deadlines, few copies.
+// Polled lists, long deadlines, one balancer.
 inline constexpr Customer kMarks = {"marks", "mark", "close", "acme", "cell", false, true, 5, 4, 0.4};
-// Pushed lists, nearly all of it unsafe, deadlines under a second, zones, nothing is called off.
+// Pushed lists, mostly unsafe requests, deadlines under a second, zones, no cancellation.
 inline constexpr Customer kBids = {"bids", "lot", "bid", "north", "all", true, false, 0.9, 0.5, 3};
 
 inline void PrintTo(const Customer& customer, std::ostream* out) { *out << customer.name; }
@@ -34,6 +35,7 @@
   return customer.param.name;
 }
 
+// A world whose node has a customer's settings.
 struct CustomerWorld : World {
   explicit CustomerWorld(const Customer& profile) : customer(profile) {}
 
@@ -60,6 +62,7 @@
         std::make_unique<NodeUnderTest>(config(), descriptors, std::vector<std::string>(), true, environment);
   }
 
+  // Replaces the default class and tenant in a request by the customer's.
   std::string with_customer_names(const char* request_class, const std::string& text) const {
     std::string out = text;
     const auto put = [&out](const std::string& from, const std::string& to) {
@@ -76,7 +79,7 @@
   std::string unsafe(const std::string& body = "question", const std::string& id = "r1") const {
     return with_customer_names(customer.unsafe, request("close", "", body, id));
   }
-  // Waits until the node has handled all that had come to it when this was called.
+  // Waits until the node has processed everything that had arrived when this was called.
   void wait_until_caught_up() const { health(); }
 
   const Customer customer;
@@ -84,10 +87,11 @@
   std::vector<std::string> environment;
 };
 
+// Base of the test suites that run once per customer.
 class CustomerTest : public ::testing::TestWithParam<Customer> {};
 
 #ifdef CLOSE_INTERCEPTOR
-// Holds a node at the moment in which it ends a connection: see crossing.cpp.
+// Holds a node at the moment when it ends a connection, by means of the library close_interceptor.cpp.
 class CloseInterceptor {
  public:
   explicit CloseInterceptor(CustomerWorld& world) {
@@ -104,7 +108,7 @@
   CloseInterceptor(const CloseInterceptor&) = delete;
   CloseInterceptor& operator=(const CloseInterceptor&) = delete;
 
-  // From here on, the first call that ends this connection waits.
+  // From now on, the first call that ends this connection blocks.
   void arm(const TcpConnection& client) const {
     std::ofstream(folder_ + "/armed.new") << client.local_port() << "\n";
     std::rename((folder_ + "/armed.new").c_str(), (folder_ + "/armed").c_str());
--- a/tests/acceptance/discovery_test.cpp
+++ b/tests/acceptance/discovery_test.cpp
@@ -1,5 +1,6 @@
-// What discovery has to tell counts as told 6 s after it could have been asked, or after a watch fell silent:
-// so silence is noticed, and calls that come to nothing are made again, soon enough. And lists in every form.
+// A change must be known at the latest 6 s after discovery could have been asked, or after a watch fell
+// silent: a silent watch is detected and failed calls are retried soon enough. Also covers lists in every
+// format.
 #include "tests/acceptance/customer_world.h"
 
 namespace nettlestand::testing {
@@ -7,8 +8,8 @@
 
 using Lists = CustomerTest;
 
-constexpr double kListDeadlineSeconds = 6;  // s
-constexpr double kCallMarginSeconds = 1;    // s of that for the call itself
+constexpr double kListDeadlineSeconds = 6;
+constexpr double kCallMarginSeconds = 1;  // of the deadline, for the call itself
 
 std::string known(const std::string& hosts) {
   std::string line = list(3, true, hosts);
@@ -52,14 +53,15 @@
   EXPECT_LT(seconds() - from, kListDeadlineSeconds - kCallMarginSeconds);
 }
 
-// However often calls are turned away, the next is never far off, whatever time the settings give for asking.
+// However often calls are rejected, the next one follows soon, whatever interval the settings give for
+// asking.
 TEST_P(Lists, CallsThatAreTurnedAwayAreMadeAgainSoon) {
   Customer customer = GetParam();
   customer.ask_within = 60;
   CustomerWorld w(customer);
   w.serve(host("s0", w.servers[0].port()));
   w.watch.close();
-  const double longest = customer.pushed ? 0.5 : 4;  // s; an agent on the same machine costs nothing
+  const double longest = customer.pushed ? 0.5 : 4;  // s; calls to an agent on the same host are cheap
   double last = seconds();
   for (int i = 0; i < 6; ++i) {
     TcpConnection call = w.discovery.accept();
@@ -71,14 +73,14 @@
   }
 }
 
-// SIGHUP with the address it has, in a pause between two calls: discovery is asked at once.
+// SIGHUP with the same address during the backoff: discovery is asked at once.
 TEST_P(Lists, TheSameAddressAnewIsAskedAtOnce) {
   Customer customer = GetParam();
   customer.ask_within = 60;
   CustomerWorld w(customer);
   w.serve(host("s0", w.servers[0].port()));
   w.watch.close();
-  for (int i = 0; i < 4; ++i) {  // so that the pause is long where calls cost
+  for (int i = 0; i < 4; ++i) {  // for a long backoff if calls are expensive
     TcpConnection call = w.discovery.accept();
     call.message();
     call.send(with_length("HTTP/1.1 503 Busy\r\n", ""));
@@ -87,12 +89,12 @@
   const double from = seconds();
   w.node->reload(w.config());
   w.take_watch();
-  EXPECT_LT(seconds() - from, 0.9) << "a second at least without it, where calls cost";
+  EXPECT_LT(seconds() - from, 0.9) << "without SIGHUP at least a second, if calls are expensive";
   w.tell(list(9, true, host("s1", w.servers[1].port())));
   w.watch.wait_until_read();
 }
 
-// What serves now, whichever connection it keeps.
+// The response to a request that must arrive at this server, which closes the connection after it.
 std::string answer_from(CustomerWorld& w, const TcpListener& server) {
   TcpConnection caller = w.client();
   caller.send(w.unsafe());
@@ -122,17 +124,17 @@
   for (const char byte : "\n" + next) w.tell(std::string(1, byte));
   w.watch.wait_until_read();
   EXPECT_TRUE(has(answer_from(w, w.servers[1]), " 200 ")) << "s0 is gone: the whole list does not name it";
-  // Cut inside of an indented list, and then empty lines, as where nothing changes.
+  // An indented list is truncated, and keep-alive lines follow.
   w.tell(next.substr(0, next.size() / 2) + "\n\n");
   EXPECT_TRUE(w.watch.ended());
-  EXPECT_TRUE(has(w.take_watch(), "stream=1 ")) << "the whole list";
+  EXPECT_TRUE(has(w.take_watch(), "stream=1 ")) << "the full list";
   w.tell(list(9, true, host("s0", w.servers[0].port())));
   w.watch.wait_until_read();
   EXPECT_TRUE(has(answer_from(w, w.servers[0]), " 200 "));
 }
 
-// A watch ends in place of telling, and the first answer to the next call is a whole list that leaves out a
-// server with a kept connection and one with a request that waits for its connection.
+// A watch ends without sending a change, and the next watch starts with a full list that omits a server with
+// an idle connection and one with a request that waits for its connection: both must be treated as gone.
 TEST_P(Lists, WhatAWholeListLeavesOutIsGone) {
   TcpListener full(0);
   CustomerWorld w(GetParam());
@@ -149,7 +151,7 @@
   EXPECT_TRUE(kept.ended()) << "what is left out is gone";
   caller.send(w.unsafe("two"));
   until([&] { return connecting_to(full.port()); });
-  w.watch.close();  // in place of telling that s2 drains
+  w.watch.close();  // instead of sending that s2 drains
   w.take_watch();
   w.tell(list(9, true, host("s1", w.servers[1].port())));
   TcpConnection other = w.servers[1].accept();
@@ -158,8 +160,8 @@
   EXPECT_TRUE(has(caller.message(), " 200 "));
 }
 
-// Idle clients fill the descriptors while discovery is down: there is one left for discovery when it is back,
-// one for a new configuration, and one for a server.
+// Idle clients use up the descriptors while discovery is down. Some must remain for discovery when it is
+// back, for a new configuration, and for a server.
 TEST_P(Lists, ACrowdOfIdleClientsLeavesRoomForDiscovery) {
   CustomerWorld w(GetParam());
   w.sockets = 100;
--- a/tests/acceptance/leaves_test.cpp
+++ b/tests/acceptance/leaves_test.cpp
@@ -1,5 +1,5 @@
-// A client that has closed its connection has gone: nothing is begun for it any more, whatever the attempt
-// waits for, and however much else the loop has to do.
+// A client that has closed its connection is gone: no attempt is started for it any more, whatever the
+// attempt waits for, and however busy the event loop is.
 #include "tests/acceptance/customer_world.h"
 
 namespace nettlestand::testing {
@@ -10,7 +10,8 @@
 const char* const kNotStarted =
     "HTTP/1.1 503 Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
 
-// What the server says lies before the client's close: the further attempt must not overtake that.
+// The server's rejection arrives before the client's close, and the loop reads both afterwards: the retry
+// must not start before the close is noticed.
 TEST_P(Leaves, ACloseThatLiesInTheSocketComesBeforeAFurtherAttempt) {
   CustomerWorld w(GetParam());
   w.serve(w.both());
@@ -28,7 +29,7 @@
   EXPECT_TRUE(w.servers[0].no_data() && w.servers[1].no_data());
 }
 
-// A connection with more than is read ahead is not read: its close shows all the same.
+// Input beyond the pipelining limit is not read; the client's close must be noticed all the same.
 TEST_P(Leaves, AClientThatLeavesBytesBehindHasGone) {
   CustomerWorld w(GetParam());
   w.serve(w.both());
@@ -45,10 +46,11 @@
   server.send(kNotStarted);
   EXPECT_TRUE(server.ended());
   w.wait_until_caught_up();
-  EXPECT_TRUE(w.servers[0].no_data() && w.servers[1].no_data()) << "neither again nor the requests behind it";
+  EXPECT_TRUE(w.servers[0].no_data() && w.servers[1].no_data())
+      << "neither a retry nor the pipelined requests";
 }
 
-// A whole request and its client's close, read together.
+// A complete request and its client's close arrive together.
 TEST_P(Leaves, ARequestWhoseClientHasGoneIsNotBegun) {
   CustomerWorld w(GetParam());
   w.serve(w.both());
@@ -62,15 +64,15 @@
   EXPECT_TRUE(w.servers[0].no_data() && w.servers[1].no_data());
 }
 
-// Its connection comes up later than its client stays. Nothing has run: so it is withdrawn whether work may
-// be called off or not.
+// The client leaves before the connection to the server is established. Nothing has run, so the attempt is
+// withdrawn whether work may be cancelled or not.
 TEST_P(Leaves, WhatWaitsForItsConnectionIsWithdrawn) {
   Customer customer = GetParam();
   customer.give_up = 30;
   TcpListener full(0);
   CustomerWorld w(customer);
   w.connect_timeout = 30;
-  const TcpConnection crowd = TcpConnection::to(full.port());  // its queue has room for one
+  const TcpConnection crowd = TcpConnection::to(full.port());  // the accept queue has room for one
   w.serve(host("s0", full.port()));
   TcpConnection caller = w.client();
   caller.send(w.unsafe());
@@ -78,7 +80,7 @@
   caller.close();
   const double from = seconds();
   until([&] { return !connecting_to(full.port()); });
-  EXPECT_LT(seconds() - from, 10) << "long before the attempt's own time is up";
+  EXPECT_LT(seconds() - from, 10) << "long before the attempt's own deadline";
 }
 
 TEST_P(Leaves, WhatIsHalfWrittenIsWithdrawn) {
--- a/tests/acceptance/ramp_test.cpp
+++ b/tests/acceptance/ramp_test.cpp
@@ -1,5 +1,5 @@
-// Cold servers before many copies, by the sum of what all send: the module's ramp in the emulator, judged
-// from outside by the times at which attempts were sent.
+// The warm-up ramp of restarted servers in the emulator: the sum of what all balancers send to a server is
+// checked by the times at which attempts were sent.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -12,8 +12,9 @@
 namespace nettlestand::fleet {
 namespace {
 
-// By how many calls a server that started at `born` was sent too much in any window, at its worst; below 0:
-// never. What it may get is its present capacity times the multiple, and what chance adds to that.
+// The largest number of calls above the budget in any window, for a server that started at `started_at`;
+// below 0 if the budget was never exceeded. The budget is the server's current capacity times the multiple,
+// plus an allowance for randomness.
 double worst_excess(const Spec& spec, const std::vector<double>& sent_at, double started_at) {
   double worst = -1e9;
   std::size_t from = 0;
@@ -29,16 +30,16 @@
   return worst;
 }
 
-constexpr double kRestartSeconds = 10;  // s, when servers come back cold and the burst begins
+constexpr double kRestartSeconds = 10;  // when servers restart cold and the burst begins
 
 struct Scenario {
   const char* name;
   std::size_t copies, servers;
   double work;                     // s
-  double start, multiple, window;  // of the rule: capacity at the start, as a part
-  double before, burst;            // load, of capacity
-  std::size_t cold;                // servers that come back cold, all at once, as the burst begins
-  bool kills;                      // copies die and start anew while they warm up
+  double start, multiple, window;  // of the ramp; start: share of the capacity at first; window: s
+  double before, burst;            // load, relative to capacity
+  std::size_t cold;                // servers that restart cold, all when the burst begins
+  bool kills;                      // balancers are killed and restarted during the warm-up
 };
 void PrintTo(const Scenario& scenario, std::ostream* out) { *out << scenario.name; }
 
@@ -99,12 +100,13 @@
   }
 }
 
-// The scenes are hard enough: whoever takes a server that has just come back for an idle one pushes it over.
+// Shows that the scenarios are hard enough: a policy that treats a restarted server as an idle one overloads
+// it.
 TEST_P(Ramp, IsBrokenByWhoGoesByCallsInFlightAlone) {
   const Scenario& scenario = GetParam();
   Spec spec = spec_of(scenario, 1);
   spec.policy = Policy::kLeastBusy;
-  spec.copy_faults.clear();  // it has no copies
+  spec.copy_faults.clear();  // this policy has no separate balancers
   EXPECT_GT(worst_of(scenario, spec, play(spec)), 0);
 }
 
--- a/tests/acceptance/servers_test.cpp
+++ b/tests/acceptance/servers_test.cpp
@@ -1,5 +1,5 @@
-// Servers' connections at the wrong moment: late ones past a window for repeats, and answers that come behind
-// others.
+// Connections to servers: those that are established or writable only after the deduplication window, and
+// surplus responses.
 #include "tests/acceptance/customer_world.h"
 
 namespace nettlestand::testing {
@@ -13,13 +13,13 @@
   return customer;
 }
 
-// A keyed request may have run at s0, and its repeat's connection comes up when servers have forgotten the
-// key.
+// A keyed request may have run at s0, and the connection for its repeat is established only after the servers
+// have forgotten the key: the repeat would run a second time.
 TEST_P(Servers, ALateConnectionCarriesNoRepeatPastTheWindow) {
   TcpListener full(0);
   CustomerWorld w(with_short_window(GetParam()));
   w.connect_timeout = 8;
-  const TcpConnection crowd = TcpConnection::to(full.port());  // its queue has room for one
+  const TcpConnection crowd = TcpConnection::to(full.port());  // the accept queue has room for one
   w.serve(host("s0", w.servers[0].port()));
   TcpConnection caller = w.client();
   caller.send(w.keyed());
@@ -33,7 +33,7 @@
     until([&] { return connecting_to(full.port()) || !caller.no_data(); });
   }
   EXPECT_TRUE(has(caller.message(), "HTTP/1.1 502 ")) << "it may have run";
-  EXPECT_LT(seconds() - from, 4) << "given up with the window, not with the connection's time-out";
+  EXPECT_LT(seconds() - from, 4) << "given up at the end of the window, not at the connect timeout";
   EXPECT_FALSE(connecting_to(full.port()));
 }
 
@@ -55,8 +55,8 @@
   }
 }
 
-// Once a server has said more than it was asked, connections rest before they are used again: a second answer
-// that comes a moment late finds no next request on its connection.
+// After a server has sent a surplus response, connections rest before they are reused. Otherwise a late
+// second response would be taken for that of the next request on the connection.
 TEST_P(Servers, AConnectionRestsWhereServersSayTooMuch) {
   CustomerWorld w(GetParam());
   w.serve(host("s0", w.servers[0].port()));
@@ -70,7 +70,7 @@
   caller.send(w.unsafe("two", "r2"));
   TcpConnection second = w.servers[0].accept();
   second.message();
-  caller.send(w.unsafe("three", "r3"));  // to be sent on as soon as the second is answered
+  caller.send(w.unsafe("three", "r3"));  // forwarded as soon as the second has its response
   caller.wait_until_read();
   second.send(ok("second"));
   EXPECT_TRUE(caller.message().ends_with("second"));
@@ -82,7 +82,7 @@
   EXPECT_TRUE(caller.message().ends_with("third"));
 }
 
-// A client that writes slowly has its time from its last byte on.
+// The deadline of a client that writes slowly counts from its last byte.
 TEST_P(Servers, ASlowWriterHasItsWholeTime) {
   CustomerWorld w(GetParam());
   w.serve(host("s0", w.servers[0].port()));
--- a/tests/node_harness.h
+++ b/tests/node_harness.h
@@ -1,4 +1,5 @@
-// The node as a program: the daemon, or an application that embeds it and is told the same.
+// Runs the node as a child process: the daemon, or an application that embeds the library with the same
+// configuration.
 #pragma once
 
 #include <sys/resource.h>
@@ -12,16 +13,16 @@
 
 namespace nettlestand::testing {
 
-// The program that is under test from here on.
+// The path of the program under test; tests may set it.
 inline const char*& node_binary() {
   static const char* binary = NODE;
   return binary;
 }
 
-// The node, run on a configuration.
+// A child process that runs the node with a configuration. Prints its log if the test has failed.
 class NodeUnderTest {
  public:
-  // `platform`: whether it is told of the configuration.
+  // `platform`: whether GW_CONFIG names the configuration file, as the platform does.
   explicit NodeUnderTest(const std::string& config, rlim_t descriptors = 1024,
                          const std::vector<std::string>& arguments = {}, bool platform = true,
                          const std::vector<std::string>& environment = {}) {
@@ -60,7 +61,7 @@
     std::remove(path_.c_str());
   }
 
-  // The log so far, read until `part` stands in it, from a place on, or the program ends.
+  // The log so far, read until it contains `part` from position `from` on, or the program ends.
   const std::string& log(const std::string& part, std::size_t from = 0) {
     while (text_.find(part, from) == std::string::npos && readable(log_, kTimeoutMs)) {
       char bytes[1024];
@@ -70,22 +71,23 @@
     }
     return text_;
   }
+  // The port it listens on; waits for the line in the log.
   int port() {
     static const std::string kListeningText = "listening on 127.0.0.1:";
-    // Not always its first line: where a node has a thread of its own, discovery's words may come before.
+    // Not always the first line: if a node runs on its own thread, a line of discovery may come before.
     const std::size_t at = (log(kListeningText), text_.find(kListeningText));
-    if (at == std::string::npos) throw std::runtime_error("the node does not listen: " + text_);
+    if (at == std::string::npos) throw std::runtime_error("the node is not listening: " + text_);
     log("\n", at);
     return std::stoi(text_.substr(at + kListeningText.size()));
   }
   void signal(int which) const { kill(process_id_, which); }
   pid_t id() const { return process_id_; }
-  // Stops it until it gets SIGCONT.
+  // Suspends the process until it gets SIGCONT.
   void pause() const {
     signal(SIGSTOP);
     waitpid(process_id_, nullptr, WUNTRACED);
   }
-  // Replaces the configuration and has it read.
+  // Replaces the configuration file and sends SIGHUP.
   void reload(const std::string& config) const {
     std::ofstream(path_) << config;
     signal(SIGHUP);
@@ -94,9 +96,10 @@
     std::remove(path_.c_str());
     signal(SIGHUP);
   }
+  // Waits until the program ends: its exit status, or the negative number of the signal that killed it.
   int exit_code() {
     log("no such words: until it ends");
-    if (!readable(log_, 0)) signal(SIGKILL);  // it has not ended
+    if (!readable(log_, 0)) signal(SIGKILL);  // it is still running
     int status = 0;
     waitpid(std::exchange(process_id_, -1), &status, 0);
     return WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -1,6 +1,5 @@
-// What concerns the daemon alone: its configuration, and its own listener where descriptors run out or
-// connections are silent (an embedded gateway has no listener: the application's server keeps its own
-// limits).
+// Tests of the daemon alone: its configuration, and its own listener when descriptors run out or connections
+// are silent. An embedded gateway has no listener; the application's server has its own limits.
 #include "tests/forms/world.h"
 
 namespace nettlestand::testing {
@@ -128,7 +127,7 @@
   EXPECT_TRUE(has(caller.message(), " 200 "));
 }
 
-// Clients that have just connected must not push each other out while old connections are kept.
+// Clients that have just connected must not evict each other while there are older idle connections.
 TEST(Node, ACrowdDoesNotPushOutWhoHasJustConnected) {
   World w;
   w.sockets = 100;
@@ -160,7 +159,7 @@
   std::vector<TcpConnection> silent;
   for (int i = 0; i < 40; ++i) silent.push_back(w.client());
   silent.back().send("GET /healthz HTTP/1.1\r\n\r\n");
-  EXPECT_TRUE(has(silent.back().message(), " 200 ")) << "those before it made room";
+  EXPECT_TRUE(has(silent.back().message(), " 200 ")) << "the earlier silent connections were evicted";
   silent.clear();
   TcpConnection caller = w.client();
   caller.send(request("close"));
