--- a/duties/voter.cpp
+++ b/duties/voter.cpp
@@ -267,9 +267,8 @@
   const auto there = std::find_if(voters.begin(), voters.end(),
                                   [&](const VoterInfo& v) { return voter_name(v.name) == name; });
   if (a.remove) {
-    if (there == voters.end()) return finish_change(Reply::Kind::kRefused, "no voter is named " + name, out);
-    if (voters.size() == 1)
-      return finish_change(Reply::Kind::kRefused, "the last voter can't be removed", out);
+    if (there == voters.end()) return finish_change(Reply::Kind::kRefused, "no voter is called " + name, out);
+    if (voters.size() == 1) return finish_change(Reply::Kind::kRefused, "it is the last one", out);
     a.started = raft_.remove_voter(now, there->id);
     return;
   }
@@ -278,11 +277,11 @@
   const std::uint64_t id = hello->second.voter_id;
   // A voter that has lost its state must not return under its old id: it would vote twice.
   if (there != voters.end() && there->id != id)
-    return finish_change(
-        Reply::Kind::kRefused,
-        name + " has another id than the existing voter of that name: remove that voter first", out);
+    return finish_change(Reply::Kind::kRefused,
+                         name + " has another identity than the voter of that name: remove that one first",
+                         out);
   if (there != voters.end() && there->role == VoterRole::kVoter)
-    return finish_change(Reply::Kind::kDone, "already a voter", out);
+    return finish_change(Reply::Kind::kDone, "it votes already", out);
   a.started = there == voters.end() ? raft_.add_voter(now, id, a.label) : raft_.promote_voter(now, id);
 }
 
@@ -304,8 +303,8 @@
   }
   if (!changes_.empty() && now >= changes_.front().deadline) {
     finish_change(Reply::Kind::kRefused,
-                  changes_.front().started ? "timed out while in progress: check the list of voters"
-                                           : "timed out: no voter of that name has connected",
+                  changes_.front().started ? "it was begun, and is not through: look at the voters"
+                                           : "no voter of that name says hello",
                   out);
   }
   if (now >= lease_manager_.next_deadline()) {
--- a/src/node/batch_request_handler.cpp
+++ b/src/node/batch_request_handler.cpp
@@ -49,13 +49,13 @@
   };
   std::string encoded;
   if (!text("id", item.id) || item.id.empty() || !has_no_line_break(item.id))
-    return invalid_job("an item has no valid id");
+    return invalid_job("an item has no id");
   if (!text("path", item.path) || !item.path.starts_with('/') || !has_no_line_break(item.path) ||
       item.path.find(' ') != std::string::npos) {
-    return invalid_job("an item has no valid path");
+    return invalid_job("an item has no path");
   }
   text("body", encoded);
-  if (!absl::Base64Unescape(encoded, &item.body)) return invalid_job("an item's body is not valid base64");
+  if (!absl::Base64Unescape(encoded, &item.body)) return invalid_job("a body is not base64");
   if (const auto tokens = json.FindMember("tokens"); tokens != json.MemberEnd()) {
     if (!tokens->value.IsNumber() || tokens->value.GetDouble() < 0)
       return invalid_job("tokens is not a number");
@@ -64,11 +64,11 @@
   if (const auto headers = json.FindMember("headers"); headers != json.MemberEnd()) {
     if (!headers->value.IsObject()) return invalid_job("headers is not an object");
     for (const auto& header : headers->value.GetObject()) {
-      if (!header.value.IsString()) return invalid_job("a header value is not a string");
+      if (!header.value.IsString()) return invalid_job("a header is not a text");
       const std::string name(header.name.GetString(), header.name.GetStringLength());
       const std::string value(header.value.GetString(), header.value.GetStringLength());
       if (!has_no_line_break(name) || !has_no_line_break(value) || name.find(':') != std::string::npos) {
-        return invalid_job("a header name or value has characters that are not allowed");
+        return invalid_job("a header can't be sent");
       }
       item.header_names.push_back(name);
       item.header_values.push_back(value);
@@ -82,19 +82,18 @@
 absl::StatusOr<JobSpec> parse_job(std::string_view json) {
   rapidjson::Document document;
   document.Parse<rapidjson::kParseIterativeFlag>(json.data(), json.size());
-  if (document.HasParseError() || !document.IsObject())
-    return invalid_job("the body is not a complete JSON object");
+  if (document.HasParseError() || !document.IsObject()) return invalid_job("no whole JSON");
   const auto requests = document.FindMember("requests");
   if (requests == document.MemberEnd() || !requests->value.IsArray())
-    return invalid_job("requests is not an array");
+    return invalid_job("requests is not a list");
   if (requests->value.Empty() || requests->value.Size() > kMaxItems)
-    return invalid_job("requests is empty or has too many items");
+    return invalid_job("too few or too many items");
   JobSpec spec{};
   std::set<std::string> ids;
   for (const auto& request : requests->value.GetArray()) {
     auto item = parse_item(request);
     if (!item.ok()) return item.status();
-    if (!ids.insert(item->id).second) return invalid_job("two items have the same id");
+    if (!ids.insert(item->id).second) return invalid_job("two items share an id");
     set_digest(*item);
     spec.items.push_back(*std::move(item));
   }
@@ -138,8 +137,8 @@
   const HttpRequest& request = exchange->request;
   if (digest_of(request.body) != request.body_digest) {
     body_check_.record_mismatch(BodyCheckStep::kSubmission);
-    NETTLESTAND_WARNING("request body digest mismatch id=" << request.header("X-Request-Id") << " step="
-                                                           << name_of(BodyCheckStep::kSubmission));
+    NETTLESTAND_WARNING("request body does not match its digest id="
+                        << request.header("X-Request-Id") << " step=" << name_of(BodyCheckStep::kSubmission));
     HeaderList headers = kJson;
     headers.emplace_back("Retry-After", "0.5");
     co_return co_await exchange->respond(503, std::move(headers), "{}");
--- a/src/node/operator_request_handler.cpp
+++ b/src/node/operator_request_handler.cpp
@@ -36,12 +36,11 @@
   call.path = std::string(request.path());
   call.body = request.body;
   const bool known = call.path.starts_with(kConfigPrefix) || call.path.starts_with(kRetirePrefix);
-  if (!known) co_return co_await exchange->respond(404, kJson, "{\"error\":\"unknown operation\"}");
+  if (!known) co_return co_await exchange->respond(404, kJson, "{\"error\":\"no such call\"}");
   if (is_configuration_change(call.path)) {
     const auto base = parse_base_version(request.header("X-Base-Version"));
     if (!base) {
-      co_return co_await exchange->respond(400, kJson,
-                                           "{\"error\":\"X-Base-Version is not a whole number\"}");
+      co_return co_await exchange->respond(400, kJson, "{\"error\":\"X-Base-Version is no whole number\"}");
     }
     call.base = *base;
   }
@@ -52,8 +51,7 @@
                });
   const auto reply = co_await pending_replies_.wait(call_number, kReplyTimeoutMs);
   const int status = reply ? static_cast<int>(reply->status) : kGatewayTimeout;
-  const std::string body =
-      reply ? reply->body : std::string("{\"error\":\"no reply from the leader in time\"}");
+  const std::string body = reply ? reply->body : std::string("{\"error\":\"no answer\"}");
   HeaderList headers = kJson;
   if (status == kServiceUnavailable || status == kGatewayTimeout) headers.emplace_back("Retry-After", "0.3");
   co_await exchange->respond(status, headers, body);
