--- a/src/node/client_request_handler.cpp
+++ b/src/node/client_request_handler.cpp
@@ -72,7 +72,7 @@
 RefusalCause cause_of(ForwardRefusal refusal) {
   switch (refusal) {
     case ForwardRefusal::kTenantLimit:
-      return RefusalCause::kLimit;
+      return RefusalCause::kTenantLimit;
     case ForwardRefusal::kNoServer:
       return RefusalCause::kNoServer;
     case ForwardRefusal::kWithdrawn:
--- a/src/node/node_core.cpp
+++ b/src/node/node_core.cpp
@@ -10,10 +10,11 @@
 constexpr Millis kShuffleIntervalMs = 1200;
 constexpr Millis kStartupShuffleIntervalMs = 150;  // during the startup period
 constexpr Millis kStartupPeriodMs = 2500;
-constexpr Millis kLeaseMarginMs = 1300;  // of the revocation bound: the leader's own lease, and clock drift
+// Taken off the revocation bound: for the leader's own lease, and for differences between clocks.
+constexpr Millis kLeaseMarginMs = 1300;
 constexpr Millis kMinLeaseMs = 500;
-constexpr Millis kLocalRevocationLeaseMs = 20000;
-constexpr double kConfigTextLinkShare = 0.4;  // share of the node's link for configuration texts
+constexpr Millis kLocalRevocationLeaseMs = 20000;  // if bounds.global_revocation is off
+constexpr double kConfigTextLinkShare = 0.4;       // share of the node's link for configuration texts
 constexpr double kBytesPerMegabit = 125000;
 
 std::vector<std::string> seed_addresses(const Settings& settings) {
--- a/src/node/refusal_counters.h
+++ b/src/node/refusal_counters.h
@@ -20,7 +20,7 @@
   kBadRequest,     // it has no request id
   kStopping,       // the process will exit before the request could end
   kQuota,          // the tenant has exceeded its quota
-  kLimit,          // the tenant is over its adaptive limit
+  kTenantLimit,    // the tenant is over its adaptive limit
   kNoServer,       // no eligible server has capacity
   kWithdrawn,      // no longer allowed by the configuration when it was to be sent
   kServersRefused  // all servers that were tried have rejected it
--- a/tests/system/processes_test.cpp
+++ b/tests/system/processes_test.cpp
@@ -12,6 +12,7 @@
 namespace {
 
 constexpr int kTimeoutMs = 20000;
+constexpr std::size_t kNoNode = 99;
 
 std::string route(const std::string& name, const std::string& extra) {
   return "{\"name\":\"" + name + "\",\"hostname\":\"h.example\",\"path_prefix\":\"/" + name +
@@ -50,9 +51,9 @@
 const std::string kWholeStream =
     "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\nid: 3\ndata: piece 3\n\nid: 4\ndata: piece 4\n\n";
 
-// The store that, by its log, is the primary of the tenant's shard; 99 if there is none. `except` is not
+// The store that, by its log, is the primary of the tenant's shard; kNoNode if there is none. `except` is not
 // considered: the log of a killed store still says that it is the primary.
-std::size_t primary_of(const TierWorld& world, const std::string& tenant, std::size_t except = 99) {
+std::size_t primary_of(const TierWorld& world, const std::string& tenant, std::size_t except = kNoNode) {
   const std::string shard = std::to_string(batch_shard_of(tenant)) + " ";
   for (std::size_t node = world.edges(); node < world.nodes(); ++node) {
     if (node == except) continue;
@@ -62,7 +63,7 @@
         log.rfind("no longer primary of shard=" + shard.substr(0, shard.size() - 1) + "\n");
     if (won != std::string::npos && (lost == std::string::npos || lost < won)) return node;
   }
-  return 99;
+  return kNoNode;
 }
 
 // A cluster of the tier's processes that has a configuration and is ready.
@@ -86,9 +87,10 @@
       return true;
     });
   }
-  // The edge node that, by its log, leads the configuration group since it was last started; 99 if none does.
+  // The edge node that, by its log, leads the configuration group since it was last started; kNoNode if none
+  // does.
   std::size_t leader() {
-    std::size_t out = 99;
+    std::size_t out = kNoNode;
     until(kTimeoutMs, [&] {
       for (std::size_t i = 0; i < 3; ++i) {
         const std::string log = world.log(i);
