--- a/src/base/body_integrity.h
+++ b/src/base/body_integrity.h
@@ -1,4 +1,5 @@
-// Where on its way from the client to a server the body of a request was found to have changed.
+// Counters of request bodies that were found to be corrupted on the way from the client to a server, by the
+// step at which it was detected.
 #pragma once
 
 #include <algorithm>
@@ -8,24 +9,25 @@
 
 namespace nettlestand::tier {
 
-// The steps at which a body is compared with the digest that was taken of the client's bytes.
+// The steps at which a body is compared with the digest of the bytes that the client sent.
 enum class BodyCheckStep : std::uint8_t {
   kSubmission,  // a batch job's JSON, before it is parsed
-  kStoreCall,   // a job as it reaches its store
-  kCopy,        // a job as it reaches another store, as a change or by repair
-  kRestart,     // a job as it is read from the disk
-  kStart,       // an item as it is started
-  kSend         // a request as it is written to a server, before the first byte and after the last
+  kStoreCall,   // a job when its store receives it
+  kCopy,        // a job when another store receives it, as a change or in a repair
+  kRestart,     // a job when it is read from disk
+  kStart,       // an item when it is started
+  kSend         // a request when it is written to a server, before the first byte and after the last
 };
 inline constexpr std::size_t kBodyCheckStepCount = 6;
 
+// The name of the step in logs.
 inline const char* name_of(BodyCheckStep step) {
   constexpr std::array<const char*, kBodyCheckStepCount> kNames = {"submission", "store_call", "copy",
                                                                    "restart",    "start",      "send"};
   return kNames[static_cast<std::size_t>(step)];
 }
 
-// Counts, for each step, of the bodies that differed there.
+// Counts, for each step, the bodies whose digest did not match.
 class BodyIntegrityCounters {
  public:
   void record_mismatch(BodyCheckStep step, std::uint64_t count = 1) {
--- a/src/base/codec.h
+++ b/src/base/codec.h
@@ -1,8 +1,9 @@
-// Binary encoding of plain structs, by reflection over Boost.Hana structs.
+// Binary encoding of plain structs, using the reflection of Boost.Hana structs.
 //
-// Numbers are LEB128 varints (signed ones zigzag), strings and lists are preceded by their length, structs
-// are their members in order. A decoder never reads past its input: after the first fault `ok()` is false and
-// all further values are left as they were.
+// Integers, booleans and enumerators are LEB128 varints, signed integers with zigzag encoding. A double is
+// its 8 bytes in memory order. Strings and lists are preceded by their length, an optional by 0 or 1. A
+// struct is its members in order. A decoder never reads past its input: after the first error `ok()` is false
+// and nothing more is read.
 #pragma once
 
 #include <boost/hana.hpp>
@@ -32,7 +33,7 @@
  public:
   template <class T>
   void put(const T& value) {
-    // NOLINTNEXTLINE(bugprone-branch-clone): each type keeps one of the branches.
+    // NOLINTNEXTLINE(bugprone-branch-clone): only one branch is compiled for each type.
     if constexpr (std::is_enum_v<T>) {
       put_varint(static_cast<std::uint64_t>(value));
     } else if constexpr (std::is_same_v<T, double>) {
@@ -58,6 +59,7 @@
                             [&](auto member) { put(boost::hana::second(member)(value)); });
     }
   }
+  // Returns the encoded bytes.
   std::string take() { return std::move(bytes_); }
 
  private:
@@ -71,7 +73,7 @@
   std::string bytes_;
 };
 
-// Reads values from bytes that may come from anywhere.
+// Reads values from untrusted bytes.
 class Decoder {
  public:
   explicit Decoder(std::string_view bytes) : rest_(bytes) {}
@@ -94,7 +96,7 @@
       value = std::string(take(varint()));
     } else if constexpr (codec_detail::IsVector<T>::value) {
       const std::uint64_t count = varint();
-      if (count > rest_.size()) ok_ = false;  // each element takes a byte at least
+      if (count > rest_.size()) ok_ = false;  // each element takes at least one byte
       value.clear();
       for (std::uint64_t i = 0; ok_ && i < count; ++i) get(value.emplace_back());
     } else if constexpr (codec_detail::IsOptional<T>::value) {
@@ -106,8 +108,9 @@
     }
   }
 
+  // Whether all values so far were decoded without error.
   bool ok() const { return ok_; }
-  // Whether all was read and nothing is left over.
+  // Whether there was no error and all bytes were read.
   bool complete() const { return ok_ && rest_.empty(); }
 
  private:
@@ -135,6 +138,7 @@
   bool ok_ = true;
 };
 
+// Returns the encoding of one value.
 template <class T>
 std::string encode(const T& value) {
   Encoder encoder;
@@ -142,7 +146,7 @@
   return encoder.take();
 }
 
-// The decoded value, or nothing where the bytes are not exactly one.
+// Returns the decoded value, or nullopt unless the bytes are the encoding of exactly one value.
 template <class T>
 std::optional<T> decode(std::string_view bytes) {
   T value{};
--- a/src/base/digest.h
+++ b/src/base/digest.h
@@ -1,4 +1,4 @@
-// Digests of byte strings, to notice bytes that have changed on their way. No protection against intent.
+// Digests of byte strings, to detect accidental corruption. They don't protect against deliberate changes.
 #pragma once
 
 #include <xxhash.h>
@@ -8,7 +8,8 @@
 
 namespace nettlestand::tier {
 
-// XXH64 of the bytes. A digest given as `seed` chains the bytes behind those that it was taken of.
+// Returns the XXH64 digest of the bytes. With an earlier digest as `seed` the result also depends on the
+// bytes of that digest, so that digests can be chained.
 inline std::uint64_t digest_of(std::string_view bytes, std::uint64_t seed = 0) {
   return XXH64(bytes.data(), bytes.size(), seed);
 }
--- a/src/base/time.h
+++ b/src/base/time.h
@@ -1,4 +1,5 @@
-// Time in the serving tier: milliseconds of the steady clock, handed to all deciding code as a number.
+// Time in the serving tier: milliseconds of the steady clock. Code without I/O receives the current time as
+// an argument instead of reading the clock.
 #pragma once
 
 #include <chrono>
@@ -8,7 +9,7 @@
 
 using Millis = std::int64_t;
 
-// How far tests have moved this process's clock on, so that none of them has to wait.
+// Offset added to the clock of this process. Tests increase it instead of waiting.
 inline Millis clock_shift = 0;
 
 inline Millis steady_now() {
--- a/src/membership/partial_view.cpp
+++ b/src/membership/partial_view.cpp
@@ -5,10 +5,10 @@
 namespace nettlestand::tier {
 namespace {
 
-constexpr std::size_t kCoreNodesChosenFirst = 3;
+constexpr std::size_t kCoreNodesChosenFirst = 3;  // per shuffle
 constexpr std::size_t kMaxTombstones = 2000;
-constexpr std::size_t kRoundsPerSeedContact =
-    8;  // each so many rounds a seed is asked, so that parted views meet again
+// Every this many rounds the shuffle goes to a seed, so that views separated by a partition merge again.
+constexpr std::size_t kRoundsPerSeedContact = 8;
 
 }  // namespace
 
@@ -47,7 +47,7 @@
     if (entry.node.address != except) candidates.push_back(&entry.node);
   }
   std::shuffle(candidates.begin(), candidates.end(), random_);
-  // Some of the core first: all nodes have to know it.
+  // Put some core nodes first, since all nodes have to know the core.
   std::size_t core = 0;
   std::stable_partition(candidates.begin(), candidates.end(), [&core](const NodeInfo* node) {
     return node->is_core && core++ < kCoreNodesChosenFirst;
--- a/src/messaging/messenger.h
+++ b/src/messaging/messenger.h
@@ -1,4 +1,5 @@
-// Sends messages to other nodes. The program's is `TcpMessenger`; simulations have their own.
+// Interface for sending messages to other nodes. Implemented by `TcpMessenger` in the node program and by
+// test doubles in simulations.
 #pragma once
 
 #include <cstdint>
@@ -7,17 +8,18 @@
 
 namespace nettlestand::tier {
 
-// What the group's leases and elections rest on goes before all else that waits for the same peer.
+// Priority of a message. Queued control messages are sent before bulk messages to the same peer, because a
+// group's leases and elections depend on them.
 enum class Lane : std::uint8_t { kControl, kBulk };
 
-// Delivery is best effort, and in order for each lane while a connection lasts: whoever sends repeats what
-// matters.
+// Delivery is best effort, and in order within a lane while a connection lasts. The sender retries messages
+// that must arrive.
 class Messenger {
  public:
   virtual ~Messenger() = default;
   virtual void send(const std::string& address, std::string_view message, Lane lane) = 0;
   void send(const std::string& address, std::string_view message) { send(address, message, Lane::kBulk); }
-  // Where other nodes reach this one, "ip:port".
+  // The address at which other nodes reach this one, as "ip:port".
   virtual const std::string& own_address() const = 0;
 };
 
--- a/src/messaging/tcp_messenger.cpp
+++ b/src/messaging/tcp_messenger.cpp
@@ -22,15 +22,16 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-constexpr int kTcpUserTimeoutMs = 1500;      // unacknowledged bytes end a connection after this long
-constexpr Millis kConnectTimeoutMs = 800;    // for a connection to come up
-constexpr Millis kReconnectBackoffMs = 100;  // after a failure, before a peer is dialed again
-// Of bulk messages. Control messages may fill as much again.
-constexpr std::size_t kMaxQueuedBytesPerPeer = 12U
-                                               << 20;  // the largest message, a batch of job changes, fits
+constexpr int kTcpUserTimeoutMs = 1500;      // a connection with data unacknowledged for longer is closed
+constexpr Millis kConnectTimeoutMs = 800;    // to establish a connection
+constexpr Millis kReconnectBackoffMs = 100;  // after a failure, before the next connection attempt
+// Limits for bulk messages. For control messages both limits are twice as high, so that full queues of bulk
+// messages don't block them. The largest message, a batch of job changes, fits the limit of a peer.
+constexpr std::size_t kMaxQueuedBytesPerPeer = 12U << 20;
 constexpr std::size_t kMaxTotalQueuedBytes = 24U << 20;
-constexpr std::size_t kWriteChunkBytes =
-    64U << 10;  // handed to the socket at a time, so that control messages pass
+// Size from which on no further frame is added to one write to the socket, so that control messages can
+// overtake queued bulk messages.
+constexpr std::size_t kWriteChunkBytes = 64U << 10;
 constexpr std::size_t kReadBufferBytes = 16U << 10;
 
 void set_options(tcp::socket& socket) {
@@ -57,7 +58,8 @@
   return {ip, static_cast<std::uint16_t>(port)};
 }
 
-// The connection to one peer that carries messages to it.
+// The connection that carries messages to one peer. It is opened by the first message and, after a failure,
+// by the first message after the backoff.
 class TcpMessenger::OutgoingConnection : public std::enable_shared_from_this<OutgoingConnection> {
  public:
   OutgoingConnection(asio::io_context& io, std::string peer, std::string own_address,
@@ -113,7 +115,8 @@
     write();
   }
 
-  // The peer sends only its greeting; an end of the stream tells that the connection is gone.
+  // Reads and discards what the peer sends, which is only its handshake, to notice when the connection
+  // closes.
   void watch_for_close() {
     socket_.async_read_some(asio::buffer(discard_buffer_),
                             [self = shared_from_this(), id = connection_id_](error_code error, std::size_t) {
@@ -123,8 +126,8 @@
                             });
   }
 
-  // Whole frames of a lane, the control lane first, and no more of them at once than kWriteChunkBytes beyond
-  // one.
+  // Moves whole frames of a lane to the write buffer while it holds less than kWriteChunkBytes; the last
+  // frame may exceed that size.
   void move_to_write_buffer(std::deque<std::string>& lane) {
     while (!lane.empty() && write_buffer_.size() < kWriteChunkBytes) {
       write_buffer_ += lane.front();
@@ -132,6 +135,7 @@
     }
   }
 
+  // Writes the next chunk, control frames first, and continues until both queues are empty.
   void write() {
     move_to_write_buffer(control_frames_);
     move_to_write_buffer(bulk_frames_);
@@ -148,6 +152,7 @@
                       });
   }
 
+  // Closes the connection, drops all queued messages and starts the reconnect backoff.
   void fail() {
     ++connection_id_;
     error_code ignored;
@@ -174,17 +179,17 @@
   tcp::socket socket_;
   asio::steady_timer timer_;
   std::string peer_, own_address_, write_buffer_;
-  std::deque<std::string> control_frames_, bulk_frames_;  // frames
-  std::size_t queued_bytes_ = 0;                          // bytes of these, and of what is being written
-  std::shared_ptr<std::size_t> total_queued_bytes_;       // of all peers
+  std::deque<std::string> control_frames_, bulk_frames_;
+  std::size_t queued_bytes_ = 0;                     // in both lanes and in the write in progress
+  std::shared_ptr<std::size_t> total_queued_bytes_;  // to all peers; shared
   std::array<char, 256> discard_buffer_{};
   State state_ = State::kIdle;
   bool writing_ = false;
-  unsigned connection_id_ = 0;
+  unsigned connection_id_ = 0;  // changes on connect and failure; callbacks with an older one do nothing
   Millis next_connect_at_ = 0;
 };
 
-// A connection that a peer has made, which carries its messages.
+// A connection opened by a peer, which carries messages from it.
 class TcpMessenger::IncomingConnection : public std::enable_shared_from_this<IncomingConnection> {
  public:
   IncomingConnection(tcp::socket socket, const Handler& handler)
@@ -207,6 +212,7 @@
                             });
   }
 
+  // Decodes received bytes. Returns false on a protocol error, which ends the connection.
   bool on_bytes(std::string_view bytes) {
     decoder_.feed(bytes);
     ZmtpFrame frame;
@@ -222,7 +228,7 @@
     }
   }
 
-  // False where the peer does not keep to the protocol.
+  // Returns false on a protocol error: a message before the peer's address, or one of several frames.
   bool handle_frame(const ZmtpFrame& frame) {
     if (frame.is_command) {
       if (const auto address = zmtp_ready_property(frame.body, "X-Address")) peer_address_ = *address;
@@ -274,7 +280,7 @@
   if (!connection) {
     try {
       parse_endpoint(address);
-    } catch (const std::invalid_argument&) {  // told by a peer: nothing to send to
+    } catch (const std::invalid_argument&) {  // the address came from a peer; the message is dropped
       outgoing_connections_.erase(address);
       return;
     }
--- a/src/messaging/tcp_messenger.h
+++ b/src/messaging/tcp_messenger.h
@@ -1,8 +1,8 @@
-// Messages between nodes over TCP, framed as ZMTP 3.1.
+// Sends and receives messages between nodes over TCP, framed as ZMTP 3.1.
 //
-// Delivery is best effort and in order for each lane while a connection lasts. Whoever sends repeats what
-// matters: a message may be lost when a connection breaks, and is dropped while a peer can't be reached, or
-// while its queue or that of all peers together is full.
+// Delivery is best effort, and in order within a lane while a connection lasts. A message may be lost when a
+// connection breaks. It is dropped while the peer is unreachable, and while the queue to the peer, or those
+// to all peers together, are full. The sender retries messages that must arrive.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -17,18 +17,22 @@
 
 namespace nettlestand::tier {
 
+// Keeps one outgoing connection to each peer, opened by the first message, and accepts connections from
+// peers.
 class TcpMessenger : public Messenger {
  public:
-  // `from` is the address "ip:port" at which the sender itself listens.
+  // Receives each message. `from` is the address "ip:port" at which the sender itself listens.
   using Handler = std::function<void(const std::string& from, std::string_view message)>;
 
   TcpMessenger(boost::asio::io_context& io, const std::string& own_address, Handler handler);
+  // Closes the outgoing connections and drops what is queued for them.
   ~TcpMessenger() override;  // NOLINT(bugprone-exception-escape): as at its definition
-  // Throws boost::system::system_error where the address can't be bound.
+  // Starts accepting connections at the own address. Throws boost::system::system_error if it can't be bound
+  // and std::invalid_argument if it is malformed.
   void listen();
   using Messenger::send;
   void send(const std::string& address, std::string_view message, Lane lane) override;
-  // Bytes that wait in the queues to all peers.
+  // Bytes in the queues to all peers.
   std::size_t queued_bytes() const { return *queued_bytes_; }
   const std::string& own_address() const override { return own_address_; }
 
@@ -42,10 +46,11 @@
   Handler handler_;
   boost::asio::ip::tcp::acceptor acceptor_;
   std::unordered_map<std::string, std::shared_ptr<OutgoingConnection>> outgoing_connections_;
-  std::shared_ptr<std::size_t> queued_bytes_ = std::make_shared<std::size_t>(0);  // outlived by connections
+  std::shared_ptr<std::size_t> queued_bytes_ =
+      std::make_shared<std::size_t>(0);  // shared: connections may outlive this
 };
 
-// "10.1.0.7:7660" as an endpoint; throws std::invalid_argument where it isn't one.
+// Parses an address such as "10.1.0.7:7660". Throws std::invalid_argument if it is malformed.
 boost::asio::ip::tcp::endpoint parse_endpoint(const std::string& address);
 
 }  // namespace nettlestand::tier
--- a/src/messaging/zmtp.cpp
+++ b/src/messaging/zmtp.cpp
@@ -29,6 +29,7 @@
   return out;
 }
 
+// Appends a property of a READY command: name and value, each preceded by its length.
 void append_property(std::string& out, std::string_view name, std::string_view value) {
   out.push_back(static_cast<char>(name.size()));
   out.append(name);
@@ -106,6 +107,7 @@
   out.has_more = (flags & kMoreFlag) != 0;
   out.body.assign(rest.substr(header_size, size));
   consumed_ += header_size + size;
+  // Decoded bytes are erased in large pieces, as each erase moves the rest of the buffer.
   constexpr std::size_t kCompactThresholdBytes = 1U << 16;
   if (consumed_ >= kCompactThresholdBytes) {
     buffer_.erase(0, consumed_);
