--- a/tests/system/codec_test.cpp
+++ b/tests/system/codec_test.cpp
@@ -1,4 +1,5 @@
-// The binary form of messages: what is written is read back, and nothing else is read without a fault.
+// Binary encoding of messages: encoded values decode to the same values, and malformed input is rejected or
+// decodes to a valid value, without reading past its end.
 #include <catch2/catch.hpp>
 #include <random>
 
@@ -29,12 +30,12 @@
 
 TEST_CASE("a struct with lists, signs and zero bytes is read back as it was") {
   const Poll poll = sample_poll();
-  const auto back = decode<Poll>(encode(poll));
-  REQUIRE(back);
-  CHECK(encode(*back) == encode(poll));
-  CHECK(back->sent_at == -5);
-  CHECK(back->node.disk_id == 0xFFFFFFFFFFFFFFFFULL);
-  CHECK(back->tokens.at(0).tenant.size() == 3);
+  const auto decoded = decode<Poll>(encode(poll));
+  REQUIRE(decoded);
+  CHECK(encode(*decoded) == encode(poll));
+  CHECK(decoded->sent_at == -5);
+  CHECK(decoded->node.disk_id == 0xFFFFFFFFFFFFFFFFULL);
+  CHECK(decoded->tokens.at(0).tenant.size() == 3);
 }
 
 TEST_CASE("every shorter form is refused, and so is a longer one") {
@@ -55,7 +56,7 @@
 TEST_CASE("bytes changed or drawn by chance are read whole or refused, never past their end") {
   std::mt19937_64 random(7);
   const std::string bytes = encode(sample_poll());
-  std::size_t refused = 0;
+  std::size_t rejected = 0;
   for (int round = 0; round < 20000; ++round) {
     std::string changed = bytes;
     for (int i = 0; i < 3; ++i) changed[random() % changed.size()] = static_cast<char>(random());
@@ -64,16 +65,16 @@
     const auto reply = decode<PollReply>(changed);
     const auto message = decode<GroupMessage>(changed);
     const auto replicate = decode<Replicate>(changed);
-    if (!poll) ++refused;
-    // What is read is whole: its own form is read back.
+    if (!poll) ++rejected;
+    // Whatever was decoded is a valid value: it can be encoded and decoded again.
     if (poll) CHECK(decode<Poll>(encode(*poll)));
     if (reply) CHECK(decode<PollReply>(encode(*reply)));
     if (message) CHECK(decode<GroupMessage>(encode(*message)));
     if (replicate) CHECK(decode<Replicate>(encode(*replicate)));
     const auto request = decode<ConfigTextRequest>(changed);
-    const auto content = decode<ConfigTextReply>(changed);
+    const auto text_reply = decode<ConfigTextReply>(changed);
     if (request) CHECK(decode<ConfigTextRequest>(encode(*request)));
-    if (content) CHECK(decode<ConfigTextReply>(encode(*content)));
+    if (text_reply) CHECK(decode<ConfigTextReply>(encode(*text_reply)));
   }
-  CHECK(refused > 5000);
+  CHECK(rejected > 5000);
 }
--- a/tests/system/recording_messenger.h
+++ b/tests/system/recording_messenger.h
@@ -1,4 +1,4 @@
-// Keeps what was sent instead of sending it.
+// Test double of Messenger that records messages instead of sending them.
 #pragma once
 
 #include <string>
@@ -23,7 +23,8 @@
   }
   const std::string& own_address() const override { return own; }
 
-  // The messages of one type, decoded, with their addressees; they are taken out.
+  // Removes the recorded messages of one type and returns them decoded, each with the address it was sent to.
+  // Messages that can't be decoded are removed as well.
   template <class Message>
   std::vector<std::pair<std::string, Message>> take(MessageType type) {
     std::vector<std::pair<std::string, Message>> out;
