--- a/tests/duties/cluster.h
+++ b/tests/duties/cluster.h
@@ -1,5 +1,5 @@
-// Voters and nodes in the emulator: the shipped deciding halves and libraft, with simulated clocks that run
-// wrong, a simulated network, and disks that fail on command.
+// A cluster of voters and nodes in the deterministic simulator. The I/O-free production logic and libraft run
+// on simulated clocks that drift, a simulated network, and in-memory stores that fail on demand.
 #pragma once
 
 #include <algorithm>
@@ -17,7 +17,7 @@
 
 namespace nettlestand::duties::testing {
 
-// A disk: what was written is there, and the next writes fail on command.
+// A voter's store in memory. It survives restarts of the voter; writes can be made to fail.
 class MemoryStore final : public Store {
  public:
   explicit MemoryStore(std::uint64_t id) : id_(id) {}
@@ -45,7 +45,7 @@
   }
   void append(std::uint64_t first, const std::vector<StoredEntry>& entries) override {
     throw_if_failing();
-    if (first != first_ + entries_.size()) throw std::logic_error("a gap in the log");
+    if (first != first_ + entries_.size()) throw std::logic_error("append leaves a gap in the log");
     entries_.insert(entries_.end(), entries.begin(), entries.end());
   }
   void truncate(std::uint64_t from) override {
@@ -74,8 +74,8 @@
     return true;
   }
 
-  int fail_after_writes = -1;  // the write after so many more fails, and all after it; below 0: none
-  std::uint64_t start_id_salt = 0;
+  int fail_after_writes = -1;       // operations that still succeed before all fail; negative: none fails
+  std::uint64_t start_id_salt = 0;  // makes the start ids of a restored copy differ from the original's
 
  private:
   void throw_if_failing() {
@@ -89,18 +89,21 @@
   std::map<std::uint64_t, std::pair<std::uint64_t, std::uint64_t>> peer_starts_;
 };
 
+// Sizes, timing and injected faults of a simulated cluster.
 struct ClusterSettings {
   std::size_t voters = 3, nodes = 4;
   std::vector<Duty> duties;
   double clock_drift = 0.01;
-  double effect_interval_seconds = 0.1, effect_duration_seconds = 0.05;  // s
+  double effect_interval_seconds = 0.1, effect_duration_seconds = 0.05;
   unsigned snapshot_threshold = 64, snapshot_trailing = 16;
-  bool fencing_disabled = false;  // planted
-  bool default_timeouts = false;  // times as shipped, else short ones
+  bool fencing_disabled = false;  // injected fault: effects are applied whatever their token
+  bool default_timeouts = false;  // the production defaults, else shorter timeouts
 };
 
+// The simulated voters and nodes, and the invariants that hold between them: a duty has at most one holder, a
+// token has one owner, and the tokens of a duty's effects never decrease.
 struct Cluster {
-  // A datagram is the sender's hello and a frame, so that no handshake has to be played.
+  // A datagram carries the sender's hello and one frame, so that the handshake need not be simulated.
   static std::string encode_datagram(const Frame& hello, const Frame& frame) {
     const std::string h = encode(hello);
     return std::string(1, static_cast<char>(h.size() / 256)) + static_cast<char>(h.size() % 256) + h +
@@ -113,6 +116,7 @@
             decode_frame(std::string_view(bytes).substr(2 + size))};
   }
 
+  // A voter whose clock runs fast if its index is even and slow if it is odd.
   struct VoterActor final : emulator::Actor {
     VoterActor(Cluster& cluster, std::size_t index, std::uint64_t generation)
         : cluster(cluster), index(index), generation(generation) {}
@@ -177,7 +181,7 @@
         }
       }
       outgoing.clear();
-      // Messages must not put the next tick off.
+      // A message must not postpone the next tick.
       if (next_tick_at > context.now()) return;
       next_tick_at = context.now() + (voter ? 0.025 : 0.5);
       context.set_timer(next_tick_at, ++timer_token);
@@ -191,6 +195,8 @@
     std::uint64_t timer_token = 0;
   };
 
+  // A node that acquires all duties and applies effects for those it holds. Its clock runs slow if its index
+  // is even and fast if it is odd.
   struct NodeActor final : emulator::Actor {
     NodeActor(Cluster& cluster, std::size_t index, std::uint64_t generation)
         : cluster(cluster), index(index), generation(generation), client(client_settings()) {}
@@ -219,13 +225,12 @@
       flush(context);
     }
     void message(emulator::Context& context, emulator::ActorId from, const std::string& bytes) override {
-      if (from != client.voter_selector().target()) return;  // of a connection that is closed
+      if (from != client.voter_selector().target()) return;  // from a connection that was closed
       client.on_frame(local_time(context.now()), decode_datagram(bytes).second, actions);
       flush(context);
     }
     void timer(emulator::Context& context, std::uint64_t token) override {
-      if (token ==
-          kEffectTimer) {  // it takes place now, whatever has become of the lease since it was checked
+      if (token == kEffectTimer) {  // applied even if the lease was lost since the check
         const auto [duty, t] = pending_effect;
         pending_effect.second = 0;
         cluster.apply_effect(context.now(), duty, t);
@@ -249,7 +254,7 @@
     }
     void flush(emulator::Context& context) {
       if (actions.reconnect) {
-        // A connection that is refused or comes up at once: the way there takes what it takes.
+        // Connections are established at once; the simulated network delays or loses the frames.
         Client::Actions again;
         client.on_connected(local_time(context.now()), again);
         std::swap(actions.frames, again.frames);
@@ -296,7 +301,7 @@
     }
     RaftReplica::bootstrap(*stores[0], "v0");
   }
-  // All started, all voters added. False where that took over 20 s.
+  // Starts all actors and adds the voters one by one. False if adding one of them takes more than 20 s.
   bool start() {
     for (emulator::ActorId i = 0; i < sim.size(); ++i) sim.start(i);
     for (std::size_t v = 1; v < settings.voters; ++v) {
@@ -310,7 +315,7 @@
           return info.name == "v" + std::to_string(v) && info.role == VoterRole::kVoter;
         });
         if (in || tries % 20 != 0) continue;
-        // A hello of the new one, as if it had connected, and an operator's word.
+        // The new voter's hello, as if it had connected, and an operator's request to add it.
         Voter::OutgoingFrames outs;
         VoterActor* added = voter(v);
         const double at = 100 + sim.now();
@@ -326,6 +331,7 @@
     }
     return true;
   }
+  // Runs the simulation and checks for two holders every 10 ms.
   void run(double seconds) {
     for (const double until = sim.now() + seconds; sim.now() < until - 1e-9;) {
       sim.run_until(std::min(until, sim.now() + 0.01));
@@ -345,6 +351,7 @@
     }
     return nullptr;
   }
+  // The first running node that believes it holds the duty.
   std::optional<std::size_t> holder(const std::string& duty) {
     for (std::size_t i = 0; i < settings.nodes; ++i) {
       NodeActor* n = node(i);
@@ -367,7 +374,7 @@
         if (n != nullptr && n->client.held_token(n->local_time(sim.now()), d.name)) ++holders;
       }
       if (holders > 1 && violation.empty())
-        violation = d.name + " is held by two at " + std::to_string(sim.now());
+        violation = d.name + " has two holders at " + std::to_string(sim.now());
     }
   }
   void on_lease_change(double at, std::size_t node, std::uint64_t generation,
@@ -386,7 +393,7 @@
     ++applied_effects;
     Token& last = last_effect[duty];
     if (token < last && violation.empty())
-      violation = "an effect of " + duty + " crossed another's at " + std::to_string(at);
+      violation = "an effect of " + duty + " came after one with a higher token at " + std::to_string(at);
     last = std::max(last, token);
   }
 
@@ -398,8 +405,8 @@
   std::map<std::string, Token> last_effect;
   std::map<Token, std::pair<std::size_t, std::uint64_t>> token_owners;
   std::size_t applied_effects = 0, rejected_effects = 0, gained_leases = 0;
-  std::string violation;
-  std::function<void(const std::string&)> on_raft_message;  // to what voters say to each other
+  std::string violation;                                    // the first one; empty if none
+  std::function<void(const std::string&)> on_raft_message;  // called with each Raft message
 };
 
 }  // namespace nettlestand::duties::testing
--- a/tests/duties/cluster_test.cpp
+++ b/tests/duties/cluster_test.cpp
@@ -1,4 +1,4 @@
-// Voters and nodes in simulated time, under faults: single cases by hand, and many seeded histories.
+// Voters and nodes in simulated time under fault injection: hand-written cases and many random histories.
 #include "cluster.h"
 
 #include <gtest/gtest.h>
@@ -27,6 +27,7 @@
   return out;
 }
 
+// Runs the simulation until the predicate holds; false if that takes longer than the timeout.
 bool run_until(Cluster& cluster, const std::function<bool()>& predicate, double timeout_seconds) {
   for (const double end = cluster.sim.now() + timeout_seconds; cluster.sim.now() < end;) {
     if (predicate()) return true;
@@ -62,7 +63,7 @@
 
 TEST(DutiesCluster, AHolderThatStandsBetweenCheckAndEffectIsTurnedAwayWhereItLands) {
   ClusterSettings settings = cluster_settings(3, 3, 1);
-  settings.effect_duration_seconds = 0.5;  // half of a lease: the pause comes into it
+  settings.effect_duration_seconds = 0.5;  // half a lease, so that the pause falls between check and effect
   Cluster cluster(settings, 3);
   ASSERT_TRUE(cluster.start());
   ASSERT_TRUE(run_until(
@@ -74,7 +75,7 @@
   cluster.sim.pause(actor);
   ASSERT_TRUE(run_until(
       cluster, [&] { return cluster.holder("d0") && *cluster.holder("d0") != before; }, 5));
-  // The next one's effect lands first.
+  // The next holder's effect is applied before the paused one's.
   const std::size_t effects_before = cluster.applied_effects;
   ASSERT_TRUE(run_until(
       cluster, [&] { return cluster.applied_effects > effects_before; }, 5));
@@ -96,7 +97,7 @@
   const double from = cluster.sim.now();
   ASSERT_TRUE(run_until(
       cluster, [&] { return cluster.all_held(); }, 10));
-  EXPECT_LT(cluster.sim.now() - from, 1 + 1 + 2 * 0.6);  // an election on top
+  EXPECT_LT(cluster.sim.now() - from, 1 + 1 + 2 * 0.6);  // a lease, 1 s and an election
   EXPECT_EQ(cluster.violation, "");
 }
 
@@ -127,7 +128,7 @@
     if (i == alone) continue;
     cluster.sim.set_way(i, static_cast<ActorId>(alone), cut);
   }
-  cluster.run(5);  // it hears nobody, and all hear it
+  cluster.run(5);  // it receives nothing, and all others receive its messages
   cluster.sim.heal();
   cluster.run(2);
   ASSERT_NE(cluster.leader(), nullptr);
@@ -148,7 +149,7 @@
   ASSERT_TRUE(run_until(
       cluster, [&] { return cluster.all_held(); }, 5));
   cluster.stores[leader_index]->fail_after_writes = -1;
-  // A majority needs it again.
+  // With another voter down, the recovered one is needed for a majority.
   cluster.sim.kill(static_cast<ActorId>((leader_index + 1) % 3));
   ASSERT_TRUE(run_until(
       cluster, [&] { return cluster.leader() != nullptr; }, 5));
@@ -190,7 +191,7 @@
   cluster.stores[victim]->start_id_salt = 99;
   restart();
   EXPECT_TRUE(cluster.leader()->voter->lease_manager().is_leader());
-  // The other two go on without it; with one of them gone it may not make up a majority.
+  // The other two go on without it; with one of them down it must not complete a majority.
   const std::size_t leader_index = cluster.leader()->index;
   cluster.sim.kill(static_cast<ActorId>(3 - leader_index - victim));
   cluster.run(3);
@@ -205,7 +206,7 @@
   ASSERT_TRUE(cluster.start());
   const std::size_t late = (cluster.leader()->index + 1) % 3;
   cluster.sim.kill(static_cast<ActorId>(late));
-  // Each kill is a change of hands or two; renewals are barriers in the log.
+  // Renewals append barriers to the log, so that it grows past the snapshot threshold.
   cluster.run(20);
   ASSERT_GT(cluster.leader()->voter->raft().counters().snapshots, 0U);
   cluster.sim.start(static_cast<ActorId>(late));
@@ -220,8 +221,8 @@
   ASSERT_TRUE(cluster.start());
   ASSERT_TRUE(run_until(
       cluster, [&] { return cluster.all_held(); }, 5));
-  // One is lost with its disk: under its name there is a voter of a new identity. The old one has to go
-  // first.
+  // A voter loses its disk and comes back under its name with a new identity. The old identity must be
+  // removed before the new one can be added.
   const std::size_t lost = (cluster.leader()->index + 1) % 4;
   cluster.sim.kill(static_cast<ActorId>(lost));
   cluster.stores[lost] = std::make_unique<MemoryStore>(5000);
@@ -271,7 +272,7 @@
                              ? (*cluster.holder("d0") + 2) % 3
                              : (*cluster.holder("d0") + 1) % 3;
   Client::Actions out;
-  std::string error = "none came";
+  std::string error = "no reply";
   Request pass;
   pass.kind = Request::Kind::kTransfer;
   pass.duty = "d0";
@@ -288,8 +289,10 @@
   EXPECT_EQ(cluster.violation, "");
 }
 
-// ------------------------------------------------------------ many histories
+// Random histories
 
+// Runs a cluster under random faults that a seed determines. Returns the violation, or empty if all went well
+// and all duties are held and have effects again after the faults.
 std::string run_random_history(std::uint64_t seed, bool fencing_disabled, std::size_t* rejected_effects,
                                std::size_t* applied_effects) {
   std::mt19937_64 random(seed);
@@ -297,7 +300,7 @@
   settings.fencing_disabled = fencing_disabled;
   settings.effect_duration_seconds = random() % 2 == 0 ? 0.02 : 0.4;
   Cluster cluster(settings, seed);
-  if (!cluster.start()) return "seed " + std::to_string(seed) + ": the voters did not start\n";
+  if (!cluster.start()) return "seed " + std::to_string(seed) + ": the cluster did not form\n";
   const std::size_t all = settings.voters + settings.nodes;
   const auto any = [&] { return static_cast<ActorId>(random() % all); };
   const double from = cluster.sim.now();
@@ -333,7 +336,7 @@
         cluster.sim.at(at, [&cluster, a, b, way] { cluster.sim.set_way(a, b, way); });
         cluster.sim.at(at + lasts, [&cluster, a, b] { cluster.sim.set_way(a, b, {}); });
         break;
-      case 4:  // it can send and not receive, or the other way round
+      case 4:  // cuts one direction, chosen at random, of each of its links
         way.cut = true;
         for (ActorId o = 0; o < all; ++o) {
           if (o == a) continue;
@@ -361,7 +364,7 @@
         cluster.sim.at(at + lasts, [&cluster, v] { cluster.stores[v]->fail_after_writes = -1; });
         break;
       }
-      default:  // the leader, whoever it is, and a holder with it
+      default:  // kills the current leader and a holder; at most once a history
         if (++leader_kills > 1) break;
         cluster.sim.at(at, [&cluster, lasts] {
           if (Cluster::VoterActor* leader = cluster.leader()) {
@@ -382,17 +385,17 @@
         break;
     }
   }
-  cluster.run(10);  // all is over by then
+  cluster.run(10);  // longer than all faults last
   cluster.sim.heal();
   cluster.sim.set_network({});
   std::string out;
   if (!run_until(
           cluster, [&] { return cluster.all_held(); }, 6))
-    out = "not all duties are held 6 s after all is well";
+    out = "not all duties are held 6 s after the faults ended";
   const std::size_t effects_before = cluster.applied_effects;
   if (out.empty() && !run_until(
                          cluster, [&] { return cluster.applied_effects > effects_before; }, 3))
-    out = "no effect takes place after all is well";
+    out = "no effect is applied after the faults ended";
   if (rejected_effects != nullptr) *rejected_effects += cluster.rejected_effects;
   if (applied_effects != nullptr) *applied_effects += cluster.applied_effects;
   if (!cluster.violation.empty()) out = cluster.violation;
@@ -407,15 +410,16 @@
   for (std::size_t i = 0; i < count && violation.size() < 2000; ++i)
     violation += run_random_history(i + 1, false, &rejected_effects, &applied_effects);
   EXPECT_EQ(violation, "");
-  EXPECT_GT(rejected_effects, 0U) << "the fence had something to do";
+  EXPECT_GT(rejected_effects, 0U) << "the fencing check was never needed";
   EXPECT_GT(applied_effects, 10 * count);
 }
 
 TEST(DutiesHistories, WithoutAFenceEffectsCross) {
   std::string violation;
-  for (std::uint64_t i = 1; i <= 300 && violation.find("crossed") == std::string::npos; ++i)
+  for (std::uint64_t i = 1;
+       i <= 300 && violation.find("came after one with a higher token") == std::string::npos; ++i)
     violation = run_random_history(i, true, nullptr, nullptr);
-  EXPECT_NE(violation.find("crossed"), std::string::npos);
+  EXPECT_NE(violation.find("came after one with a higher token"), std::string::npos);
 }
 
 }  // namespace
--- a/tests/duties/components_test.cpp
+++ b/tests/duties/components_test.cpp
@@ -1,5 +1,5 @@
-// The parts of duties by themselves: the wire, the way to the voters, a voter's file under failing calls and
-// kills, messages that no voter sends, the report's book.
+// The components of leases by themselves: the wire format, the selection of a voter, the lease holder, a
+// voter's store under I/O errors and kills, hostile Raft messages, and the report's database.
 #include <gtest/gtest.h>
 #include <signal.h>
 #include <sqlite3.h>
@@ -18,10 +18,11 @@
 namespace nettlestand::duties::testing {
 namespace {
 
+// A directory that is removed with the object.
 struct TemporaryDirectory {
   TemporaryDirectory() {
     std::string name = ::testing::TempDir() + "nettlestand_duties_XXXXXX";
-    if (mkdtemp(name.data()) == nullptr) throw std::runtime_error("no folder");
+    if (mkdtemp(name.data()) == nullptr) throw std::runtime_error("cannot create a temporary directory");
     path = name;
   }
   ~TemporaryDirectory() {
@@ -31,7 +32,7 @@
   std::string path;
 };
 
-// ------------------------------------------------------------ the wire
+// Wire format
 
 Frame make_hello(const std::string& name) {
   Frame f;
@@ -53,6 +54,7 @@
   f.requests[1].token = 99;
   return f;
 }
+// Two ends of a connection that have sent each other their hello.
 struct ChannelPair {
   explicit ChannelPair(Keys a_keys = {}, Keys b_keys = {})
       : a(a_keys, std::string(kNonceBytes, 'a'), kMaxFrameBytes),
@@ -92,7 +94,7 @@
     recorded = p.a.seal(make_requests_frame());
     p.b.append_received(recorded);
     EXPECT_TRUE(p.b.next_frame());
-    expect_rejected(p, recorded);  // doubled
+    expect_rejected(p, recorded);  // replayed
   }
   for (std::size_t i = 4; i < recorded.size(); i += 7) {
     ChannelPair p;
@@ -105,9 +107,9 @@
     ChannelPair p;
     exchange_hellos(p);
     p.a.seal(make_requests_frame());
-    expect_rejected(p, p.a.seal(make_requests_frame()));  // one before it is missing
+    expect_rejected(p, p.a.seal(make_requests_frame()));  // the frame before it is missing
   }
-  {  // of another connection: the nonce is another
+  {  // recorded on another connection, which has another nonce
     ChannelPair p;
     Channel b({}, std::string(kNonceBytes, 'z'), kMaxFrameBytes);
     b.append_received(p.a.seal(make_hello("a")));
@@ -152,7 +154,7 @@
   EXPECT_THROW(p.b.next_frame() && p.b.next_frame(), DecodeError);
 }
 
-// ------------------------------------------------------------ the way
+// Selection of a voter
 
 TEST(DutiesWay, GoesRoundTheVotersAndToTheLeaderAndBack) {
   VoterSelectorSettings s;
@@ -168,7 +170,7 @@
   EXPECT_EQ(w.target(), 0U);
   EXPECT_TRUE(w.following_hint());
   w.on_hint_failed(0.3);
-  EXPECT_EQ(w.target(), 2U) << "who said so still hands on";
+  EXPECT_EQ(w.target(), 2U) << "the voter that gave the hint still forwards requests";
   w.on_connected(0.4);
   w.on_request_sent(0.5);
   EXPECT_FALSE(w.timed_out(1.4));
@@ -195,7 +197,7 @@
   EXPECT_EQ(longest, s.max_backoff);
 }
 
-// ------------------------------------------------------------ what takes time to stop
+// Lease holder
 
 TEST(DutiesHolding, WhatStopsSlowlyIsGivenBackOnceItHasStopped) {
   LeaseHolderSettings s;
@@ -219,9 +221,9 @@
   over.kind = Reply::Kind::kHandOver;
   out = {};
   h.on_reply(1, over, out);
-  EXPECT_FALSE(h.held_token(1, "d")) << "no effect begins any more";
+  EXPECT_FALSE(h.held_token(1, "d")) << "no further effect may begin";
   ASSERT_EQ(out.changes.size(), 1U);
-  EXPECT_TRUE(out.requests.empty()) << "and it is not given back yet";
+  EXPECT_TRUE(out.requests.empty()) << "the lease must not be released before the work has stopped";
   EXPECT_NEAR(h.held_until("d"), 2 * (1 - s.drift), 1e-9);
   h.tick(1.5, out);
   h.on_leader_changed(1.5, out);
@@ -253,20 +255,20 @@
   EXPECT_EQ(out.changes[0].loss_reason, LeaseHolder::LossReason::kExpired);
   ASSERT_FALSE(out.requests.empty());
   EXPECT_EQ(out.requests[0].kind, Request::Kind::kRelease);
-  // A confirmation of an old renewal that comes now changes nothing.
+  // A late confirmation of an earlier renewal changes nothing.
   h.on_reply(1.2, r, out);
   EXPECT_FALSE(h.held_token(1.2, "d"));
 }
 
-// ------------------------------------------------------------ a voter's file
+// Store of a voter
 
-// SQLite's own file layer, with the call that is next to fail.
+// SQLite's default VFS in which one chosen write, truncation or sync fails.
 struct FailingVfs {
   static FailingVfs& instance() {
     static FailingVfs one;
     return one;
   }
-  int fail_after_calls = -1;  // so many calls from now; below 0: none
+  int fail_after_calls = -1;  // calls that still succeed before one fails; negative: none fails
   int call_count = 0;
   bool fails() {
     ++call_count;
@@ -292,13 +294,13 @@
       if (code == SQLITE_OK) file->base.pMethods = &instance().methods_;
       return code;
     };
-    methods_.iVersion = 1;  // no shared memory: as a voter's file is one process's
+    methods_.iVersion = 1;  // no shared memory: one process uses a voter's file
     methods_.xClose = [](sqlite3_file* f) { return real(f)->pMethods->xClose(real(f)); };
     methods_.xRead = [](sqlite3_file* f, void* to, int n, sqlite3_int64 at) {
       return real(f)->pMethods->xRead(real(f), to, n, at);
     };
     methods_.xWrite = [](sqlite3_file* f, const void* from, int n, sqlite3_int64 at) {
-      if (instance().fails()) {  // half of it is there
+      if (instance().fails()) {  // a torn write: only half the data is written
         real(f)->pMethods->xWrite(real(f), from, n / 2, at);
         return SQLITE_FULL;
       }
@@ -332,7 +334,7 @@
   sqlite3_io_methods methods_{};
 };
 
-// What a store holds, as text.
+// The content of a store as text.
 std::string describe_state(const StoredState& s) {
   std::string out =
       "t" + std::to_string(s.term) + "v" + std::to_string(s.vote) + "f" + std::to_string(s.first_index);
@@ -340,7 +342,7 @@
   if (s.snapshot) out += "S" + std::to_string(s.snapshot->index) + s.snapshot->data;
   return out;
 }
-// The steps of a voter's life; what each leaves is known.
+// Applies the i-th of a fixed sequence of store operations; `last` is the index of the last entry.
 void apply_step(Store& s, int i, std::uint64_t& last) {
   switch (i % 6) {
     case 0:
@@ -391,7 +393,7 @@
     vfs.fail_after_calls = -1;
     SqliteStore again(directory.path);
     const std::string now_held = describe_state(again.load());
-    // A step is there whole, or not at all; what was answered for is there.
+    // An operation is stored whole or not at all, and completed operations are kept.
     if (failed) {
       EXPECT_TRUE(now_held == before || now_held == after) << fail << ": " << now_held.substr(0, 200);
     } else {
@@ -400,7 +402,7 @@
       break;
     }
   }
-  EXPECT_GT(calls, 40) << "the calls of a whole life were failed one after the other";
+  EXPECT_GT(calls, 40) << "too few calls were failed in turn to cover the whole sequence";
 }
 
 TEST(DutiesStore, KilledAtAnyMomentItHasWhatItHasAnsweredFor) {
@@ -451,18 +453,19 @@
   try {
     SqliteStore other(directory.path);
     other.load();
-    FAIL() << "two have it";
+    FAIL() << "the same store was opened twice";
   } catch (const StoreError& error) {
     EXPECT_EQ(error.kind, StoreError::Kind::kLocked);
   }
   EXPECT_TRUE(store.record_peer_start(9, 3, 100));
   EXPECT_TRUE(store.record_peer_start(9, 3, 100));
-  EXPECT_FALSE(store.record_peer_start(9, 3, 101)) << "another one that calls itself the same";
-  EXPECT_FALSE(store.record_peer_start(9, 2, 90)) << "a state of former days";
+  EXPECT_FALSE(store.record_peer_start(9, 3, 101)) << "another run with the same start count";
+  EXPECT_FALSE(store.record_peer_start(9, 2, 90))
+      << "an earlier start: its state was restored from an old copy";
   EXPECT_TRUE(store.record_peer_start(9, 4, 110));
 }
 
-// ------------------------------------------------------------ messages that no voter sends
+// Hostile and replayed Raft messages
 
 TEST(DutiesAgreement, HostileMessagesNeitherEndAVoterNorChangeWhatIsAgreed) {
   ClusterSettings s;
@@ -483,7 +486,7 @@
       for (std::uint64_t k = 1 + random() % 3; k > 0; --k)
         bytes[random() % bytes.size()] = static_cast<char>(random());
       if (random() % 8 == 0) bytes.resize(random() % bytes.size());
-      // To a follower as if from the leader, from another, and from a stranger.
+      // To any voter, as if from any voter or from one that is not a member.
       const std::size_t to = random() % 3, from = random() % 4;
       auto* v = cluster.voter(to);
       if (v == nullptr || !v->voter || v->voter->failed()) continue;
@@ -496,7 +499,7 @@
       v->voter->on_voter_frame(100 + cluster.sim.now(), id, "v" + std::to_string(from % 3), f, outs);
       if (i % 300 == 0) cluster.run(0.1);
     }
-    // Whatever they have made of it, they go on, and duties are held by one at most.
+    // The voters go on, and each duty has at most one holder.
     for (int i = 0; i < 500 && !cluster.all_held(); ++i) cluster.run(0.02);
     EXPECT_EQ(cluster.violation, "");
   }
@@ -512,7 +515,7 @@
     if (seen.size() < 3000) seen.push_back(bytes);
   };
   cluster.run(5);
-  // Another leader, and another holder, while the old words are under way.
+  // Another leader takes over before the recorded messages are delivered again, about a minute late.
   cluster.sim.kill(static_cast<emulator::ActorId>(cluster.leader()->index));
   cluster.run(5);
   for (emulator::ActorId v = 0; v < 3; ++v) cluster.sim.start(v);
@@ -546,7 +549,7 @@
   EXPECT_GE(cluster.leader()->voter->raft().table().last_token(), token);
 }
 
-// ------------------------------------------------------------ the report's book
+// Database of the report
 
 TEST(DutiesBook, CountsNothingTwiceAndLosesNothingWhoeverWrites) {
   TemporaryDirectory directory;
@@ -567,7 +570,8 @@
       }
       if (random() % 3 != 0 || period == 59) words.push_back({name, 1, tally.counts()});
     }
-    // Late words of former periods, in any order; a writer that dies before its end; a former holder's.
+    // Late counts of earlier periods in any order, a writer that dies before its commit, and a writer whose
+    // lease has passed to another.
     if (!old.empty()) words.push_back(old[random() % old.size()]);
     std::shuffle(words.begin(), words.end(), random);
     old.insert(old.end(), words.begin(), words.end());
--- a/tests/duties/effect_writer.cpp
+++ b/tests/duties/effect_writer.cpp
@@ -1,8 +1,8 @@
-// A program that is run under a duty in tests: lets an effect land every few ms at a place that many share,
-// with the token that it was started with. Ends with 1 once it is turned away.
-//     probe PLACE EVERY_MS [STEP]
-// STEP: "slow": half of each effect's time lies between its check and where it lands; "fail": ends at once
-// with 3.
+// A program that tests run under a duty. Records an effect every INTERVAL_MS in a database that all processes
+// share, with the fencing token that it was started with. Exits with 1 once the token is rejected.
+//     effect_writer DATABASE INTERVAL_MS [MODE]
+// MODE: "slow": half of the interval passes before the token is checked and the effect recorded; "fail":
+// exits with 3 at once.
 #include <sys/prctl.h>
 #include <unistd.h>
 
@@ -58,7 +58,7 @@
       std::this_thread::sleep_for(mode == "slow" ? every / 2 : every);
     }
   } catch (const std::exception& problem) {
-    std::fprintf(stderr, "probe: %s\n", problem.what());
+    std::fprintf(stderr, "effect_writer: %s\n", problem.what());
     return 4;
   }
 }
--- a/tests/duties/gateway_test.cpp
+++ b/tests/duties/gateway_test.cpp
@@ -1,4 +1,4 @@
-// Duties held by gateways: what applications see, against a voter in this process.
+// Duties held by gateways, as applications see them, with a voter in the test process.
 #include "nettlestand/gateway.h"
 
 #include <gtest/gtest.h>
@@ -17,7 +17,7 @@
 namespace nettlestand {
 namespace {
 
-// One voter, on a kernel-given port.
+// A single voter that listens on a port chosen by the kernel.
 struct SingleVoter {
   SingleVoter() {
     duties::VoterOptions o;
@@ -38,6 +38,7 @@
   std::optional<duties::VoterService> service;
 };
 
+// Records the changes that a gateway reports and lets the test wait for them.
 struct ChangeRecorder {
   void add(const DutyChange& c) {
     const std::lock_guard lock(mutex);
@@ -53,6 +54,7 @@
   std::vector<DutyChange> changes;
 };
 
+// A gateway with one server and the duty "nightly", whose lease is 600 ms.
 Options gateway_options(const SingleVoter& voter, const std::string& name, ChangeRecorder& change_recorder,
                         const std::string& server) {
   Options o;
@@ -118,7 +120,8 @@
   EXPECT_EQ(b->duty_token("nightly"), 0U);
   std::size_t with_token = 0;
   for (const auto& attempt : recorder.attempts()) with_token += attempt.fencing_token == token ? 1 : 0;
-  EXPECT_EQ(with_token, 1U) << "the server saw the token, and no request of who does not hold the duty";
+  EXPECT_EQ(with_token, 1U)
+      << "the server must see the token, and no request of the gateway that does not hold the duty";
 
   a->duty_failed("nightly");
   ASSERT_TRUE(second.wait([](const auto& c) { return !c.empty() && c[0].gained; }));
@@ -127,7 +130,7 @@
   ASSERT_TRUE(first.wait([](const auto& c) { return c.size() > 1; }));
   EXPECT_EQ(first.changes[1].why, "failed");
 
-  // Its end gives back at once, long before the lease would lapse by itself, and goes round again.
+  // stop() releases the lease at once, long before it would expire, and the other gateway gains it again.
   b->stop();
   ASSERT_TRUE(second.wait([](const auto& c) { return c.size() > 1; }));
   EXPECT_EQ(second.changes[1].why, "given back");
--- a/tests/duties/model.h
+++ b/tests/duties/model.h
@@ -1,6 +1,6 @@
-// Duties as a world of states and steps, for a model checker: nodes with clocks that run wrong, two voters of
-// which one can commit and the other may still believe so, and messages that come in any order, twice or
-// never. The deciding halves are the shipped ones; agreement itself is a log here.
+// A state machine of leases for a model checker: nodes with drifting clocks, two voters of which one can
+// commit while the other may still believe that it is the leader, and messages that are reordered, duplicated
+// or lost. The lease logic is the production code; agreement itself is reduced to a shared log.
 #pragma once
 
 #include <map>
@@ -14,27 +14,29 @@
 
 namespace nettlestand::duties::testing {
 
-// What may be built in for the checker to find.
+// Faults that the checker must be able to find.
 struct InjectedFaults {
-  bool no_fencing = false;      // effects take place whatever their token
-  bool wall_clock = false;      // leases by a clock that may be set back
-  bool table_loss = false;      // the voters may lose what they had agreed on
-  bool no_barrier = false;      // who believes that it leads confirms renewals alone
-  bool no_leader_wait = false;  // a new leader takes all leases for as old as can be
-  bool drift_ignored = false;   // holders take clocks for exact
+  bool no_fencing = false;      // effects are applied whatever their token
+  bool wall_clock = false;      // leases are timed by a clock that may be set back
+  bool table_loss = false;      // the voters may lose the agreed lease table
+  bool no_barrier = false;      // a voter that believes it leads confirms renewals without the others
+  bool no_leader_wait = false;  // a new leader treats all existing leases as expired
+  bool drift_ignored = false;   // lease holders assume that clocks are exact
 };
 
+// Size and timing of the model; times in seconds.
 struct ModelSettings {
   int nodes = 3;
   std::vector<std::string> duties = {"a", "b"};
   double lease_seconds = 1, drift = 0.1;
-  // So that a few steps end between a lease's end by an exact clock and by the slowest one.
+  // Small enough for a few steps to fall between a lease's expiry by an exact clock and by the slowest clock.
   double time_step = 0.26;
   std::size_t max_messages = 3;
   bool crashes = true;
   InjectedFaults faults;
 };
 
+// One state of the model. The steps that are possible in it are numbered; taking one leads to the next state.
 class Model {
  public:
   explicit Model(const ModelSettings& settings) : settings_(settings) {
@@ -77,16 +79,16 @@
     return *this;
   }
 
-  // The steps that can be taken now, by number; step() takes one and says what it was.
+  // The number of steps that are possible now; step() takes one and returns its name.
   std::size_t step_count() const { return all_steps().size(); }
   std::string step(std::size_t which) {
     const Step s = all_steps().at(which);
-    std::string name = name_of(s);  // before the step: it names a message by its place
+    std::string name = name_of(s);  // before the step: the name refers to a message by its position
     execute(s);
     check();
     return name;
   }
-  // A step by its name, for a story; false where it can't be taken now.
+  // Takes a step by its name, for scripted tests; false if it is not possible now.
   bool step(const std::string& name) {
     const auto all = all_steps();
     for (std::size_t i = 0; i < all.size(); ++i) {
@@ -101,7 +103,7 @@
     for (const Step& s : all_steps()) out.push_back(name_of(s));
     return out;
   }
-  // What is broken, or nothing.
+  // The first invariant violation, or empty.
   const std::string& violation() const { return violation_; }
   std::optional<int> holder(const std::string& duty) const {
     for (int n = 0; n < settings_.nodes; ++n) {
@@ -112,7 +114,7 @@
   std::size_t effects() const { return effects_.size(); }
   const LeaseTable& table() const { return voters_[static_cast<std::size_t>(leader_)].table; }
 
-  // Two worlds that say the same go on alike.
+  // States with equal keys have the same future.
   std::string state_key() const {
     std::string out = std::to_string(leader_);
     for (const VoterState& v : voters_) {
@@ -135,9 +137,10 @@
   }
 
  private:
+  // A proposal that is not committed yet.
   struct PendingItem {
     Command command;
-    std::uint64_t barrier = 0;  // or a command
+    std::uint64_t barrier = 0;  // 0: the item is a command
   };
   struct VoterState {
     VoterState(const ModelSettings& s, double rate) : lease_manager(table, manager_settings(s)), rate(rate) {
@@ -180,10 +183,10 @@
     bool running = true;
     std::uint64_t generation = 1;
     double rate = 1, offset = 0;
-    std::optional<std::pair<std::string, Token>> effect;  // checked, and not yet where it takes place
+    std::optional<std::pair<std::string, Token>> effect;  // lease checked, effect not applied yet
   };
   struct Message {
-    int node = 0;  // whose, or to whom
+    int node = 0;  // the sender of a request or the recipient of a reply
     std::uint64_t generation = 0;
     std::optional<Request> request;
     std::optional<Reply> reply;
@@ -207,7 +210,7 @@
       kSetClockBack,
       kLoseTable
     } kind;
-    int a = 0, b = 0;
+    int a = 0, b = 0;  // a: message or node; b: voter of a request, or duty of a lease check
   };
 
   NodeState node(int n, std::uint64_t generation) const {
@@ -253,7 +256,7 @@
     }
     for (LeaseManager::ClientReply& a : out.replies) {
       const int n = static_cast<int>(a.to) - 1;
-      // Answers that change nothing would only fill the network.
+      // Replies that change nothing would only use up the limited number of messages.
       if (n < 0 || a.reply.kind == Reply::Kind::kWaiting || a.reply.kind == Reply::Kind::kNotLeader) continue;
       enqueue_message({n, nodes_[static_cast<std::size_t>(n)].generation, std::nullopt, a.reply, false});
     }
@@ -270,11 +273,11 @@
       }
     }
   }
-  // What there is no room for is lost.
+  // Drops the message if max_messages are under way.
   void enqueue_message(Message m) {
     for (const Message& other : messages_) {
       if (message_key(other) == message_key(m))
-        return;  // said again: one of them is enough, it may be doubled
+        return;  // a retransmission: one is enough, as any message may be duplicated
     }
     if (messages_.size() < settings_.max_messages) messages_.push_back(std::move(m));
   }
@@ -333,7 +336,7 @@
     if (m.request) {
       out += "?" + std::to_string(static_cast<int>(m.request->kind)) + m.request->duty +
              std::to_string(m.request->token);
-      // Which of its renewals it is counts: each was sent at another time.
+      // Renewals differ by their sequence number: each was sent at another time.
       if (m.request->kind == Request::Kind::kRenew) out += "#" + std::to_string(m.request->seq);
     } else {
       out += "!" + std::to_string(static_cast<int>(m.reply->kind)) + m.reply->duty +
@@ -358,23 +361,23 @@
       case Step::Kind::kElect:
         return "elect";
       case Step::Kind::kElectKeepingPending:
-        return "elect, keeping what was under way";
+        return "elect, keeping pending commands";
       case Step::Kind::kStepDown:
-        return "depose";
+        return "step down";
       case Step::Kind::kPause:
-        return "stop " + n;
+        return "pause " + n;
       case Step::Kind::kResume:
-        return "wake " + n;
+        return "resume " + n;
       case Step::Kind::kCrash:
         return "crash " + n;
       case Step::Kind::kCheckLease:
         return "check " + n + " " + settings_.duties[static_cast<std::size_t>(s.b)];
       case Step::Kind::kApplyEffect:
-        return "land " + n;
+        return "apply " + n;
       case Step::Kind::kAdvanceTime:
-        return "time";
+        return "advance time";
       case Step::Kind::kSetClockBack:
-        return "set back " + n;
+        return "set clock back " + n;
       default:
         return "lose table";
     }
@@ -429,7 +432,7 @@
             if (i.barrier == 0) log_.push_back(i.command);
           }
         }
-        // What the old one still has under way can't be committed any more; it does not know so.
+        // The old leader's pending items can no longer be committed, which it does not know yet.
         leader_ = 1 - leader_;
         const auto v = static_cast<std::size_t>(leader_);
         voters_[v].pending.clear();
@@ -453,7 +456,7 @@
         nodes_[a].running = false;
         break;
       case Step::Kind::kResume: {
-        nodes_[a].running = true;  // and its next step may come before it has looked at its clock
+        nodes_[a].running = true;  // its next step may come before it reads its clock
         break;
       }
       case Step::Kind::kCrash: {
@@ -540,7 +543,7 @@
         const auto token = nodes_[static_cast<std::size_t>(n)].lease_holder.held_token(local(n), duty);
         if (!settings_.faults.table_loss && (lease == nullptr || !lease->holder || lease->token != *token)) {
           violation_ = "n" + std::to_string(n) + " holds " + duty + " by token " + std::to_string(*token) +
-                       ", which the voters have taken from it";
+                       ", which the voters have revoked";
           return;
         }
       }
@@ -557,12 +560,12 @@
   }
 
   ModelSettings settings_;
-  double true_time_ = 0;  // true time, s
+  double true_time_ = 0;  // s
   std::vector<Command> log_;
   std::vector<VoterState> voters_;
   std::vector<NodeState> nodes_;
   std::vector<Message> messages_;
-  int leader_ = 0;  // who can commit
+  int leader_ = 0;  // the voter that can commit
   FencingChecker fencing_checker_;
   std::map<std::string, Token> last_effect_;
   std::vector<Token> effects_;
--- a/tests/duties/model_test.cpp
+++ b/tests/duties/model_test.cpp
@@ -1,5 +1,5 @@
-// Duties, model-checked: every order of steps to a depth, long random walks, and faults that have to be
-// found.
+// Model checks of leases: an exhaustive search to a bounded depth, long random walks, and injected faults
+// that the walks must find.
 #include "model.h"
 
 #include <gtest/gtest.h>
@@ -12,14 +12,15 @@
 namespace nettlestand::duties::testing {
 namespace {
 
+// The first violation, if any, with the steps that lead to it.
 struct SearchResult {
   std::string violation;
   std::vector<std::string> trace;
   std::size_t states = 0;
 };
 
-// Every order of steps to a depth; states that were met before with as many steps left are not gone through
-// again.
+// Depth-first search over all orders of steps to a bounded depth. States that were visited before with at
+// least as many steps left are skipped, and beyond max_states no state is expanded.
 class Explorer {
  public:
   explicit Explorer(std::size_t max_states) : max_states_(max_states) {}
@@ -62,7 +63,7 @@
   return out;
 }
 
-// Goes on in the shortest way until a node holds a duty.
+// Takes the most direct steps (deliver, commit, drop, advance time) until a node holds a duty.
 void run_until_held(Model& m, const std::string& duty, int who) {
   const std::string n = std::to_string(who) + ".";
   for (int i = 0; i < 60 && m.holder(duty) != who; ++i) {
@@ -76,24 +77,27 @@
     if (it == names.end())
       it = std::find_if(names.begin(), names.end(),
                         [](const auto& name) { return name.rfind("drop", 0) == 0; });
-    if (it == names.end()) it = std::find(names.begin(), names.end(), "time");
+    if (it == names.end()) it = std::find(names.begin(), names.end(), "advance time");
     m.step(static_cast<std::size_t>(it - names.begin()));
   }
   ASSERT_EQ(m.holder(duty), who);
 }
 
-// How likely a step is to be taken: else time and losses outrun all that takes several steps.
+// The relative probability of a step. With equal weights, time and message losses would outrun everything
+// that takes several steps.
 double step_weight(const std::string& step) {
   static const std::vector<std::pair<const char*, double>> kWeights = {
-      {"deliver and keep", 1}, {"deliver", 8}, {"drop", 0.3},     {"commit", 8},      {"elect", 0.15},
-      {"depose", 1},           {"stop", 0.4},  {"wake", 0.3},     {"crash", 0.1},     {"check", 3},
-      {"land", 0.7},           {"time", 1.5},  {"set back", 0.5}, {"lose table", 0.1}};
+      {"deliver and keep", 1}, {"deliver", 8},     {"drop", 0.3},  {"commit", 8},
+      {"elect", 0.15},         {"step down", 1},   {"pause", 0.4}, {"resume", 0.3},
+      {"crash", 0.1},          {"check", 3},       {"apply", 0.7}, {"advance time", 1.5},
+      {"set clock back", 0.5}, {"lose table", 0.1}};
   for (const auto& [words, w] : kWeights) {
     if (step.rfind(words, 0) == 0) return w;
   }
   return 1;
 }
 
+// Random walks from the initial state; `effects` counts the effects applied.
 SearchResult random_walks(const ModelSettings& settings, std::uint64_t seed, int walks, int length,
                           std::size_t* effects = nullptr) {
   std::mt19937_64 random(seed);
@@ -131,7 +135,7 @@
   run_until_held(m, "b", 1);
   EXPECT_EQ(m.table().find("a")->holder->name, "n0");
   ASSERT_TRUE(m.step("check n0 a"));
-  ASSERT_TRUE(m.step("land n0"));
+  ASSERT_TRUE(m.step("apply n0"));
   EXPECT_EQ(m.effects(), 1U);
   EXPECT_EQ(m.violation(), "");
 }
@@ -158,7 +162,7 @@
   run_until_held(m, "a", 0);
   run_until_held(m, "b", 1);
   ASSERT_TRUE(m.step("check n0 a"));
-  ASSERT_TRUE(m.step("stop n0"));
+  ASSERT_TRUE(m.step("pause n0"));
   const SearchResult found = Explorer(4'000'000).run(m, 6);
   EXPECT_EQ(found.violation, "") << describe(found);
 }
@@ -167,18 +171,18 @@
   std::size_t effects = 0;
   const SearchResult found = random_walks(model_settings(3, {"a", "b"}), 7, 400, 400, &effects);
   EXPECT_EQ(found.violation, "") << describe(found);
-  EXPECT_GT(effects, 500U) << "something took place meanwhile";
+  EXPECT_GT(effects, 500U) << "the walks applied too few effects to check anything";
 }
 
-// Each must be found, by the same walks that find nothing in what is shipped.
+// Each fault must be found by the same kind of walks that find nothing in the production code.
 TEST(DutiesModel, PlantedFaultsAreFound) {
   const std::vector<std::pair<const char*, void (*)(InjectedFaults&)>> injected = {
-      {"no fence", [](InjectedFaults& f) { f.no_fencing = true; }},
+      {"no fencing", [](InjectedFaults& f) { f.no_fencing = true; }},
       {"lease by wall clock", [](InjectedFaults& f) { f.wall_clock = true; }},
-      {"table lost", [](InjectedFaults& f) { f.table_loss = true; }},
-      {"renewed without the others", [](InjectedFaults& f) { f.no_barrier = true; }},
+      {"lease table lost", [](InjectedFaults& f) { f.table_loss = true; }},
+      {"renewals confirmed without a quorum", [](InjectedFaults& f) { f.no_barrier = true; }},
       {"a new leader does not wait", [](InjectedFaults& f) { f.no_leader_wait = true; }},
-      {"clocks taken for exact", [](InjectedFaults& f) { f.drift_ignored = true; }}};
+      {"clock drift ignored", [](InjectedFaults& f) { f.drift_ignored = true; }}};
   for (const auto& [name, inject] : injected) {
     ModelSettings s = model_settings(3, {"a"});
     inject(s.faults);
--- a/tests/duties/process_setup.h
+++ b/tests/duties/process_setup.h
@@ -1,5 +1,5 @@
-// Worlds of processes that hold duties, with times so short that a test ends soon, and the rules over what
-// happened in them.
+// Settings for tests in which real processes hold duties, with short timeouts so that the tests end soon, and
+// the checks on what happened in them.
 #pragma once
 
 #include <algorithm>
@@ -19,14 +19,15 @@
 
 namespace nettlestand::standins::testing {
 
-inline constexpr double kLeaseSeconds = 1;  // s; of the tests' duties
+inline constexpr double kLeaseSeconds = 1;  // lease_ms of the duties in DutiesSetup
 
+// The settings of a process world with duties.
 struct DutiesSetup {
-  // What nodes share outside of the world: where effects land.
+  // The directory outside the nodes' own state in which effects are recorded.
   struct SharedDirectory {
     SharedDirectory() {
       std::string name = ::testing::TempDir() + "nettlestand_place_XXXXXX";
-      if (mkdtemp(name.data()) == nullptr) throw std::runtime_error("no folder");
+      if (mkdtemp(name.data()) == nullptr) throw std::runtime_error("cannot create a temporary directory");
       path = name;
     }
     ~SharedDirectory() {
@@ -37,7 +38,8 @@
   } shared_directory;
   WorldSettings settings;
 
-  // `count` duties with the probe; `more`: further sections.
+  // `count` duties that run the effect writer, in `program_mode` if that is given. `extra_sections` is
+  // appended to the duties configuration, `extra_duty_settings` to each duty.
   DutiesSetup(std::size_t nodes, std::size_t voters, std::size_t count, const std::string& program_mode = "",
               const std::string& extra_sections = "", const std::string& extra_duty_settings = "") {
     settings = small_world(nodes, 2);
@@ -68,6 +70,7 @@
   }
 };
 
+// The reply of a node's control socket, or a text that starts with "error".
 inline std::string run_control_command(ProcessWorld& world, std::size_t i, const std::string& command) {
   try {
     return ask_control(world.state(i).path() + "/control", command);
@@ -76,7 +79,7 @@
   }
 }
 
-// Adds the voters behind the first one. Throws where that fails.
+// Adds the voters after the first one. Throws if that fails.
 inline void add_voters(ProcessWorld& world, std::size_t voters) {
   for (std::size_t i = 1; i < voters; ++i) {
     std::string reply;
@@ -85,12 +88,12 @@
       return reply.rfind("error", 0) != 0;
     };
     if (!ProcessWorld::until(added, 20))
-      throw std::runtime_error("a voter can't be added: " + reply + world.node(0).log() +
-                               world.node(i).log());
+      throw std::runtime_error("cannot add a voter: " + reply + world.node(0).log() + world.node(i).log());
   }
 }
 
-// Who holds each duty, as the asked node's way to the leader has it; empty: nobody, or no leader answered.
+// The holder of each duty as the leader reports it through the node `asked`. A holder is empty if there is
+// none; the map is empty if no leader answered.
 inline std::map<std::string, std::string> duty_holders(ProcessWorld& world, std::size_t asked) {
   std::map<std::string, std::string> out;
   const std::string reply = run_control_command(world, asked, "duties");
@@ -100,7 +103,7 @@
   return out;
 }
 
-// What one node believes that it holds.
+// The duties that a node believes it holds, with their tokens.
 inline std::map<std::string, std::uint64_t> held_tokens(ProcessWorld& world, std::size_t i) {
   std::map<std::string, std::uint64_t> out;
   const std::string reply = run_control_command(world, i, "duties own");
@@ -112,11 +115,13 @@
   return out;
 }
 
+// An effect as the effect writer recorded it; `at` in seconds of the monotonic clock.
 struct EffectRecord {
   std::string duty;
   std::uint64_t token = 0, pid = 0;
   double at = 0;
 };
+// The admitted effects (table "effect") or the rejected ones (table "away"), in the order of recording.
 inline std::vector<EffectRecord> read_effects(const DutiesSetup& setup, const char* table = "effect") {
   std::vector<EffectRecord> out;
   const std::string path = setup.shared_directory.path + "/place.db";
@@ -128,14 +133,14 @@
                                                 : "SELECT duty, token, pid, at FROM effect ORDER BY n");
     while (all.step())
       out.push_back({all.column_bytes(0), all.column_uint64(1), all.column_uint64(2), all.column_double(3)});
-  } catch (const duties::StoreError&) {  // not made yet
+  } catch (const duties::StoreError&) {  // the tables do not exist yet
   }
   return out;
 }
 
-// The rules over the place and all logs: tokens only grow where effects land, each is one process's, each is
-// gained by one node, and from `from` on no duty is without an effect for longer than `most` s, until
-// `until`.
+// Checks the recorded effects and all logs; empty if no rule is violated. The tokens of a duty's effects
+// never decrease, each token is used by one process and gained by one node, and between `from` and `until` no
+// duty is without an effect for longer than `max_gap_seconds` (0: not checked).
 inline std::string duty_violations(const DutiesSetup& setup, const Timeline& timeline,
                                    double max_gap_seconds = 0, double from = 0, double until = 0) {
   std::string out;
@@ -157,7 +162,7 @@
     }
     last_effect_at[e.duty] = e.at;
   }
-  std::map<std::string, std::string> gained;  // by token: who
+  std::map<std::string, std::string> gained;  // token to node
   for (const TimelineEntry& e : timeline.entries) {
     if (e.kind != "log" || e.what != "duties.gained") continue;
     const auto token = e.fields.find("token");
--- a/tests/duties/processes_test.cpp
+++ b/tests/duties/processes_test.cpp
@@ -1,4 +1,4 @@
-// Duties by processes of the program: voters and clients, links between them, and faults on all of it.
+// Duties held by real processes: voters and clients under faults of processes, links, disks and clocks.
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -19,9 +19,10 @@
 std::string node_name(std::size_t i) { return "n" + std::to_string(i); }
 std::size_t node_index(const std::string& name) { return std::stoul(name.substr(1)); }
 
+// Fails the test if the condition does not become true before the timeout of ProcessWorld::until().
 #define ASSERT_EVENTUALLY(condition) ASSERT_TRUE(ProcessWorld::until([&] { return condition; })) << #condition
 
-// Started, its voters added, and all its duties with effects.
+// A process world that has started, whose voters have been added and whose duties all have effects.
 struct RunningDuties {
   RunningDuties(std::size_t nodes, std::size_t voters, std::size_t count,
                 const std::string& program_mode = "", const std::string& extra_sections = "",
@@ -38,7 +39,7 @@
     world->start();
     add_voters(*world, voters);
     if (!ProcessWorld::until([&] { return all_have_effects(); }))
-      throw std::runtime_error("not all duties are held");
+      throw std::runtime_error("not all duties have effects");
   }
   // Every duty has had an effect since `from`.
   bool all_have_effects(double from = 0) {
@@ -48,18 +49,20 @@
     }
     return seen.size() == count;
   }
-  // Who holds a duty, by its own belief.
+  // The node that believes it holds a duty; the maximum value if there is none.
   std::size_t holder(const std::string& duty) {
     for (std::size_t i = 0; i < setup.settings.nodes; ++i) {
       if (world->runs(i) && held_tokens(*world, i).contains(duty)) return i;
     }
     return ~std::size_t{0};
   }
+  // The leader as a node reports it; empty if unknown.
   std::string leader(std::size_t asked) {
     const std::string reply = run_control_command(*world, asked, "duties voters");
     if (reply.rfind("error", 0) == 0) return "";
     return quinceusher::json::parse(reply)["leader"].GetString();
   }
+  // The highest token of all effects.
   std::uint64_t highest_token() {
     std::uint64_t out = 0;
     for (const EffectRecord& e : read_effects(setup)) out = std::max(out, e.token);
@@ -76,7 +79,7 @@
   ASSERT_LT(before, 4U);
   const std::uint64_t token = held_tokens(*running.world, before)["d0"];
   running.world->node(before).signal(SIGTERM);
-  // Another one has it while the former holder still drains.
+  // Another node holds it while the former holder still drains.
   const std::size_t asked = (before + 1) % 4;
   ASSERT_EVENTUALLY(duty_holders(*running.world, asked)["d0"] != node_name(before) &&
                     !duty_holders(*running.world, asked)["d0"].empty());
@@ -93,7 +96,7 @@
   const std::uint64_t pid = read_effects(running.setup).back().pid;
   running.world->end_node(before, SIGKILL);
   ASSERT_EVENTUALLY(running.highest_token() > token);
-  ASSERT_EVENTUALLY(kill(static_cast<pid_t>(pid), 0) != 0);  // the guardian saw to it
+  ASSERT_EVENTUALLY(kill(static_cast<pid_t>(pid), 0) != 0);  // ended by its guardian process
   EXPECT_EQ(duty_violations(running.setup, running.world->finish()), "");
 }
 
@@ -104,7 +107,7 @@
   const std::uint64_t pid = read_effects(running.setup).back().pid;
   running.world->node(before).pause();
   ASSERT_EVENTUALLY(running.highest_token() > token);
-  EXPECT_NE(kill(static_cast<pid_t>(pid), 0), 0) << "the program outlived its node's lease";
+  EXPECT_NE(kill(static_cast<pid_t>(pid), 0), 0) << "the program outlived the lease of its node";
   running.world->node(before).resume();
   ASSERT_EVENTUALLY(running.world->node(before).log().find("\"event\":\"lost\"") != std::string::npos);
   EXPECT_FALSE(held_tokens(*running.world, before).contains("d0"));
@@ -116,7 +119,8 @@
   const std::size_t before = running.holder("d0");
   const std::uint64_t token = held_tokens(*running.world, before)["d0"];
   const auto program = static_cast<pid_t>(read_effects(running.setup).back().pid);
-  // The node, its guardian and its program all stand: nothing is left that could stop in time.
+  // The node, the guardian process and the program are all stopped, so that nothing can end the program in
+  // time.
   std::ifstream status("/proc/" + std::to_string(program) + "/status");
   pid_t guardian = 0;
   for (std::string line; std::getline(status, line);) {
@@ -127,7 +131,7 @@
   kill(guardian, SIGSTOP);
   running.world->node(before).pause();
   ASSERT_EVENTUALLY(running.highest_token() > token);
-  kill(program, SIGCONT);  // the guardian still stands: the program goes on with what it was about
+  kill(program, SIGCONT);  // the guardian is still stopped, so the program goes on
   ASSERT_EVENTUALLY(!read_effects(running.setup, "away").empty());
   EXPECT_EQ(read_effects(running.setup, "away").front().token, token);
   kill(guardian, SIGCONT);
@@ -135,7 +139,8 @@
   EXPECT_EQ(duty_violations(running.setup, running.world->finish()), "");
 }
 
-// A cut of the holder, whatever its kind, ends in another holder, and the cut one's own belief ends first.
+// Whichever way the holder is cut off, another node becomes the holder, and the former one's lease ends
+// before.
 TEST(DutiesProcesses, AHolderThatIsCutOffIsFollowed) {
   const std::vector<std::pair<const char*, std::string>> cuts = {
       {"fully", "% <-> nodes: cut for 3"},
@@ -144,12 +149,12 @@
   EXPECT_EQ(each(static_cast<int>(cuts.size()), 3,
                  [&](int i) -> std::string {
                    RunningDuties running(5, 3, 1);
-                   // A client holds it, so that the voters stay what they are.
+                   // The holder is a node without a voter, so that the cut leaves the voters alone.
                    std::size_t before = running.holder("d0");
                    if (before < 3) {
                      run_control_command(*running.world, 4, "duties pass d0 n3");
                      if (!ProcessWorld::until([&] { return running.holder("d0") == 3; }))
-                       return "it is not handed over\n";
+                       return "the duty was not handed over\n";
                      before = 3;
                    }
                    const std::uint64_t token = held_tokens(*running.world, before)["d0"];
@@ -157,7 +162,8 @@
                    script.replace(script.find('%'), 1, node_name(before));
                    running.world->play(script, 4);
                    if (running.highest_token() <= token)
-                     return std::string(cuts[static_cast<std::size_t>(i)].first) + ": nobody followed\n";
+                     return std::string(cuts[static_cast<std::size_t>(i)].first) +
+                            ": no other node became the holder\n";
                    std::string out = duty_violations(running.setup, running.world->finish());
                    return out.empty() ? ""
                                       : std::string(cuts[static_cast<std::size_t>(i)].first) + ": " + out;
@@ -172,7 +178,7 @@
   ASSERT_EVENTUALLY(running.holder("d0") == 3);
   const std::uint64_t token = held_tokens(*running.world, 3)["d0"];
   running.world->play("at 0 n3 <-> " + node_name(leader_index) + ": cut for 3", 3.5);
-  EXPECT_EQ(held_tokens(*running.world, 3)["d0"], token) << "it never lost it";
+  EXPECT_EQ(held_tokens(*running.world, 3)["d0"], token) << "the node lost the lease";
   EXPECT_EQ(duty_violations(running.setup, running.world->finish()), "");
 }
 
@@ -190,15 +196,15 @@
 TEST(DutiesProcesses, WithoutAMajorityDutiesStopAndRoutingGoesOn) {
   RunningDuties running(5, 3, 1);
   running.world->play("at 0.5 n1, n2: kill for 3", 4);
-  // Held by nobody in the last second of that, and again afterwards.
+  // Nobody holds it in the last second of the outage; afterwards it is held again.
   ASSERT_EVENTUALLY(running.all_have_effects(now() - 0.3));
   const auto all = read_effects(running.setup);
   const Timeline timeline = running.world->finish();
   EXPECT_EQ(duty_violations(running.setup, timeline), "");
   double pause = 0;
   for (std::size_t i = 1; i < all.size(); ++i) pause = std::max(pause, all[i].at - all[i - 1].at);
-  EXPECT_GT(pause, 0.5) << "duties went on without a majority";
-  // What the nodes that lived were asked, they answered; a killed node's own calls are its own.
+  EXPECT_GT(pause, 0.5) << "effects went on without a majority";
+  // The surviving nodes answer their calls; calls to the killed nodes may fail.
   std::size_t served = 0, asked = 0;
   for (const CallRecord& c : timeline.evidence.calls) {
     ++asked;
@@ -228,7 +234,7 @@
   running.world->end_node(lost, SIGKILL);
   running.world->state(lost).lose();
   running.world->start_node(lost);
-  running.world->node(lost).await_ready();  // it serves, and does not vote
+  running.world->node(lost).await_ready();  // it serves requests but does not vote
   ASSERT_EVENTUALLY(running.world->node(lost).log().find("voter_off") != std::string::npos);
   duties::SqliteStore::create(running.world->state(lost).path());
   ASSERT_EVENTUALLY(running.world->node(lost).log().find("voter_started") != std::string::npos);
@@ -241,7 +247,7 @@
   ASSERT_EVENTUALLY(
       run_control_command(*running.world, asked, "duties voters add " + node_name(lost)).rfind("error", 0) ==
       std::string::npos);
-  // It counts: without the other follower there is a majority.
+  // Its vote counts: there is a majority without the other follower.
   const std::size_t third = 3 - lost - node_index(running.leader(asked));
   running.world->end_node(third, SIGKILL);
   const double from = now();
@@ -293,7 +299,8 @@
 }
 
 TEST(DutiesProcesses, AHolderThatKeepsFailingGivesWayAndPauses) {
-  // The probe ends with 3 at once, on every node: the duty goes round, with pauses that grow.
+  // The program exits with 3 at once on every node: the duty passes from node to node with increasing
+  // backoff.
   DutiesSetup setup(3, 3, 1, "fail");
   ProcessWorld world(setup.settings);
   world.start();
@@ -310,7 +317,7 @@
   std::size_t who = 0;
   for (std::size_t i = 0; i < 3; ++i)
     who += world.node(i).log().find("program_started") != std::string::npos ? 1 : 0;
-  EXPECT_GE(who, 2U) << "it was tried by others, too";
+  EXPECT_GE(who, 2U) << "only one node tried it";
   EXPECT_NE(run_control_command(world, 0, "duties").find("failed"), std::string::npos);
   world.finish();
 }
@@ -330,7 +337,7 @@
   }
   const double until = now();
   ASSERT_EVENTUALLY(running.all_have_effects(until));
-  // Handed over at once, but where a leader's end comes between: an election, and no lease in any case.
+  // Each handover takes place at once, or after an election if the leader ends; no lease has to expire.
   EXPECT_EQ(duty_violations(running.setup, running.world->finish(), kLeaseSeconds + 1, from, until), "");
 }
 
@@ -343,7 +350,7 @@
   running.world->start_node(3);
   running.world->node(3).await_ready();
   ASSERT_EVENTUALLY(running.highest_token() > token);
-  EXPECT_EQ(duty_violations(running.setup, running.world->finish()), "");  // one process a token
+  EXPECT_EQ(duty_violations(running.setup, running.world->finish()), "");  // one process per token
 }
 
 TEST(DutiesProcesses, StrangersAndOtherClustersAreHeardByNobody) {
@@ -400,7 +407,7 @@
 }
 #endif
 
-// ------------------------------------------------------------ the fleet report
+// Fleet report
 
 TEST(DutiesReport, EachPeriodIsWrittenOnceAndTheSumIsWhatCallersSaw) {
   DutiesSetup setup(4, 3, 0);
@@ -419,8 +426,8 @@
     }
   };
   ASSERT_EVENTUALLY(periods().size() >= 2);
-  // The writer changes hands, by word, by signal and by force; a client that is killed has told all but its
-  // last 100 ms, so it is one that gets no calls.
+  // The writer changes by an operator's request and by a stopped process. A killed client would lose the
+  // counts of its last 100 ms, so no client that gets calls is killed.
   const auto writer = [&] { return duty_holders(world, 0)[report::kDuty]; };
   world.play("", 1);
   run_control_command(world, 0, "duties pass fleet-report");
@@ -433,7 +440,7 @@
     world.node(node_index(stopped)).resume();
   }
   world.play("", 1);
-  // Once all have told their last counts, and one more period is closed.
+  // Wait until all nodes have sent their last counts and one more period is closed.
   std::uint64_t served = 0, asked = 0;
   const auto sum = [&] {
     report::Counts all;
@@ -462,8 +469,9 @@
   EXPECT_NE(report::table(done).find("acme"), std::string::npos);
 }
 
-// ------------------------------------------------------------ many worlds under seeded scripts
+// Random fault scripts
 
+// A fault script that a seed determines.
 std::string random_script(std::uint64_t seed, std::size_t nodes, std::size_t voters) {
   std::mt19937_64 random(seed);
   std::ostringstream out;
@@ -513,6 +521,8 @@
   return out.str();
 }
 
+// Runs one random script and returns the violations with the timeline. A run that the machine starved of CPU
+// three times is void: it is counted and gives no verdict.
 std::string run_random_script(std::uint64_t seed, std::atomic<int>& void_runs) {
   bool is_void = false;
   const std::size_t nodes = seed % 4 == 0 ? 15 : 7, voters = seed % 4 == 0 ? 5 : 3;
@@ -529,7 +539,7 @@
     starvation = running.world->starvation();
     std::string found = duty_violations(running.setup, timeline) +
                         broken_rules(four_rules(running.world->checked()), timeline);
-    if (!again) found += "not all duties have an effect 6 s after all is well\n" + reply;
+    if (!again) found += "not all duties have an effect 6 s after the faults ended\n" + reply;
     if (found.empty()) return "";
     const auto of_duties = [](const TimelineEntry& e) {
       return e.kind.rfind("fault", 0) == 0 || e.what.rfind("duties.", 0) == 0;
@@ -544,8 +554,8 @@
 }
 
 class DutiesScripts : public ::testing::TestWithParam<int> {};
-// Ten scripts each here, NETTLESTAND_SCRIPTS of them in a long run; one, again and again, where
-// NETTLESTAND_SEED names it.
+// Runs 10 scripts per parameter, or NETTLESTAND_SCRIPTS of them; with NETTLESTAND_SEED, runs only that seed,
+// as many times.
 TEST_P(DutiesScripts, BreakNoRule) {
   const char *more = std::getenv("NETTLESTAND_SCRIPTS"), *one = std::getenv("NETTLESTAND_SEED");
   const int worlds = more != nullptr ? std::atoi(more) : 10;
@@ -555,7 +565,7 @@
   };
   EXPECT_EQ(each(worlds, 5, [&](int i) { return run_random_script(seed(i), void_runs); }), "");
   if (void_runs == worlds)
-    GTEST_SKIP() << "each of them void three times: the machine is too busy for a verdict";
+    GTEST_SKIP() << "every script was void three times: the machine is too busy for a verdict";
 }
 INSTANTIATE_TEST_SUITE_P(Duties, DutiesScripts, ::testing::Range(0, 4));
 
