--- a/tests/duties/cluster.h
+++ b/tests/duties/cluster.h
@@ -66,11 +66,11 @@
   }
   std::optional<StoredSnapshot> load_snapshot() override { return snapshot_; }
   bool record_peer_start(std::uint64_t voter, std::uint64_t starts, std::uint64_t run) override {
-    auto& [s, r] = peer_starts_[voter];
-    if (s == starts) return r == run;
-    if (s > starts) return false;
-    s = starts;
-    r = run;
+    auto& [known_starts, known_run] = peer_starts_[voter];
+    if (known_starts == starts) return known_run == run;
+    if (known_starts > starts) return false;
+    known_starts = starts;
+    known_run = run;
     return true;
   }
 
--- a/tests/duties/components_test.cpp
+++ b/tests/duties/components_test.cpp
@@ -66,53 +66,53 @@
 };
 
 TEST(DutiesWire, CarriesAllThatFramesSay) {
-  ChannelPair p;
-  EXPECT_EQ(p.b.next_frame()->sender.zone, "a");
-  ASSERT_TRUE(p.a.next_frame());
-  const std::string bytes = p.a.seal(make_requests_frame());
-  for (const char c : bytes) p.b.append_received({&c, 1});
-  const auto f = p.b.next_frame();
+  ChannelPair pair;
+  EXPECT_EQ(pair.b.next_frame()->sender.zone, "a");
+  ASSERT_TRUE(pair.a.next_frame());
+  const std::string bytes = pair.a.seal(make_requests_frame());
+  for (const char c : bytes) pair.b.append_received({&c, 1});
+  const auto f = pair.b.next_frame();
   ASSERT_TRUE(f && f->requests.size() == 2);
   EXPECT_EQ(f->requests[0].settings, make_requests_frame().requests[0].settings);
   EXPECT_EQ(f->requests[1].token, 99U);
-  EXPECT_FALSE(p.b.next_frame());
+  EXPECT_FALSE(pair.b.next_frame());
 }
 
 TEST(DutiesWire, WhatIsChangedDoubledLeftOutOrOfAnotherConnectionIsNotTaken) {
-  const auto expect_rejected = [](ChannelPair& p, const std::string& bytes) {
-    p.b.append_received(bytes);
-    EXPECT_THROW(p.b.next_frame(), DecodeError);
+  const auto expect_rejected = [](ChannelPair& pair, const std::string& bytes) {
+    pair.b.append_received(bytes);
+    EXPECT_THROW(pair.b.next_frame(), DecodeError);
   };
-  const auto exchange_hellos = [](ChannelPair& p) {
-    p.a.next_frame();
-    p.b.next_frame();
+  const auto exchange_hellos = [](ChannelPair& pair) {
+    pair.a.next_frame();
+    pair.b.next_frame();
   };
   std::string recorded;
   {
-    ChannelPair p;
-    exchange_hellos(p);
-    recorded = p.a.seal(make_requests_frame());
-    p.b.append_received(recorded);
-    EXPECT_TRUE(p.b.next_frame());
-    expect_rejected(p, recorded);  // replayed
+    ChannelPair pair;
+    exchange_hellos(pair);
+    recorded = pair.a.seal(make_requests_frame());
+    pair.b.append_received(recorded);
+    EXPECT_TRUE(pair.b.next_frame());
+    expect_rejected(pair, recorded);  // replayed
   }
   for (std::size_t i = 4; i < recorded.size(); i += 7) {
-    ChannelPair p;
-    exchange_hellos(p);
-    std::string changed = p.a.seal(make_requests_frame());
+    ChannelPair pair;
+    exchange_hellos(pair);
+    std::string changed = pair.a.seal(make_requests_frame());
     changed[i] = static_cast<char>(changed[i] ^ 1);
-    expect_rejected(p, changed);
+    expect_rejected(pair, changed);
   }
   {
-    ChannelPair p;
-    exchange_hellos(p);
-    p.a.seal(make_requests_frame());
-    expect_rejected(p, p.a.seal(make_requests_frame()));  // the frame before it is missing
+    ChannelPair pair;
+    exchange_hellos(pair);
+    pair.a.seal(make_requests_frame());
+    expect_rejected(pair, pair.a.seal(make_requests_frame()));  // the frame before it is missing
   }
   {  // recorded on another connection, which has another nonce
-    ChannelPair p;
+    ChannelPair pair;
     Channel b({}, std::string(kNonceBytes, 'z'), kMaxFrameBytes);
-    b.append_received(p.a.seal(make_hello("a")));
+    b.append_received(pair.a.seal(make_hello("a")));
     ASSERT_TRUE(b.next_frame());
     b.append_received(recorded);
     EXPECT_THROW(b.next_frame(), DecodeError);
@@ -121,18 +121,18 @@
 
 TEST(DutiesWire, KeysAreNeededAndTwoAreTakenForAChange) {
   const std::string one(32, '1'), two(32, '2');
-  const auto good = [](Keys a, Keys b) {
-    ChannelPair p(a, b);
+  const auto accepted = [](Keys a, Keys b) {
+    ChannelPair pair(a, b);
     try {
-      return p.b.next_frame().has_value();
+      return pair.b.next_frame().has_value();
     } catch (const DecodeError&) {
       return false;
     }
   };
-  EXPECT_TRUE(good({{one}}, {{one}}));
-  EXPECT_TRUE(good({{one}}, {{two, one}}));
-  EXPECT_FALSE(good({{one}}, {{two}}));
-  EXPECT_FALSE(good({}, {{one}}));
+  EXPECT_TRUE(accepted({{one}}, {{one}}));
+  EXPECT_TRUE(accepted({{one}}, {{two, one}}));
+  EXPECT_FALSE(accepted({{one}}, {{two}}));
+  EXPECT_FALSE(accepted({}, {{one}}));
   EXPECT_THROW(Channel({{"short"}}, std::string(kNonceBytes, 'n'), 100), std::runtime_error);
 }
 
@@ -149,115 +149,115 @@
     } catch (const DecodeError&) {
     }
   }
-  ChannelPair p;
-  p.b.append_received(std::string(2000, '\x7f'));
-  EXPECT_THROW(p.b.next_frame() && p.b.next_frame(), DecodeError);
+  ChannelPair pair;
+  pair.b.append_received(std::string(2000, '\x7f'));
+  EXPECT_THROW(pair.b.next_frame() && pair.b.next_frame(), DecodeError);
 }
 
 // Selection of a voter
 
 TEST(DutiesWay, GoesRoundTheVotersAndToTheLeaderAndBack) {
-  VoterSelectorSettings s;
-  VoterSelector w(3, 1, s);
-  EXPECT_EQ(w.target(), 1U);
-  w.on_failed(0);
-  EXPECT_EQ(w.target(), 2U);
-  w.on_connected(0.1);
-  EXPECT_FALSE(w.on_leader_hint(0.1, 2));
-  EXPECT_FALSE(w.on_leader_hint(0.1, 7));
-  EXPECT_FALSE(w.on_leader_hint(0.1, 1)) << "it has just failed";
-  ASSERT_TRUE(w.on_leader_hint(0.2, 0));
-  EXPECT_EQ(w.target(), 0U);
-  EXPECT_TRUE(w.following_hint());
-  w.on_hint_failed(0.3);
-  EXPECT_EQ(w.target(), 2U) << "the voter that gave the hint still forwards requests";
-  w.on_connected(0.4);
-  w.on_request_sent(0.5);
-  EXPECT_FALSE(w.timed_out(1.4));
-  EXPECT_TRUE(w.timed_out(1.5));
-  w.on_frame_received(1.5);
-  EXPECT_FALSE(w.timed_out(1.6));
-  EXPECT_TRUE(w.wants_ping(1.5 + s.ping_after_idle));
-  EXPECT_FALSE(w.on_leaderless(4));
-  w.on_leader_known();
-  EXPECT_FALSE(w.on_leaderless(5.5));
-  EXPECT_TRUE(w.on_leaderless(6.6));
-  EXPECT_EQ(w.target(), 0U);
+  VoterSelectorSettings settings;
+  VoterSelector selector(3, 1, settings);
+  EXPECT_EQ(selector.target(), 1U);
+  selector.on_failed(0);
+  EXPECT_EQ(selector.target(), 2U);
+  selector.on_connected(0.1);
+  EXPECT_FALSE(selector.on_leader_hint(0.1, 2));
+  EXPECT_FALSE(selector.on_leader_hint(0.1, 7));
+  EXPECT_FALSE(selector.on_leader_hint(0.1, 1)) << "it has just failed";
+  ASSERT_TRUE(selector.on_leader_hint(0.2, 0));
+  EXPECT_EQ(selector.target(), 0U);
+  EXPECT_TRUE(selector.following_hint());
+  selector.on_hint_failed(0.3);
+  EXPECT_EQ(selector.target(), 2U) << "the voter that gave the hint still forwards requests";
+  selector.on_connected(0.4);
+  selector.on_request_sent(0.5);
+  EXPECT_FALSE(selector.timed_out(1.4));
+  EXPECT_TRUE(selector.timed_out(1.5));
+  selector.on_frame_received(1.5);
+  EXPECT_FALSE(selector.timed_out(1.6));
+  EXPECT_TRUE(selector.wants_ping(1.5 + settings.ping_after_idle));
+  EXPECT_FALSE(selector.on_leaderless(4));
+  selector.on_leader_known();
+  EXPECT_FALSE(selector.on_leaderless(5.5));
+  EXPECT_TRUE(selector.on_leaderless(6.6));
+  EXPECT_EQ(selector.target(), 0U);
 }
 
 TEST(DutiesWay, PausesGrowByRoundsToABound) {
-  VoterSelectorSettings s;
-  VoterSelector w(2, 0, s);
+  VoterSelectorSettings settings;
+  VoterSelector selector(2, 0, settings);
   double at = 0, longest = 0;
   for (int i = 0; i < 40; ++i) {
-    w.on_failed(at);
-    longest = w.next_attempt_at() - at;
-    at = w.next_attempt_at();
+    selector.on_failed(at);
+    longest = selector.next_attempt_at() - at;
+    at = selector.next_attempt_at();
   }
-  EXPECT_EQ(longest, s.max_backoff);
+  EXPECT_EQ(longest, settings.max_backoff);
 }
 
 // Lease holder
 
 TEST(DutiesHolding, WhatStopsSlowlyIsGivenBackOnceItHasStopped) {
-  LeaseHolderSettings s;
-  s.self = {"n", 1, "", ""};
-  LeaseHolder h(s);
-  LeaseHolder::Actions out;
-  h.acquire(0, "d", out, true);
-  Reply yours;
-  yours.kind = Reply::Kind::kGranted;
-  yours.duty = "d";
-  yours.token = 5;
-  out = {};
-  h.on_reply(0, yours, out);
-  Reply renewed = yours;
+  LeaseHolderSettings settings;
+  settings.self = {"n", 1, "", ""};
+  LeaseHolder holder(settings);
+  LeaseHolder::Actions actions;
+  holder.acquire(0, "d", actions, true);
+  Reply granted;
+  granted.kind = Reply::Kind::kGranted;
+  granted.duty = "d";
+  granted.token = 5;
+  actions = {};
+  holder.on_reply(0, granted, actions);
+  Reply renewed = granted;
   renewed.kind = Reply::Kind::kRenewed;
   renewed.lease_seconds = 2;
-  renewed.seq = out.requests.at(0).seq;
-  h.on_reply(0.1, renewed, out);
-  ASSERT_EQ(h.held_token(1, "d"), 5U);
-  Reply over = yours;
-  over.kind = Reply::Kind::kHandOver;
-  out = {};
-  h.on_reply(1, over, out);
-  EXPECT_FALSE(h.held_token(1, "d")) << "no further effect may begin";
-  ASSERT_EQ(out.changes.size(), 1U);
-  EXPECT_TRUE(out.requests.empty()) << "the lease must not be released before the work has stopped";
-  EXPECT_NEAR(h.held_until("d"), 2 * (1 - s.drift), 1e-9);
-  h.tick(1.5, out);
-  h.on_leader_changed(1.5, out);
-  EXPECT_TRUE(out.requests.empty());
-  h.confirm_stopped(1.6, "d", out);
-  ASSERT_EQ(out.requests.size(), 1U);
-  EXPECT_EQ(out.requests[0].kind, Request::Kind::kRelease);
+  renewed.seq = actions.requests.at(0).seq;
+  holder.on_reply(0.1, renewed, actions);
+  ASSERT_EQ(holder.held_token(1, "d"), 5U);
+  Reply hand_over = granted;
+  hand_over.kind = Reply::Kind::kHandOver;
+  actions = {};
+  holder.on_reply(1, hand_over, actions);
+  EXPECT_FALSE(holder.held_token(1, "d")) << "no further effect may begin";
+  ASSERT_EQ(actions.changes.size(), 1U);
+  EXPECT_TRUE(actions.requests.empty()) << "the lease must not be released before the work has stopped";
+  EXPECT_NEAR(holder.held_until("d"), 2 * (1 - settings.drift), 1e-9);
+  holder.tick(1.5, actions);
+  holder.on_leader_changed(1.5, actions);
+  EXPECT_TRUE(actions.requests.empty());
+  holder.confirm_stopped(1.6, "d", actions);
+  ASSERT_EQ(actions.requests.size(), 1U);
+  EXPECT_EQ(actions.requests[0].kind, Request::Kind::kRelease);
 }
 
 TEST(DutiesHolding, AfterALapseItIsHeldAgainByANewTokenAlone) {
-  LeaseHolderSettings s;
-  s.self = {"n", 1, "", ""};
-  LeaseHolder h(s);
-  LeaseHolder::Actions out;
-  h.acquire(0, "d", out);
-  Reply r;
-  r.kind = Reply::Kind::kGranted;
-  r.duty = "d";
-  r.token = 5;
-  out = {};
-  h.on_reply(0, r, out);
-  r.kind = Reply::Kind::kRenewed;
-  r.lease_seconds = 1;
-  r.seq = out.requests.at(0).seq;
-  h.on_reply(0.1, r, out);
-  out = {};
-  h.tick(1.1, out);
-  ASSERT_EQ(out.changes.size(), 1U);
-  EXPECT_EQ(out.changes[0].loss_reason, LeaseHolder::LossReason::kExpired);
-  ASSERT_FALSE(out.requests.empty());
-  EXPECT_EQ(out.requests[0].kind, Request::Kind::kRelease);
+  LeaseHolderSettings settings;
+  settings.self = {"n", 1, "", ""};
+  LeaseHolder holder(settings);
+  LeaseHolder::Actions actions;
+  holder.acquire(0, "d", actions);
+  Reply reply;
+  reply.kind = Reply::Kind::kGranted;
+  reply.duty = "d";
+  reply.token = 5;
+  actions = {};
+  holder.on_reply(0, reply, actions);
+  reply.kind = Reply::Kind::kRenewed;
+  reply.lease_seconds = 1;
+  reply.seq = actions.requests.at(0).seq;
+  holder.on_reply(0.1, reply, actions);
+  actions = {};
+  holder.tick(1.1, actions);
+  ASSERT_EQ(actions.changes.size(), 1U);
+  EXPECT_EQ(actions.changes[0].loss_reason, LeaseHolder::LossReason::kExpired);
+  ASSERT_FALSE(actions.requests.empty());
+  EXPECT_EQ(actions.requests[0].kind, Request::Kind::kRelease);
   // A late confirmation of an earlier renewal changes nothing.
-  h.on_reply(1.2, r, out);
-  EXPECT_FALSE(h.held_token(1.2, "d"));
+  holder.on_reply(1.2, reply, actions);
+  EXPECT_FALSE(holder.held_token(1.2, "d"));
 }
 
 // Store of a voter
@@ -367,7 +367,7 @@
 TEST(DutiesStore, EachCallOfTheFileLayerMayFailInTurn) {
   FailingVfs& vfs = FailingVfs::instance();
   int calls = 0;
-  for (int fail = 0; fail < 400; ++fail) {
+  for (int failing_call = 0; failing_call < 400; ++failing_call) {
     TemporaryDirectory directory;
     vfs.fail_after_calls = -1;
     SqliteStore::create(directory.path);
@@ -378,7 +378,7 @@
       store.load();
       MemoryStore model(1);
       std::uint64_t last = 0, model_last = 0;
-      vfs.fail_after_calls = fail;
+      vfs.fail_after_calls = failing_call;
       for (int i = 0; i < 18 && !failed; ++i) {
         before = describe_state(model.load());
         apply_step(model, i, model_last);
@@ -391,14 +391,14 @@
       }
     }
     vfs.fail_after_calls = -1;
-    SqliteStore again(directory.path);
-    const std::string now_held = describe_state(again.load());
+    SqliteStore reopened(directory.path);
+    const std::string content = describe_state(reopened.load());
     // An operation is stored whole or not at all, and completed operations are kept.
     if (failed) {
-      EXPECT_TRUE(now_held == before || now_held == after) << fail << ": " << now_held.substr(0, 200);
+      EXPECT_TRUE(content == before || content == after) << failing_call << ": " << content.substr(0, 200);
     } else {
-      EXPECT_EQ(now_held, after) << fail;
-      calls = fail;
+      EXPECT_EQ(content, after) << failing_call;
+      calls = failing_call;
       break;
     }
   }
@@ -410,36 +410,37 @@
   for (int run = 0; run < 40; ++run) {
     TemporaryDirectory directory;
     SqliteStore::create(directory.path);
-    int ends[2];
-    ASSERT_EQ(pipe(ends), 0);
+    int pipe_ends[2];
+    ASSERT_EQ(pipe(pipe_ends), 0);
     const pid_t child = fork();
     if (child == 0) {
-      close(ends[0]);
+      close(pipe_ends[0]);
       SqliteStore store(directory.path);
       store.load();
       std::uint64_t last = 0;
       for (int i = 0; i < 6000; ++i) {
         apply_step(store, i, last);
-        if (write(ends[1], &i, sizeof i) != sizeof i) _exit(1);
+        if (write(pipe_ends[1], &i, sizeof i) != sizeof i) _exit(1);
       }
       _exit(0);
     }
-    close(ends[1]);
+    close(pipe_ends[1]);
     usleep(static_cast<useconds_t>(2000 + random() % 30000));
     kill(child, SIGKILL);
     waitpid(child, nullptr, 0);
-    int done = -1;
-    for (int i = 0; read(ends[0], &i, sizeof i) == sizeof i;) done = i;
-    close(ends[0]);
+    int last_completed = -1;
+    for (int i = 0; read(pipe_ends[0], &i, sizeof i) == sizeof i;) last_completed = i;
+    close(pipe_ends[0]);
     MemoryStore model(1);
     std::uint64_t last = 0;
-    for (int i = 0; i <= done; ++i) apply_step(model, i, last);
-    const std::string answered = describe_state(model.load());
-    apply_step(model, done + 1, last);
-    const std::string next = describe_state(model.load());
-    SqliteStore again(directory.path);
-    const std::string found = describe_state(again.load());
-    EXPECT_TRUE(found == answered || found == next) << "after " << done << " steps: " << found.substr(0, 200);
+    for (int i = 0; i <= last_completed; ++i) apply_step(model, i, last);
+    const std::string completed_content = describe_state(model.load());
+    apply_step(model, last_completed + 1, last);
+    const std::string next_content = describe_state(model.load());
+    SqliteStore reopened(directory.path);
+    const std::string content = describe_state(reopened.load());
+    EXPECT_TRUE(content == completed_content || content == next_content)
+        << "after " << last_completed << " steps: " << content.substr(0, 200);
   }
 }
 
@@ -470,19 +471,19 @@
 TEST(DutiesAgreement, HostileMessagesNeitherEndAVoterNorChangeWhatIsAgreed) {
   ClusterSettings s;
   s.duties = {{"d0", 1, {}, {}, {}}};
-  std::vector<std::string> seen;
+  std::vector<std::string> recorded;
   std::mt19937_64 random(5);
   for (int round = 0; round < 6; ++round) {
     Cluster cluster(s, static_cast<std::uint64_t>(round) + 1);
     ASSERT_TRUE(cluster.start());
     cluster.on_raft_message = [&](const std::string& bytes) {
-      if (seen.size() < 500) seen.push_back(bytes);
+      if (recorded.size() < 500) recorded.push_back(bytes);
     };
     cluster.run(3);
     cluster.on_raft_message = {};
-    ASSERT_FALSE(seen.empty());
+    ASSERT_FALSE(recorded.empty());
     for (int i = 0; i < 3000; ++i) {
-      std::string bytes = seen[random() % seen.size()];
+      std::string bytes = recorded[random() % recorded.size()];
       for (std::uint64_t k = 1 + random() % 3; k > 0; --k)
         bytes[random() % bytes.size()] = static_cast<char>(random());
       if (random() % 8 == 0) bytes.resize(random() % bytes.size());
@@ -490,13 +491,13 @@
       const std::size_t to = random() % 3, from = random() % 4;
       auto* v = cluster.voter(to);
       if (v == nullptr || !v->voter || v->voter->failed()) continue;
-      Frame f;
-      f.kind = Frame::Kind::kRaft;
-      f.bytes = bytes;
-      Voter::OutgoingFrames outs;
+      Frame frame;
+      frame.kind = Frame::Kind::kRaft;
+      frame.bytes = bytes;
+      Voter::OutgoingFrames outgoing;
       const std::uint64_t id =
           from < 3 && cluster.voter(from)->voter ? cluster.voter(from)->voter->raft().id() : 4242;
-      v->voter->on_voter_frame(100 + cluster.sim.now(), id, "v" + std::to_string(from % 3), f, outs);
+      v->voter->on_voter_frame(100 + cluster.sim.now(), id, "v" + std::to_string(from % 3), frame, outgoing);
       if (i % 300 == 0) cluster.run(0.1);
     }
     // The voters go on, and each duty has at most one holder.
@@ -510,9 +511,9 @@
   s.duties = {{"d0", 1, {}, {}, {}}};
   Cluster cluster(s, 21);
   ASSERT_TRUE(cluster.start());
-  std::vector<std::string> seen;
+  std::vector<std::string> recorded;
   cluster.on_raft_message = [&](const std::string& bytes) {
-    if (seen.size() < 3000) seen.push_back(bytes);
+    if (recorded.size() < 3000) recorded.push_back(bytes);
   };
   cluster.run(5);
   // Another leader takes over before the recorded messages are delivered again, about a minute late.
@@ -524,18 +525,18 @@
   ASSERT_TRUE(cluster.all_held());
   const std::uint64_t term = cluster.leader()->voter->raft().term();
   const Token token = cluster.leader()->voter->raft().table().last_token();
-  for (int twice = 0; twice < 2; ++twice) {
-    for (const std::string& bytes : seen) {
+  for (int round = 0; round < 2; ++round) {
+    for (const std::string& bytes : recorded) {
       for (std::size_t to = 0; to < 3; ++to) {
         for (std::size_t from = 0; from < 3; ++from) {
           if (from == to || cluster.voter(to)->voter->failed()) continue;
-          Frame f;
-          f.kind = Frame::Kind::kRaft;
-          f.bytes = bytes;
-          Voter::OutgoingFrames outs;
+          Frame frame;
+          frame.kind = Frame::Kind::kRaft;
+          frame.bytes = bytes;
+          Voter::OutgoingFrames outgoing;
           cluster.voter(to)->voter->on_voter_frame(100 + cluster.sim.now(),
                                                    cluster.voter(from)->voter->raft().id(),
-                                                   "v" + std::to_string(from), f, outs);
+                                                   "v" + std::to_string(from), frame, outgoing);
         }
       }
     }
@@ -555,7 +556,7 @@
   TemporaryDirectory directory;
   const std::string path = directory.path + "/book.db";
   std::mt19937_64 random(9);
-  std::uint64_t truth = 0;
+  std::uint64_t expected_total = 0;
   std::map<std::string, report::Tally> nodes;
   std::vector<report::Word> old;
   Token token = 1;
@@ -566,7 +567,7 @@
       auto& tally = nodes.try_emplace(name, 0, "a", std::vector<std::string>{"x", "y"}).first->second;
       for (std::uint64_t k = random() % 20; k > 0; --k) {
         tally.add(random() % 2, report::Ending::kServed, 0.01);
-        ++truth;
+        ++expected_total;
       }
       if (random() % 3 != 0 || period == 59) words.push_back({name, 1, tally.counts()});
     }
@@ -594,25 +595,25 @@
     EXPECT_EQ(periods[i].number, i + 1);
     for (const auto& [key, counts] : periods[i].counts) sum += counts.served;
   }
-  EXPECT_EQ(sum, truth);
+  EXPECT_EQ(sum, expected_total);
   EXPECT_NE(report::csv(periods).find("\n60,"), std::string::npos);
-  const std::string picture = directory.path + "/plot.svg";
-  report::plot(periods, picture);
-  EXPECT_GT(std::filesystem::file_size(picture), 1000U);
+  const std::string plot_path = directory.path + "/plot.svg";
+  report::plot(periods, plot_path);
+  EXPECT_GT(std::filesystem::file_size(plot_path), 1000U);
 }
 
 TEST(DutiesBook, CountsAreReadOrRefusedWhole) {
-  report::Tally t(1, "a", {"x"});
-  t.add(0, report::Ending::kServed, 0.0004);
-  t.add(0, report::Ending::kServed, 1e9);
-  t.add(0, report::Ending::kRefused, 0);
-  t.add(5, report::Ending::kFailed, 0);
-  const std::string bytes = report::encode(t.counts());
-  EXPECT_EQ(report::decode(bytes), t.counts());
+  report::Tally tally(1, "a", {"x"});
+  tally.add(0, report::Ending::kServed, 0.0004);
+  tally.add(0, report::Ending::kServed, 1e9);
+  tally.add(0, report::Ending::kRefused, 0);
+  tally.add(5, report::Ending::kFailed, 0);
+  const std::string bytes = report::encode(tally.counts());
+  EXPECT_EQ(report::decode(bytes), tally.counts());
   for (std::size_t i = 0; i < bytes.size(); ++i) {
     EXPECT_THROW(report::decode(bytes.substr(0, i)), std::runtime_error);
   }
-  EXPECT_NEAR(report::quantile(t.counts().begin()->second, 0.1), 0.0005, 1e-9);
+  EXPECT_NEAR(report::quantile(tally.counts().begin()->second, 0.1), 0.0005, 1e-9);
 }
 
 }  // namespace
--- a/tests/duties/model_test.cpp
+++ b/tests/duties/model_test.cpp
@@ -64,10 +64,10 @@
 }
 
 // Takes the most direct steps (deliver, commit, drop, advance time) until a node holds a duty.
-void run_until_held(Model& m, const std::string& duty, int who) {
+void run_until_held(Model& model, const std::string& duty, int who) {
   const std::string n = std::to_string(who) + ".";
-  for (int i = 0; i < 60 && m.holder(duty) != who; ++i) {
-    const auto names = m.step_names();
+  for (int i = 0; i < 60 && model.holder(duty) != who; ++i) {
+    const auto names = model.step_names();
     const auto is = [&](const std::string& name) {
       return (name.rfind("deliver " + n, 0) == 0 && name.find(duty) != std::string::npos) &&
              name.find("to v1") == std::string::npos;
@@ -78,9 +78,9 @@
       it = std::find_if(names.begin(), names.end(),
                         [](const auto& name) { return name.rfind("drop", 0) == 0; });
     if (it == names.end()) it = std::find(names.begin(), names.end(), "advance time");
-    m.step(static_cast<std::size_t>(it - names.begin()));
+    model.step(static_cast<std::size_t>(it - names.begin()));
   }
-  ASSERT_EQ(m.holder(duty), who);
+  ASSERT_EQ(model.holder(duty), who);
 }
 
 // The relative probability of a step. With equal weights, time and message losses would outrun everything
@@ -103,21 +103,21 @@
   std::mt19937_64 random(seed);
   SearchResult out;
   for (int w = 0; w < walks && out.violation.empty(); ++w) {
-    Model m(settings);
+    Model model(settings);
     out.trace.clear();
     for (int i = 0; i < length; ++i) {
       std::vector<double> weights;
-      for (const std::string& name : m.step_names()) weights.push_back(step_weight(name));
+      for (const std::string& name : model.step_names()) weights.push_back(step_weight(name));
       const std::size_t which =
           std::discrete_distribution<std::size_t>(weights.begin(), weights.end())(random);
-      out.trace.push_back(m.step(which));
+      out.trace.push_back(model.step(which));
       ++out.states;
-      if (!m.violation().empty()) {
-        out.violation = m.violation();
+      if (!model.violation().empty()) {
+        out.violation = model.violation();
         break;
       }
     }
-    if (effects != nullptr) *effects += m.effects();
+    if (effects != nullptr) *effects += model.effects();
   }
   return out;
 }
@@ -130,14 +130,14 @@
 }
 
 TEST(DutiesModel, GrantsRenewsAndHandsOn) {
-  Model m(model_settings(3, {"a", "b"}));
-  run_until_held(m, "a", 0);
-  run_until_held(m, "b", 1);
-  EXPECT_EQ(m.table().find("a")->holder->name, "n0");
-  ASSERT_TRUE(m.step("check n0 a"));
-  ASSERT_TRUE(m.step("apply n0"));
-  EXPECT_EQ(m.effects(), 1U);
-  EXPECT_EQ(m.violation(), "");
+  Model model(model_settings(3, {"a", "b"}));
+  run_until_held(model, "a", 0);
+  run_until_held(model, "b", 1);
+  EXPECT_EQ(model.table().find("a")->holder->name, "n0");
+  ASSERT_TRUE(model.step("check n0 a"));
+  ASSERT_TRUE(model.step("apply n0"));
+  EXPECT_EQ(model.effects(), 1U);
+  EXPECT_EQ(model.violation(), "");
 }
 
 TEST(DutiesModel, EveryOrderOfStepsFromTheStart) {
@@ -150,20 +150,20 @@
 TEST(DutiesModel, EveryOrderOfStepsFromWhereADutyIsHeld) {
   ModelSettings s = model_settings(2, {"a"});
   s.max_messages = 2;
-  Model m(s);
-  run_until_held(m, "a", 0);
-  const SearchResult found = Explorer(4'000'000).run(m, 9);
+  Model model(s);
+  run_until_held(model, "a", 0);
+  const SearchResult found = Explorer(4'000'000).run(model, 9);
   EXPECT_EQ(found.violation, "") << describe(found);
   EXPECT_GT(found.states, 50'000U);
 }
 
 TEST(DutiesModel, EveryOrderOfStepsFromAnEffectHalfDone) {
-  Model m(model_settings(3, {"a", "b"}));
-  run_until_held(m, "a", 0);
-  run_until_held(m, "b", 1);
-  ASSERT_TRUE(m.step("check n0 a"));
-  ASSERT_TRUE(m.step("pause n0"));
-  const SearchResult found = Explorer(4'000'000).run(m, 6);
+  Model model(model_settings(3, {"a", "b"}));
+  run_until_held(model, "a", 0);
+  run_until_held(model, "b", 1);
+  ASSERT_TRUE(model.step("check n0 a"));
+  ASSERT_TRUE(model.step("pause n0"));
+  const SearchResult found = Explorer(4'000'000).run(model, 6);
   EXPECT_EQ(found.violation, "") << describe(found);
 }
 
--- a/tests/duties/process_setup.h
+++ b/tests/duties/process_setup.h
@@ -98,8 +98,9 @@
   std::map<std::string, std::string> out;
   const std::string reply = run_control_command(world, asked, "duties");
   if (reply.rfind("error", 0) == 0) return out;
-  const rapidjson::Document in = quinceusher::json::parse(reply);
-  for (const auto& duty : in["duties"].GetArray()) out[duty["duty"].GetString()] = duty["holder"].GetString();
+  const rapidjson::Document document = quinceusher::json::parse(reply);
+  for (const auto& duty : document["duties"].GetArray())
+    out[duty["duty"].GetString()] = duty["holder"].GetString();
   return out;
 }
 
@@ -108,8 +109,8 @@
   std::map<std::string, std::uint64_t> out;
   const std::string reply = run_control_command(world, i, "duties own");
   if (reply.rfind("error", 0) == 0) return out;
-  const rapidjson::Document in = quinceusher::json::parse(reply);
-  for (const auto& duty : in["duties"].GetArray()) {
+  const rapidjson::Document document = quinceusher::json::parse(reply);
+  for (const auto& duty : document["duties"].GetArray()) {
     if (duty["held"].GetBool()) out[duty["duty"].GetString()] = duty["token"].GetUint64();
   }
   return out;
