--- a/src/messaging/messages.h
+++ b/src/messaging/messages.h
@@ -113,8 +113,8 @@
 
 // The answer to a Poll; also pushed without a request when something changes. `placement` and `servers` are
 // optional values: they hold one element or none. The reply names the configuration in force; its text is
-// requested separately (ConfigTextRequest). A reply that is not from the leader has only `leader`, the
-// address of the leader as far as it is known.
+// requested separately (ConfigTextRequest). A reply that is not from the leader has only `group` and
+// `leader`, the address of the leader if it is known.
 struct PollReply {
   BOOST_HANA_DEFINE_STRUCT(PollReply, (std::uint32_t, group), (bool, from_leader), (std::string, leader),
                            (Millis, sent_at),        // copied from the poll; 0 in a pushed message
