--- a/adapter/drill.cpp
+++ b/adapter/drill.cpp
@@ -10,7 +10,7 @@
 #include <utility>
 #include <vector>
 
-#include "json/read.h"
+#include "json/reader.h"
 #include "quinceusher/balancer.h"
 #include "rapidjson/document.h"
 #include "rapidjson/error/en.h"
@@ -37,12 +37,12 @@
 
 qu::Server read_server(const Json& in) {
   qu::Server out;
-  out.address = text(in, "server");
-  out.zone = whole_or(in, "rackZone", 0);
-  out.cell = whole_or(in, "pack", 0);
+  out.address = string(in, "server");
+  out.zone = integer_or(in, "rackZone", 0);
+  out.cell = integer_or(in, "pack", 0);
   out.weight = number_or(in, "units", 1);
   out.started = number_or(in, "since", 0);
-  const std::string_view mode = text(in, "mode");
+  const std::string_view mode = string(in, "mode");
   if (mode == "Ready") {
     out.state = qu::ServerState::kReady;
   } else if (mode == "Terminating") {
@@ -50,7 +50,7 @@
   } else if (mode == "Gone") {
     out.state = qu::ServerState::kGone;
   } else {
-    wrong("mode", "Ready, Terminating or Gone");
+    reject_field("mode", "Ready, Terminating or Gone");
   }
   return out;
 }
@@ -59,11 +59,11 @@
   constexpr int kHintValid = 1;
   constexpr int kClientRepeats = 2;
   qu::Request out;
-  out.id = text(in, "txn");
+  out.id = string(in, "txn");
   out.tenant = index_or_zero(in, "account");
   out.request_class = index_or_zero(in, "profile");
   out.time_left = number(in, "timeLeft");
-  const int opts = whole_or(in, "opts", 0);
+  const int opts = integer_or(in, "opts", 0);
   if ((opts & kHintValid) != 0 && find(in, "cost") != nullptr) out.work = number(in, "cost");
   out.is_repeat = (opts & kClientRepeats) != 0;
   return out;
@@ -141,7 +141,7 @@
     writer_.Reset(buffer_);
     writer_.StartObject();
     writer_.Key("turn");
-    writer_.Uint64(token(batch, "turn"));
+    writer_.Uint64(unsigned_integer(batch, "turn"));
     writer_.Key("nodes");
     writer_.StartArray();
     for (const Json& node : array(batch, "nodes").GetArray()) answer_node(now, node);
@@ -152,14 +152,14 @@
 
  private:
   void answer_node(double now, const Json& node) {
-    const int who = whole(node, "who");
+    const int who = integer(node, "who");
     std::unique_ptr<qu::Balancer>& balancer = balancers_[who];
     actions_.clear();
     std::optional<std::string> fault;
     for (const Json& item : array(node, "news").GetArray()) {
       try {
         handle(now, item, balancer);
-      } catch (const BadMessage&) {
+      } catch (const MessageError&) {
         throw;
       } catch (const std::exception& problem) {  // the library's own: reported to the bench
         if (!fault) fault = problem.what();
@@ -185,14 +185,15 @@
   }
 
   void handle(double now, const Json& item, std::unique_ptr<qu::Balancer>& balancer) {
-    const std::string_view kind = text(item, "kind");
+    const std::string_view kind = string(item, "kind");
     if (kind == "TABLE") {
       read_table(item);
       return;
     }
     if (kind == "OPEN_INSTANCE") {
       balancer.reset();
-      balancer = std::make_unique<qu::Balancer>(read_settings(need(item, "config")), token(item, "initSeed"));
+      balancer = std::make_unique<qu::Balancer>(read_settings(require(item, "config")),
+                                                unsigned_integer(item, "initSeed"));
       actions_.clear();  // an instance's actions before its stop in this batch are void
       balancer->handle(now, qu::Started{}, actions_);
     } else if (kind == "POWER_OFF") {
@@ -206,28 +207,28 @@
   void read_table(const Json& item) {
     std::vector<qu::Server> servers;
     for (const Json& entry : array(item, "nodesList").GetArray()) servers.push_back(read_server(entry));
-    tables_[whole(item, "sheet")] = std::move(servers);
+    tables_[integer(item, "sheet")] = std::move(servers);
   }
 
   std::optional<qu::Event> read_event(std::string_view kind, const Json& item) const {
     if (kind == "QUERY") return read_request(item);
     if (kind == "DONE") {
-      return qu::AttemptResult{std::string(text(item, "txn")), whole_or(item, "try", 0),
-                               read_outcome(text(item, "outcome")), number_or(item, "lag", 0),
-                               flag(item, "doneFlag")};
+      return qu::AttemptResult{std::string(string(item, "txn")), integer_or(item, "try", 0),
+                               read_outcome(string(item, "outcome")), number_or(item, "lag", 0),
+                               boolean(item, "doneFlag")};
     }
-    if (kind == "FIRED") return qu::TimerFired{token(item, "keyBack")};
-    if (kind == "GONE") return qu::RequestGone{std::string(text(item, "txn"))};
+    if (kind == "FIRED") return qu::TimerFired{unsigned_integer(item, "keyBack")};
+    if (kind == "GONE") return qu::RequestGone{std::string(string(item, "txn"))};
     if (kind == "DIRECTORY_UPDATE") return read_update(item);
     if (kind == "ACK_FIRST") {
-      return qu::AnswerStarted{std::string(text(item, "txn")), whole_or(item, "try", 0),
+      return qu::AnswerStarted{std::string(string(item, "txn")), integer_or(item, "try", 0),
                                number_or(item, "lag", 0)};
     }
     return std::nullopt;  // STATUS_BACK, MEMO and kinds of later protocols are not used here
   }
 
   qu::MembershipUpdate read_update(const Json& item) const {
-    const std::string_view form = text(item, "form");
+    const std::string_view form = string(item, "form");
     qu::MembershipUpdate out;
     if (form == "X") {
       out.form = qu::MembershipUpdate::Form::kFailed;
@@ -236,10 +237,10 @@
     if (form == "D") {
       out.form = qu::MembershipUpdate::Form::kChanges;
     } else if (form != "F" && form != "C") {
-      wrong("form", "D, F, C or X");
+      reject_field("form", "D, F, C or X");
     }
-    const auto table = tables_.find(whole(item, "sheet"));
-    if (table == tables_.end()) wrong("sheet", "the number of a list that was sent");
+    const auto table = tables_.find(integer(item, "sheet"));
+    if (table == tables_.end()) reject_field("sheet", "the number of a list that was sent");
     out.servers = table->second;
     return out;
   }
@@ -266,11 +267,11 @@
       rapidjson::Document batch;
       batch.ParseInsitu(line.data());
       if (batch.HasParseError()) {
-        throw BadMessage(std::string("not valid JSON: ") +
-                         rapidjson::GetParseError_En(batch.GetParseError()) + " at byte " +
-                         std::to_string(batch.GetErrorOffset()));
+        throw MessageError(std::string("not valid JSON: ") +
+                           rapidjson::GetParseError_En(batch.GetParseError()) + " at byte " +
+                           std::to_string(batch.GetErrorOffset()));
       }
-      turn = std::to_string(token(batch, "turn"));
+      turn = std::to_string(unsigned_integer(batch, "turn"));
       const rapidjson::StringBuffer& reply = host.answer(batch);
       std::fwrite(reply.GetString(), 1, reply.GetSize(), stdout);
       std::fputc('\n', stdout);
--- a/core/engine.cpp
+++ b/core/engine.cpp
@@ -53,7 +53,8 @@
   ServerList known = *options_.last_known_servers;
   known.is_full = true;
   apply_list(known);
-  auto& timer = timers_.try_emplace(++last_timer_, io_, at(now() + kFirstListWaitSeconds)).first->second;
+  auto& timer =
+      timers_.try_emplace(++last_timer_, io_, to_time_point(now() + kFirstListWaitSeconds)).first->second;
   timer.async_wait([this](const error_code& error) {
     if (!error) asked_ = true;
   });
@@ -80,7 +81,7 @@
         std::visit([this](const auto& a) { run(a); }, action);
       }
     } catch (const std::exception& surprise) {
-      log_(nettlestand::surprise("engine", surprise.what()));
+      log_(nettlestand::unexpected_error("engine", surprise.what()));
     }
     if (const auto* end = std::get_if<qu::AttemptResult>(&next)) forget_if_done(number_of(end->id));
   }
@@ -105,7 +106,7 @@
     answer(number, refusal());
     return number;
   }
-  entry.deadline.expires_at(at(limit - reserve(entry.call) * kDeadlineReserveFraction));
+  entry.deadline.expires_at(to_time_point(limit - reserve(entry.call) * kDeadlineReserveFraction));
   entry.deadline.async_wait([this, number](const error_code& error) {
     if (!error) expire(number, Reply::Kind::kTimedOut);
   });
@@ -305,7 +306,7 @@
 
 void Engine::run(const qu::SetTimer& action) {
   const std::uint64_t number = ++last_timer_;
-  auto& timer = timers_.try_emplace(number, io_, at(action.at)).first->second;
+  auto& timer = timers_.try_emplace(number, io_, to_time_point(action.at)).first->second;
   timer.async_wait([this, number, token = action.token](const error_code& error) {
     if (error) return;
     timers_.erase(number);
--- a/daemon/config.cpp
+++ b/daemon/config.cpp
@@ -7,7 +7,7 @@
 #include <stdexcept>
 
 #include "discovery/server_list_parser.h"
-#include "json/read.h"
+#include "json/reader.h"
 
 namespace nettlestand {
 namespace {
@@ -15,53 +15,54 @@
 namespace json = quinceusher::json;
 using json::Json;
 
-constexpr std::size_t kLongestName = 128;  // bytes of a class's, tenant's or zone's name
+constexpr std::size_t kMaxConfigNameBytes = 128;  // bytes of a class's, tenant's or zone's name
 
 // Names that a header can hold, each once: which of two of one name is meant could not be told.
 std::vector<std::string> read_names(const Json& in, const char* field) {
   std::vector<std::string> out;
   std::set<std::string_view> seen;
   for (const Json& item : in.GetArray()) {
-    const std::string_view name = json::text(item, "name");
-    if (name.empty() || name.size() > kLongestName) json::wrong(field, "a name of 1 to 128 bytes");
-    if (!seen.insert(name).second) json::wrong(field, "a name that stands there once");
+    const std::string_view name = json::string(item, "name");
+    if (name.empty() || name.size() > kMaxConfigNameBytes)
+      json::reject_field(field, "a name of 1 to 128 bytes");
+    if (!seen.insert(name).second) json::reject_field(field, "a name that stands there once");
     out.emplace_back(name);
   }
   return out;
 }
 
-void check_length(std::size_t length, const char* field, std::size_t least, std::size_t most) {
-  if (length >= least && length <= most) return;
-  json::wrong(field, ("a list of " + std::to_string(least) + " to " + std::to_string(most)).c_str());
+void check_length(std::size_t length, const char* field, std::size_t min, std::size_t max) {
+  if (length >= min && length <= max) return;
+  json::reject_field(field, ("a list of " + std::to_string(min) + " to " + std::to_string(max)).c_str());
 }
 
 // Guards the clocks and timers: a time of nothing, or one that no clock can count, is waited for in a busy
 // loop or is over at once. No service comes near these ranges' ends.
 void check_settings(const quinceusher::Settings& s) {
-  constexpr double kShortest = 0.001, kHour = 3600, kDay = 86400;  // s
-  json::check(s.copy_count, "peersTotal", 1, 100000);
-  json::check(s.copy_index, "position", 0, s.copy_count - 1);
-  json::check(s.tier, "stage", 0, 1000);
-  json::check(s.zone, "zone", 0, 1000);
-  json::check(s.tick, "granularity", 0, 60);
-  json::check(s.over_share_worth, "overShareWorth", 0, 1);
-  json::check(s.max_attempts, "bounds.maxAttempts", 1, 1000);
-  json::check(s.max_retry_after, "bounds.maxRetryAfter", 0, kHour);
-  if (s.ask_within != 0) json::check(s.ask_within, "rules.askWithin", 0.05, kDay);
-  json::check(s.start_capacity, "rules.startCapacity", 0, 1);
-  json::check(s.ramp_time, "rules.rampTime", 0, kDay);
-  json::check(s.cross_zone_price, "fees.crossZone", 0, 1e6);
+  constexpr double kMinSeconds = 0.001, kHour = 3600, kDay = 86400;  // s
+  json::check_range(s.copy_count, "peersTotal", 1, 100000);
+  json::check_range(s.copy_index, "position", 0, s.copy_count - 1);
+  json::check_range(s.tier, "stage", 0, 1000);
+  json::check_range(s.zone, "zone", 0, 1000);
+  json::check_range(s.tick, "granularity", 0, 60);
+  json::check_range(s.over_share_worth, "overShareWorth", 0, 1);
+  json::check_range(s.max_attempts, "bounds.maxAttempts", 1, 1000);
+  json::check_range(s.max_retry_after, "bounds.maxRetryAfter", 0, kHour);
+  if (s.ask_within != 0) json::check_range(s.ask_within, "rules.askWithin", 0.05, kDay);
+  json::check_range(s.start_capacity, "rules.startCapacity", 0, 1);
+  json::check_range(s.ramp_time, "rules.rampTime", 0, kDay);
+  json::check_range(s.cross_zone_price, "fees.crossZone", 0, 1e6);
   check_length(s.classes.size(), "categories", 1, 100);
   for (const quinceusher::RequestClass& c : s.classes) {
-    json::check(c.aim, "categories[].aim", 1e-6, kHour);
-    json::check(c.aim_stretch, "categories[].aimStretch", 0, 1e6);
-    json::check(c.give_up, "categories[].giveUp", kShortest, kHour);
-    json::check(c.late_worth, "categories[].lateWorth", 0, 1);
-    json::check(c.dedup_window, "categories[].dedupWindow", 0, kDay);
+    json::check_range(c.aim, "categories[].aim", 1e-6, kHour);
+    json::check_range(c.aim_stretch, "categories[].aimStretch", 0, 1e6);
+    json::check_range(c.give_up, "categories[].giveUp", kMinSeconds, kHour);
+    json::check_range(c.late_worth, "categories[].lateWorth", 0, 1);
+    json::check_range(c.dedup_window, "categories[].dedupWindow", 0, kDay);
   }
   check_length(s.tenants.size(), "realms", 0, 1000);
   for (const quinceusher::Tenant& t : s.tenants) {
-    json::check(t.allowance.value_or(0), "realms[].allowancePerS", 0, 1e9);
+    json::check_range(t.allowance.value_or(0), "realms[].allowancePerS", 0, 1e9);
   }
 }
 
@@ -74,51 +75,52 @@
 // 256 bytes at most.
 std::optional<peers::ServiceOptions> read_peers(const Json& in, const Json& bounds, int position) {
   const Json* listen = json::find(in, "peer_listen");
-  if (!json::flag(bounds, "peers") || listen == nullptr || json::find(in, "peers") == nullptr)
+  if (!json::boolean(bounds, "peers") || listen == nullptr || json::find(in, "peers") == nullptr)
     return std::nullopt;
   peers::ServiceOptions out;
-  out.listen = read_udp(json::text(in, "peer_listen"));
+  out.listen = read_udp(json::string(in, "peer_listen"));
   for (const Json& item : json::array(in, "peers").GetArray()) {
-    if (!item.IsString()) json::wrong("peers", "an array of addresses");
+    if (!item.IsString()) json::reject_field("peers", "an array of addresses");
     out.members.push_back(read_udp({item.GetString(), item.GetStringLength()}));
   }
   check_length(out.members.size(), "peers", 1, 10000);
   if (static_cast<std::size_t>(position) >= out.members.size()) {
-    json::wrong("peers", "a list that holds this node's position");
+    json::reject_field("peers", "a list that holds this node's position");
   }
-  if (json::find(in, "peers_all") != nullptr) out.broadcast = read_udp(json::text(in, "peers_all"));
+  if (json::find(in, "peers_all") != nullptr) out.broadcast = read_udp(json::string(in, "peers_all"));
   for (const auto& e : out.members) {
-    if (!e.address().is_v4()) json::wrong("peers", "an array of IPv4 addresses");
+    if (!e.address().is_v4()) json::reject_field("peers", "an array of IPv4 addresses");
   }
-  if (!out.listen.address().is_v4()) json::wrong("peer_listen", "an IPv4 address");
+  if (!out.listen.address().is_v4()) json::reject_field("peer_listen", "an IPv4 address");
   return out;
 }
 
 std::uint64_t read_seed(std::string_view text) {
   std::uint64_t out = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), out, 16);
-  if (error != std::errc() || end != text.data() + text.size()) json::wrong("seed", "a hexadecimal number");
+  if (error != std::errc() || end != text.data() + text.size())
+    json::reject_field("seed", "a hexadecimal number");
   return out;
 }
 
 }  // namespace
 
-Config read_config(const std::string& text) {
+Config read_platform_config(const std::string& text) {
   const rapidjson::Document in = json::parse(text);
   Config out;
-  out.name = json::text(in, "name");
-  out.listen = read_endpoint(json::text(in, "listen"));
-  out.discovery = read_endpoint(json::text(in, "discovery"));
-  out.seed = read_seed(json::text(in, "seed"));
+  out.name = json::string(in, "name");
+  out.listen = read_endpoint(json::string(in, "listen"));
+  out.discovery = read_endpoint(json::string(in, "discovery"));
+  out.seed = read_seed(json::string(in, "seed"));
   if (const Json* limits = json::find(in, "limits")) {
-    const int sockets = json::whole_or(*limits, "sockets", 1024);
-    json::check(sockets, "limits.sockets", 64, 2147483647);
+    const int sockets = json::integer_or(*limits, "sockets", 1024);
+    json::check_range(sockets, "limits.sockets", 64, 2147483647);
     out.sockets = static_cast<std::size_t>(sockets);
     const double memory = json::number_or(*limits, "memory_mb", 64);
-    json::check(memory, "limits.memory_mb", 16, 1e6);
+    json::check_range(memory, "limits.memory_mb", 16, 1e6);
     out.memory_mb = static_cast<std::size_t>(memory);
   }
-  const Json& settings = json::need(in, "settings");
+  const Json& settings = json::require(in, "settings");
   out.settings = json::read_settings(settings);
   check_settings(out.settings);
   out.classes = read_names(json::array(settings, "categories"), "categories[].name");
@@ -128,27 +130,28 @@
   if (json::find(settings, "azs") != nullptr) {
     check_length(json::array(settings, "azs").Size(), "azs", 0, 1000);
     for (const Json& zone : json::array(settings, "azs").GetArray()) {
-      if (!zone.IsString() || zone.GetStringLength() > kLongestName) {
-        json::wrong("azs", "an array of names of at most 128 bytes");
+      if (!zone.IsString() || zone.GetStringLength() > kMaxConfigNameBytes) {
+        json::reject_field("azs", "an array of names of at most 128 bytes");
       }
       out.zones.emplace_back(zone.GetString(), zone.GetStringLength());
     }
   }
-  const Json& bounds = json::need(settings, "bounds");
+  const Json& bounds = json::require(settings, "bounds");
   out.connect_timeout = json::number_or(bounds, "dialTimeout", out.connect_timeout);
-  out.idle_close = json::number_or(bounds, "idleClose", out.idle_close);
-  json::check(out.connect_timeout, "bounds.dialTimeout", 0.001, 600);
-  json::check(out.idle_close, "bounds.idleClose", 0.01, 86400);
+  out.server_idle_timeout = json::number_or(bounds, "idleClose", out.server_idle_timeout);
+  json::check_range(out.connect_timeout, "bounds.dialTimeout", 0.001, 600);
+  json::check_range(out.server_idle_timeout, "bounds.idleClose", 0.01, 86400);
   out.peers = read_peers(in, bounds, out.settings.copy_index);
-  identify(out);
-  if (const Json* known = json::find(in, "known")) out.known = server_list_from_json(*known, out.zones);
-  if (out.known && out.known->servers.size() > out.max_servers()) {
-    json::wrong("known", "a list of at most 128 servers for each MB of memory");
+  set_identities(out);
+  if (const Json* known = json::find(in, "known"))
+    out.last_known_servers = server_list_from_json(*known, out.zones);
+  if (out.last_known_servers && out.last_known_servers->servers.size() > out.max_servers()) {
+    json::reject_field("known", "a list of at most 128 servers for each MB of memory");
   }
   return out;
 }
 
-void identify(Config& config) {
+void set_identities(Config& config) {
   const quinceusher::Settings& s = config.settings;
   const auto at = static_cast<std::size_t>(s.zone);
   const std::string zone = at < config.zones.size() ? config.zones[at] : "";
--- a/daemon/config.h
+++ b/daemon/config.h
@@ -23,7 +23,7 @@
 struct DutyProgram {
   duties::Duty duty;
   std::vector<std::string> command;  // its path and arguments
-  double stop = 2;                   // s that it has to end after SIGTERM
+  double stop_timeout = 2;           // s that it has to end after SIGTERM
 };
 
 // Duties held by one node.
@@ -45,24 +45,24 @@
   quinceusher::Settings settings;
   std::vector<std::string> classes, tenants, zones;  // their names, in the order of the settings
   double connect_timeout = 0.25;                     // s
-  double idle_close = 5;                             // s; servers close connections idle for so long
-  std::optional<ServerList> known;                   // discovery's list as it was last known
-  std::optional<ServerList> servers;                 // all there are, where there is no discovery
+  double server_idle_timeout = 5;                    // s; servers close connections idle for so long
+  std::optional<ServerList> last_known_servers;      // discovery's list as it was last known
+  std::optional<ServerList> static_servers;          // all there are, where there is no discovery
   ListenerLimits listener;
   LogOptions log;
   std::optional<peers::ServiceOptions> peers;  // membership among the nodes, where it is on
   std::string peers_key_file;                  // the cluster's keys, or empty
   std::optional<DutiesConfig> duties;          // where they are on
-  std::string control;                         // path of the control socket, or empty
+  std::string control_socket;                  // path of the control socket, or empty
 
   // So many servers may be listed, ready or leaving: each takes 1.4 KB, or twice that with a long name.
   std::size_t max_servers() const { return memory_mb * 128; }
 };
 
 // Throws std::exception with a plain text on what can't be used.
-Config read_config(const std::string& json);
+Config read_platform_config(const std::string& json);
 
 // What a node says of itself among others, and which copy it is: of the rest of its configuration.
-void identify(Config& config);
+void set_identities(Config& config);
 
 }  // namespace nettlestand
--- a/daemon/control.cpp
+++ b/daemon/control_socket.cpp
@@ -1,4 +1,4 @@
-#include "daemon/control.h"
+#include "daemon/control_socket.h"
 
 #include <sys/socket.h>
 #include <sys/stat.h>
@@ -24,12 +24,12 @@
 using asio::local::stream_protocol;
 using boost::system::error_code;
 
-constexpr std::size_t kLongestCommand = 4096;               // bytes
-constexpr int kMostOpen = 8;                                // who asks at a time; more are closed at once
-constexpr auto kPatience = std::chrono::seconds(2);         // for the command to come, and the answer to go
-constexpr auto kAnswerPatience = std::chrono::seconds(14);  // for an answer that comes later
+constexpr std::size_t kMaxCommandBytes = 4096;              // bytes
+constexpr int kMaxSessions = 8;                             // who asks at a time; more are closed at once
+constexpr auto kIoTimeout = std::chrono::seconds(2);        // for the command to come, and the answer to go
+constexpr auto kCommandTimeout = std::chrono::seconds(14);  // for an answer that comes later
 
-std::string checked(std::string path) {
+std::string check_path_length(std::string path) {
   if (path.size() >= sizeof(sockaddr_un::sun_path))
     throw std::runtime_error(path + ": too long for a socket's path");
   return path;
@@ -37,21 +37,21 @@
 
 }  // namespace
 
-class Control::Session : public std::enable_shared_from_this<Session> {
+class ControlSocket::Session : public std::enable_shared_from_this<Session> {
  public:
-  Session(Control& owner, stream_protocol::socket socket)
+  Session(ControlSocket& owner, stream_protocol::socket socket)
       : owner_(owner),
         alive_(owner.alive_),
         socket_(std::move(socket)),
         timer_(owner.io_),
-        in_(kLongestCommand) {
-    ++owner_.open_;
+        in_(kMaxCommandBytes) {
+    ++owner_.open_sessions_;
   }
   ~Session() {
-    if (*alive_) --owner_.open_;
+    if (*alive_) --owner_.open_sessions_;
   }
   void start() {
-    timer_.expires_after(kPatience);
+    timer_.expires_after(kIoTimeout);
     timer_.async_wait([self = shared_from_this()](const error_code& error) {
       if (!error) self->close();
     });
@@ -61,31 +61,31 @@
                              std::string line(size, '\0');
                              self->in_.sgetn(line.data(), static_cast<std::streamsize>(size));
                              line.pop_back();
-                             self->answer(line);
+                             self->run_command(line);
                            });
   }
 
  private:
   // The one of the longest name that the line begins with.
-  bool answer_later(const std::string& line) {
-    std::vector<std::string> words;
+  bool run_async_command(const std::string& line) {
+    std::vector<std::string> arguments;
     std::istringstream in(line);
-    for (std::string word; in >> word;) words.push_back(word);
-    for (std::size_t n = words.size(); n > 0; --n) {
+    for (std::string argument; in >> argument;) arguments.push_back(argument);
+    for (std::size_t n = arguments.size(); n > 0; --n) {
       std::string name;
-      for (std::size_t i = 0; i < n; ++i) name += (i > 0 ? " " : "") + words[i];
-      const auto it = owner_.later_.find(name);
-      if (it == owner_.later_.end()) continue;
-      timer_.expires_after(kAnswerPatience);
+      for (std::size_t i = 0; i < n; ++i) name += (i > 0 ? " " : "") + arguments[i];
+      const auto it = owner_.async_commands_.find(name);
+      if (it == owner_.async_commands_.end()) continue;
+      timer_.expires_after(kCommandTimeout);
       timer_.async_wait([self = shared_from_this()](const error_code& error) {
         if (!error) self->close();
       });
-      words.erase(words.begin(), words.begin() + static_cast<std::ptrdiff_t>(n));
+      arguments.erase(arguments.begin(), arguments.begin() + static_cast<std::ptrdiff_t>(n));
       const auto done = [self = shared_from_this()](std::string text, std::string error) {
-        self->say(error.empty() ? std::move(text) + "\n" : "error: " + error + "\n");
+        self->write_reply(error.empty() ? std::move(text) + "\n" : "error: " + error + "\n");
       };
       try {
-        it->second(words, done);
+        it->second(arguments, done);
       } catch (const std::exception& problem) {
         done("", problem.what());
       }
@@ -93,18 +93,18 @@
     }
     return false;
   }
-  void answer(const std::string& line) {
-    if (answer_later(line)) return;
+  void run_command(const std::string& line) {
+    if (run_async_command(line)) return;
     const auto it = owner_.commands_.find(line);
     try {
-      say(it == owner_.commands_.end() ? "error: no such command\n" : it->second() + "\n");
+      write_reply(it == owner_.commands_.end() ? "error: no such command\n" : it->second() + "\n");
     } catch (const std::exception& problem) {
-      say(std::string("error: ") + problem.what() + "\n");
+      write_reply(std::string("error: ") + problem.what() + "\n");
     }
   }
-  void say(std::string text) {
+  void write_reply(std::string text) {
     out_ = std::move(text);
-    timer_.expires_after(kPatience);
+    timer_.expires_after(kIoTimeout);
     timer_.async_wait([self = shared_from_this()](const error_code& error) {
       if (!error) self->close();
     });
@@ -117,7 +117,7 @@
     socket_.close(ignored);
   }
 
-  Control& owner_;
+  ControlSocket& owner_;
   const std::shared_ptr<bool> alive_;
   stream_protocol::socket socket_;
   asio::steady_timer timer_;
@@ -125,16 +125,17 @@
   std::string out_;
 };
 
-Control::Control(asio::io_context& io, std::string path, Commands commands, Later later, Log log)
+ControlSocket::ControlSocket(asio::io_context& io, std::string path, Commands commands,
+                             AsyncCommands async_commands, Log log)
     : io_(io),
-      path_(checked(std::move(path))),
+      path_(check_path_length(std::move(path))),
       commands_(std::move(commands)),
-      later_(std::move(later)),
+      async_commands_(std::move(async_commands)),
       log_(std::move(log)),
       acceptor_(io) {
-  struct stat there {};
-  if (lstat(path_.c_str(), &there) == 0) {
-    if (!S_ISSOCK(there.st_mode)) throw std::runtime_error(path_ + ": is there, and no socket");
+  struct stat status {};
+  if (lstat(path_.c_str(), &status) == 0) {
+    if (!S_ISSOCK(status.st_mode)) throw std::runtime_error(path_ + ": is there, and no socket");
     stream_protocol::socket other(io);
     error_code error;
     other.connect(stream_protocol::endpoint(path_), error);
@@ -143,42 +144,42 @@
   }
   acceptor_.open(stream_protocol());
   // Nobody but its owner may ask, from the first moment on.
-  const mode_t before = umask(0177);
+  const mode_t old_umask = umask(0177);
   error_code error;
   acceptor_.bind(stream_protocol::endpoint(path_), error);
-  umask(before);
+  umask(old_umask);
   if (error) throw std::runtime_error(path_ + ": " + error.message());
   acceptor_.listen();
   accept();
 }
 
-Control::~Control() {
+ControlSocket::~ControlSocket() {
   *alive_ = false;
   unlink(path_.c_str());
 }
 
-void Control::accept() {
+void ControlSocket::accept() {
   acceptor_.async_accept([this, alive = alive_](const error_code& error, stream_protocol::socket socket) {
     if (!*alive || error == asio::error::operation_aborted) return;
-    if (!error && open_ < kMostOpen) std::make_shared<Session>(*this, std::move(socket))->start();
+    if (!error && open_sessions_ < kMaxSessions) std::make_shared<Session>(*this, std::move(socket))->start();
     if (!error) return accept();
-    log_(surprise("node", "control socket: " + error.message()));
+    log_(unexpected_error("node", "control socket: " + error.message()));
   });
 }
 
-std::string ask_control(const std::string& path, const std::string& command) {
+std::string send_control_command(const std::string& path, const std::string& command) {
   const auto problem = [&](const std::string& what) { return std::runtime_error(path + ": " + what); };
   sockaddr_un to{};
   to.sun_family = AF_UNIX;
-  const std::string at = checked(path);
+  const std::string at = check_path_length(path);
   std::memcpy(to.sun_path, at.data(), at.size());
-  struct Closed {
+  struct ScopedDescriptor {
     int fd;
-    ~Closed() { ::close(fd); }
+    ~ScopedDescriptor() { ::close(fd); }
   } const socket{::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0)};
-  const timeval patience{15, 0};
-  setsockopt(socket.fd, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
-  setsockopt(socket.fd, SOL_SOCKET, SO_SNDTIMEO, &patience, sizeof patience);
+  const timeval timeout{15, 0};
+  setsockopt(socket.fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
+  setsockopt(socket.fd, SOL_SOCKET, SO_SNDTIMEO, &timeout, sizeof timeout);
   if (connect(socket.fd, reinterpret_cast<const sockaddr*>(&to), sizeof to) != 0) {
     throw problem(std::string("no node answers there: ") + std::strerror(errno));
   }
@@ -189,10 +190,10 @@
   std::string out;
   std::array<char, 65536> part;
   for (;;) {
-    const ssize_t got = ::recv(socket.fd, part.data(), part.size(), 0);
-    if (got < 0) throw problem("the node does not answer");
-    if (got == 0) break;
-    out.append(part.data(), static_cast<std::size_t>(got));
+    const ssize_t count = ::recv(socket.fd, part.data(), part.size(), 0);
+    if (count < 0) throw problem("the node does not answer");
+    if (count == 0) break;
+    out.append(part.data(), static_cast<std::size_t>(count));
   }
   if (out.rfind("error: ", 0) == 0) throw problem(out.substr(0, out.size() - 1));
   return out;
--- a/daemon/control.h
+++ b/daemon/control_socket.h
@@ -16,21 +16,23 @@
 namespace nettlestand {
 
 // On the loop's thread.
-class Control {
+class ControlSocket {
  public:
   // A command, as in "peers", and what it answers. What a command throws is answered as an error.
   using Commands = std::map<std::string, std::function<std::string()>>;
   // One that takes arguments, as in "duties pass NAME", and answers later, once: with a text, or what went
   // wrong.
-  using Answer = std::function<void(std::string text, std::string error)>;
-  using Later = std::map<std::string, std::function<void(const std::vector<std::string>& arguments, Answer)>>;
+  using Completion = std::function<void(std::string text, std::string error)>;
+  using AsyncCommands =
+      std::map<std::string, std::function<void(const std::vector<std::string>& arguments, Completion)>>;
 
   // Takes the place of a socket that nobody listens at any more. Throws std::runtime_error where the path
   // can't be had, as where another process listens there.
-  Control(boost::asio::io_context& io, std::string path, Commands commands, Later later, Log log);
-  ~Control();
-  Control(const Control&) = delete;
-  Control& operator=(const Control&) = delete;
+  ControlSocket(boost::asio::io_context& io, std::string path, Commands commands,
+                AsyncCommands async_commands, Log log);
+  ~ControlSocket();
+  ControlSocket(const ControlSocket&) = delete;
+  ControlSocket& operator=(const ControlSocket&) = delete;
 
  private:
   class Session;
@@ -39,14 +41,14 @@
   boost::asio::io_context& io_;
   const std::string path_;
   const Commands commands_;
-  const Later later_;
+  const AsyncCommands async_commands_;
   const Log log_;
   boost::asio::local::stream_protocol::acceptor acceptor_;
-  int open_ = 0;
+  int open_sessions_ = 0;
   const std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
 // The other side: asks the node at a path, and waits for 15 s at the most. Throws std::runtime_error.
-std::string ask_control(const std::string& path, const std::string& command);
+std::string send_control_command(const std::string& path, const std::string& command);
 
 }  // namespace nettlestand
--- a/daemon/demo.cpp
+++ b/daemon/demo.cpp
@@ -17,10 +17,10 @@
 
 namespace si = standins;
 
-constexpr double kRate = 300;                          // calls/s
-constexpr double kAim = 0.25, kTimeout = 1;            // s
-constexpr double kWork = 0.01;                         // s of a server's core for a call, in the mean
-constexpr double kRampTime = 4, kStartCapacity = 0.3;  // s; a cold server's part of its capacity
+constexpr double kRate = 300;                              // calls/s
+constexpr double kAimSeconds = 0.25, kTimeoutSeconds = 1;  // s
+constexpr double kServiceSeconds = 0.01;                   // s of a server's core for a call, in the mean
+constexpr double kRampSeconds = 4, kStartCapacity = 0.3;   // s; a cold server's part of its capacity
 
 const std::vector<si::CheckedClass>& checked_classes() {
   using Effect = si::CheckedClass::Effect;
@@ -31,14 +31,15 @@
   return all;
 }
 
-struct Second {
+struct SecondCounts {
   int served = 0, refused = 0, failed = 0, attempts = 0;
   std::vector<double> times;  // s, of the served
 };
 
-double quantile(std::vector<double>& times, double part) {
+double quantile(std::vector<double>& times, double fraction) {
   if (times.empty()) return 0;
-  const auto at = times.begin() + static_cast<std::ptrdiff_t>(part * static_cast<double>(times.size() - 1));
+  const auto at =
+      times.begin() + static_cast<std::ptrdiff_t>(fraction * static_cast<double>(times.size() - 1));
   std::nth_element(times.begin(), at, times.end());
   return *at;
 }
@@ -48,17 +49,17 @@
   Demo(const std::string& binary, double seconds) : seconds_(seconds) {
     si::NodeConfig config;
     config.discovery = discovery_.endpoint(config.name);
-    config.classes = {{"lookup", "safe", "all", 0, kAim, kTimeout, 0.5},
-                      {"submit", "keyed", "all", 4, kAim, kTimeout, 0.5},
-                      {"test-close", "unsafe", "all", 0, kAim, kTimeout, 0.5}};
+    config.classes = {{"lookup", "safe", "all", 0, kAimSeconds, kTimeoutSeconds, 0.5},
+                      {"submit", "keyed", "all", 4, kAimSeconds, kTimeoutSeconds, 0.5},
+                      {"test-close", "unsafe", "all", 0, kAimSeconds, kTimeoutSeconds, 0.5}};
     config.tenants = {{"centre", 1000}};
     config.start_capacity = kStartCapacity;
-    config.ramp_time = kRampTime;
+    config.ramp_time = kRampSeconds;
     for (int i = 0; i < 3; ++i) {
       si::ServerSettings settings;
       settings.name = "s" + std::to_string(i);
       settings.cores = 4;
-      settings.service = kWork;
+      settings.service = kServiceSeconds;
       settings.exponential = true;
       settings.seed = static_cast<std::uint64_t>(i) + 1;
       settings.recorder = &recorder_;
@@ -80,9 +81,9 @@
                 "attempts", "what happens");
     si::LoadSettings load;
     load.targets = {{"n1", node_->port()}};
-    load.classes = {{"lookup", si::CallEffect::kSafe, 2, kTimeout, kAim, 0},
-                    {"submit", si::CallEffect::kKeyed, 1, kTimeout, kAim, 200},
-                    {"test-close", si::CallEffect::kUnsafe, 1, kTimeout, kAim, 200}};
+    load.classes = {{"lookup", si::CallEffect::kSafe, 2, kTimeoutSeconds, kAimSeconds, 0},
+                    {"submit", si::CallEffect::kKeyed, 1, kTimeoutSeconds, kAimSeconds, 200},
+                    {"test-close", si::CallEffect::kUnsafe, 1, kTimeoutSeconds, kAimSeconds, 200}};
     load.tenants = {{"centre", 1}};
     load.rate = kRate;
     load.seconds = seconds_;
@@ -90,20 +91,20 @@
     load.recorder = &recorder_;
     si::LoadClient client(thread_.loop(), load);
     client.start();
-    from_ = si::now();
+    started_at_ = si::now();
     const std::vector<Step> steps = plan();
     std::size_t next = 0;
     for (double second = 1; second <= seconds_; ++second) {
-      std::string told;
+      std::string events;
       while (next < steps.size() && steps[next].at < second) {
         wait_until(steps[next].at);
         steps[next].act();
-        if (!told.empty()) told += "; ";
-        told += steps[next].words;
+        if (!events.empty()) events += "; ";
+        events += steps[next].description;
         ++next;
       }
       wait_until(second);
-      print(second, told);
+      print(second, events);
     }
     client.wait();
     node_->signal(SIGTERM);
@@ -114,37 +115,37 @@
  private:
   struct Step {
     double at;
-    std::string words;
+    std::string description;
     std::function<void()> act;
   };
 
   std::vector<Step> plan() {
     const double d = seconds_ / 20;
     return {{3 * d, "s0 is killed", [this] { servers_[0]->run("crash"); }},
-            {6 * d, "s0 is back, cold", [this] { come_back(0); }},
+            {6 * d, "s0 is back, cold", [this] { restart_server(0); }},
             {9 * d, "s1 drains", [this] { discovery_.state("s1", "leaving"); }},
             {12 * d, "s1 is gone", [this] { discovery_.state("s1", "left"); }},
-            {14 * d, "s1 is back, cold", [this] { come_back(1); }},
+            {14 * d, "s1 is back, cold", [this] { restart_server(1); }},
             {17 * d, "s2 stops answering for a second", [this] { servers_[2]->run("silent for 1"); }}};
   }
 
-  void come_back(std::size_t i) {
+  void restart_server(std::size_t i) {
     servers_[i]->well();
     char cold[64];
-    std::snprintf(cold, sizeof cold, "cold %.2f %.0f 4", kStartCapacity, kRampTime);
+    std::snprintf(cold, sizeof cold, "cold %.2f %.0f 4", kStartCapacity, kRampSeconds);
     servers_[i]->run(cold);
     listings_[i].born_ms = si::unix_ms();
     discovery_.set(listings_[i]);
   }
 
   void wait_until(double second) const {
-    const double left = from_ + second - si::now();
+    const double left = started_at_ + second - si::now();
     if (left > 0) std::this_thread::sleep_for(std::chrono::duration<double>(left));
   }
 
-  void print(double second, const std::string& told) {
-    const double to = from_ + second, since = to - 1;
-    Second s;
+  void print(double second, const std::string& events) {
+    const double to = started_at_ + second, since = to - 1;
+    SecondCounts s;
     for (const si::CallRecord& call : recorder_.calls()) {
       if (call.end == si::CallEnd::kOpen || call.answered_at <= since || call.answered_at > to) continue;
       if (call.end == si::CallEnd::kAnswered && call.status == 200) {
@@ -160,7 +161,7 @@
       s.attempts += attempt.last_byte_at > since && attempt.last_byte_at <= to;
     }
     std::printf("%4.0f %7d %8d %7d %9.1f %9.1f %9d  %s\n", second, s.served, s.refused, s.failed,
-                quantile(s.times, 0.5) * 1000, quantile(s.times, 0.99) * 1000, s.attempts, told.c_str());
+                quantile(s.times, 0.5) * 1000, quantile(s.times, 0.99) * 1000, s.attempts, events.c_str());
     std::fflush(stdout);
   }
 
@@ -171,7 +172,7 @@
     settings.crossing = 0.5;
     for (const si::Listing& server : listings_)
       settings.servers.push_back({server.host, server.site, server.block});
-    const auto broken = si::Checker(settings).check(
+    const auto violations = si::Checker(settings).check(
         {recorder_.calls(), recorder_.attempts(), recorder_.told(), recorder_.fallen(), {node_->life()}});
     const si::LoadCounts& all = result.all;
     std::printf(
@@ -180,11 +181,11 @@
         static_cast<unsigned long long>(all.refused),
         static_cast<unsigned long long>(all.failed + all.timed_out + all.unsent),
         recorder_.attempts().size());
-    if (broken.empty() && code == 0) {
+    if (violations.empty() && code == 0) {
       std::printf("kept: no request lost, no effect twice, drains obeyed, no cold server pushed over\n");
       return 0;
     }
-    std::printf("%sthe node ended with %d; its log:\n%s", si::to_text(broken).c_str(), code,
+    std::printf("%sthe node ended with %d; its log:\n%s", si::to_text(violations).c_str(), code,
                 node_->log().c_str());
     return 1;
   }
@@ -196,7 +197,7 @@
   std::vector<std::unique_ptr<si::ScriptedServer>> servers_;
   std::vector<si::Listing> listings_;
   std::unique_ptr<si::NodeProcess> node_;
-  double from_ = 0;
+  double started_at_ = 0;
 };
 
 }  // namespace
--- a/daemon/duty_program.h
+++ b/daemon/duty_program.h
@@ -27,33 +27,33 @@
   DutyPrograms& operator=(const DutyPrograms&) = delete;
 
   void start();
-  bool any_runs() const;
+  bool any_running() const;
 
  private:
-  struct One {
+  struct ProgramState {
     DutyProgram program;
-    pid_t guardian = -1;
+    pid_t watchdog = -1;
     int pipe = -1;  // to the guardian
-    duties::Token token = 0, wanted = 0;
+    duties::Token running_token = 0, wanted_token = 0;
     bool stopping = false;
   };
-  void changed(One& one, const duties::LeaseHolder::Change& change);
-  void begin(One& one);
-  void stop(One& one);
-  void tell(One& one);
-  void await_child();
-  void await_turn();
+  void on_lease_change(ProgramState& one, const duties::LeaseHolder::Change& change);
+  void start_program(ProgramState& one);
+  void stop_program(ProgramState& one);
+  void send_deadline(ProgramState& one);
+  void await_child_exit();
+  void schedule_deadline_updates();
 
   boost::asio::io_context& io_;
   duties::ClientService& duties_;
   const Log log_;
-  boost::asio::signal_set children_;
-  boost::asio::steady_timer turn_;
-  std::vector<std::unique_ptr<One>> all_;
+  boost::asio::signal_set child_signals_;
+  boost::asio::steady_timer update_timer_;
+  std::vector<std::unique_ptr<ProgramState>> programs_;
 };
 
 // The guardian's whole life: `nettlestand duty-guard STOP_S PROGRAM ARGUMENTS...`, with words on its standard
 // input: "u SECONDS" (held until then, on the steady clock) and "s" (stop). Returns the exit code.
-int run_guardian(double stop, const std::vector<std::string>& command);
+int run_watchdog(double stop_timeout, const std::vector<std::string>& command);
 
 }  // namespace nettlestand
--- a/daemon/log.cpp
+++ b/daemon/log.cpp
@@ -17,16 +17,16 @@
 
 using Writer = rapidjson::Writer<rapidjson::StringBuffer, rapidjson::UTF8<>, rapidjson::UTF8<>>;
 
-void put(Writer& out, std::string_view text) {
+void write_value(Writer& out, std::string_view text) {
   out.String(text.data(), static_cast<rapidjson::SizeType>(text.size()));
 }
 
-void put(Writer& out, const LogField& field) {
+void write_value(Writer& out, const LogField& field) {
   std::visit(
       [&](const auto& value) {
         using Value = std::decay_t<decltype(value)>;
         if constexpr (std::is_same_v<Value, std::string>) {
-          put(out, std::string_view(value));
+          write_value(out, std::string_view(value));
         } else if constexpr (std::is_same_v<Value, std::int64_t>) {
           out.Int64(value);
         } else if constexpr (std::is_same_v<Value, double>) {
@@ -39,15 +39,15 @@
 }
 
 // As a JSON string where it is no plain word: one event stays one line, whatever it quotes.
-std::string shown(const LogField& field) {
+std::string format_value(const LogField& field) {
   rapidjson::StringBuffer buffer;
   Writer out(buffer);
-  put(out, field);
+  write_value(out, field);
   std::string text(buffer.GetString(), buffer.GetSize());
-  const auto* word = std::get_if<std::string>(&field.value);
-  const bool plain = word != nullptr && !word->empty() && text.size() == word->size() + 2 &&
-                     word->find_first_of(" =") == std::string::npos;
-  return plain ? *word : text;
+  const auto* string = std::get_if<std::string>(&field.value);
+  const bool plain = string != nullptr && !string->empty() && text.size() == string->size() + 2 &&
+                     string->find_first_of(" =") == std::string::npos;
+  return plain ? *string : text;
 }
 
 spdlog::level::level_enum level_of(LogLevel level) {
@@ -79,8 +79,8 @@
 std::string to_text(const LogEvent& event) {
   std::string out(event.event);
   for (const LogField& field : event.fields)
-    out.append(" ").append(field.name).append("=").append(shown(field));
-  return out.append(" text=").append(shown({"text", event.text}));
+    out.append(" ").append(field.name).append("=").append(format_value(field));
+  return out.append(" text=").append(format_value({"text", event.text}));
 }
 
 std::string to_json_members(const LogEvent& event) {
@@ -88,13 +88,13 @@
   Writer out(buffer);
   out.StartObject();
   out.Key("event");
-  put(out, event.event);
+  write_value(out, event.event);
   for (const LogField& field : event.fields) {
-    put(out, field.name);
-    put(out, field);
+    write_value(out, field.name);
+    write_value(out, field);
   }
   out.Key("text");
-  put(out, std::string_view(event.text));
+  write_value(out, std::string_view(event.text));
   out.EndObject();
   return {buffer.GetString() + 1, buffer.GetSize() - 2};
 }
@@ -105,7 +105,9 @@
 };
 
 Logger::Logger(const LogOptions& options)
-    : options_(options), limit_(options.repeats, options.period), sinks_(std::make_unique<Sinks>()) {
+    : options_(options),
+      limit_(options.max_repeats, options.repeat_period),
+      sinks_(std::make_unique<Sinks>()) {
   sinks_->sink->set_formatter(std::make_unique<spdlog::pattern_formatter>(pattern_of(options.format),
                                                                           spdlog::pattern_time_type::utc));
 }
@@ -123,28 +125,28 @@
   }
   const spdlog::level::level_enum level = level_of(event.level);
   if (!it->second.should_log(level)) return;
-  const auto left_out = limit_.allow(std::string(event.component) + "." + std::string(event.event), now());
-  if (!left_out) return;
-  const LogEvent* told = &event;
-  LogEvent more;
-  if (*left_out > 0) {
-    more = event;
-    more.fields.push_back({"left_out", static_cast<std::int64_t>(*left_out)});
-    more.text += " (" + std::to_string(*left_out) + " more like it were left out)";
-    told = &more;
+  const auto suppressed = limit_.allow(std::string(event.component) + "." + std::string(event.event), now());
+  if (!suppressed) return;
+  const LogEvent* reported = &event;
+  LogEvent with_count;
+  if (*suppressed > 0) {
+    with_count = event;
+    with_count.fields.push_back({"left_out", static_cast<std::int64_t>(*suppressed)});
+    with_count.text += " (" + std::to_string(*suppressed) + " more like it were left out)";
+    reported = &with_count;
   }
   switch (options_.format) {
     case LogOptions::Format::kText:
-      return it->second.log(level, to_text(*told));
+      return it->second.log(level, to_text(*reported));
     case LogOptions::Format::kJson: {
       char mono[40];
       std::snprintf(mono, sizeof mono, "\"mono\":%.3f,", now());
-      return it->second.log(level, mono + to_json_members(*told));
+      return it->second.log(level, mono + to_json_members(*reported));
     }
     default: {
       char time[32];
       std::snprintf(time, sizeof time, "%.3f ", now());
-      it->second.log(level, time + told->text);
+      it->second.log(level, time + reported->text);
     }
   }
 }
--- a/daemon/log.h
+++ b/daemon/log.h
@@ -6,7 +6,7 @@
 #include <memory>
 #include <string>
 
-#include "daemon/repeat_limit.h"
+#include "daemon/repeat_limiter.h"
 #include "nettlestand/log.h"
 
 namespace nettlestand {
@@ -24,8 +24,8 @@
   Format format = Format::kPlain;
   LogLevel level = LogLevel::kInfo;
   std::map<std::string, LogLevel> levels;  // of single components
-  int repeats = 20;                        // lines of one event in a period; 0: all
-  double period = 10;                      // s
+  int max_repeats = 20;                    // lines of one event in a period; 0: all
+  double repeat_period = 10;               // s
 };
 
 // An event without its time, level and component, as the formats have it.
@@ -44,7 +44,7 @@
  private:
   struct Sinks;
   const LogOptions options_;
-  RepeatLimit limit_;
+  RepeatLimiter limit_;
   std::unique_ptr<Sinks> sinks_;
 };
 
--- a/daemon/main.cpp
+++ b/daemon/main.cpp
@@ -15,7 +15,7 @@
 #ifdef NETTLESTAND_WITH_SYSTEM
 #include "node/tier_main.h"
 #endif
-#include "daemon/control.h"
+#include "daemon/control_socket.h"
 #include "daemon/node.h"
 #include "daemon/operator_file.h"
 #include "daemon/peers_table.h"
@@ -32,26 +32,26 @@
 
 namespace ns = nettlestand;
 
-constexpr std::size_t kLongestConfig = 4 * 1024 * 1024;  // bytes; known servers of 192 MB fit
+constexpr std::size_t kMaxConfigBytes = 4 * 1024 * 1024;  // bytes; known servers of 192 MB fit
 constexpr int kBadConfig = 2, kCannotStart = 1;
 
-std::string contents(const std::string& path) {
+std::string read_file(const std::string& path) {
   std::ifstream in(path);
   if (!in) throw std::runtime_error("can't read " + path);
   // Guards the memory of a node that runs: a file is read again after each SIGHUP.
   std::string text;
   for (std::array<char, 4096> part; in.read(part.data(), part.size()), in.gcount() > 0;) {
     text.append(part.data(), static_cast<std::size_t>(in.gcount()));
-    if (text.size() > kLongestConfig) throw std::runtime_error(path + " is longer than 4 MiB");
+    if (text.size() > kMaxConfigBytes) throw std::runtime_error(path + " is longer than 4 MiB");
   }
   if (in.bad()) throw std::runtime_error("can't read " + path);
   return text;
 }
 
 // The operator's file, or all that is wrong with it as the text of what is thrown.
-ns::Config operator_file(const std::string& path, bool alone) {
+ns::Config load_operator_file(const std::string& path, bool standalone) {
   std::vector<ns::Problem> problems;
-  const auto out = ns::read_operator_file(contents(path), alone, problems);
+  const auto out = ns::parse_operator_file(read_file(path), standalone, problems);
   if (out) return *out;
   std::string text = ns::to_text(problems, path);
   text.pop_back();
@@ -60,23 +60,23 @@
 
 // What the platform tells rules, and the operator's file adds to it; without the platform the file says it
 // all.
-ns::Config load(const std::string& file) {
+ns::Config load_config(const std::string& file) {
   const char* platform = std::getenv("GW_CONFIG");
   if (platform == nullptr && file.empty()) throw std::runtime_error("GW_CONFIG is not set");
   ns::Config out;
   if (platform == nullptr) {
-    out = operator_file(file, true);
+    out = load_operator_file(file, true);
     if (out.seed == 0) out.seed = std::random_device()();  // nodes must not draw alike
-    ns::identify(out);
+    ns::set_identities(out);
   } else {
-    out = ns::read_config(contents(platform));
-    if (!file.empty()) ns::add_operator_file(out, operator_file(file, false));
+    out = ns::read_platform_config(read_file(platform));
+    if (!file.empty()) ns::merge_operator_file(out, load_operator_file(file, false));
   }
   if (out.peers && !out.peers_key_file.empty()) {
-    out.peers->cluster.keys = ns::peers::parse_keys(contents(out.peers_key_file));
+    out.peers->cluster.keys = ns::peers::parse_keys(read_file(out.peers_key_file));
   }
   if (out.duties && !out.duties->key_file.empty()) {
-    out.duties->service.keys.keys = ns::peers::parse_keys(contents(out.duties->key_file));
+    out.duties->service.keys.keys = ns::peers::parse_keys(read_file(out.duties->key_file));
     if (out.duties->voter) out.duties->voter->keys = out.duties->service.keys;
   }
   return out;
@@ -86,12 +86,12 @@
   std::signal(SIGPIPE, SIG_IGN);
   int failure = kBadConfig;
   try {
-    ns::Config config = load(file);
+    ns::Config config = load_config(file);
     if (format) config.log.format = *format;
     failure = kCannotStart;
     ns::Logger logger(config.log);
     ns::Node node(
-        config, [&] { return load(file); }, [&](const ns::LogEvent& event) { logger.write(event); });
+        config, [&] { return load_config(file); }, [&](const ns::LogEvent& event) { logger.write(event); });
     node.run();
     std::fflush(nullptr);
     std::_Exit(0);                                  // what is still open ends with the process
@@ -106,9 +106,9 @@
 
 // A file that runs a node alone, or one that adds to the platform's: with GW_CONFIG in the environment, the
 // latter.
-int check(const std::string& file) {
+int check_file(const std::string& file) {
   try {
-    operator_file(file, std::getenv("GW_CONFIG") == nullptr);
+    load_operator_file(file, std::getenv("GW_CONFIG") == nullptr);
     std::printf("%s: good\n", file.c_str());
     return 0;
   } catch (const std::exception& problem) {
@@ -120,7 +120,7 @@
 // What a running node knows of the others.
 int show_peers(const std::string& socket, bool json) {
   try {
-    const std::string report = ns::ask_control(socket, "peers");
+    const std::string report = ns::send_control_command(socket, "peers");
     std::fputs(json ? report.c_str() : ns::peers_table(report).c_str(), stdout);
     return 0;
   } catch (const std::exception& problem) {
@@ -130,7 +130,7 @@
 }
 
 #ifdef NETTLESTAND_WITH_DUTIES
-int say_error(const std::exception& problem) {
+int print_error(const std::exception& problem) {
   std::fprintf(stderr, "nettlestand: %s\n", problem.what());
   return kCannotStart;
 }
@@ -141,48 +141,49 @@
   explicit DutiesCommands(CLI::App& app) {
     CLI::App* all = app.add_subcommand("duties", "Duties that one node holds at a time.");
     all->require_subcommand(1);
-    const auto asked = [&](CLI::App* to, const char* name, const char* about, const char* command,
-                           bool json = false) {
+    const auto add_query = [&](CLI::App* to, const char* name, const char* about, const char* command,
+                               bool json = false) {
       CLI::App* one = to->add_subcommand(name, about);
       one->add_option("--socket", socket_, "path of a node's control socket")->required();
       if (json) one->add_flag("--json", json_, "all of it, as one JSON object");
       commands_.push_back({one, command});
       return one;
     };
-    asked(all, "show", "Who holds what, as the voters' leader has it.", "duties", true);
-    asked(all, "own", "What the asked node itself holds, as JSON.", "duties own");
-    CLI::App* pass =
-        asked(all, "hand-over", "Has a duty's holder give it back, at once, to another one.", "duties pass");
+    add_query(all, "show", "Who holds what, as the voters' leader has it.", "duties", true);
+    add_query(all, "own", "What the asked node itself holds, as JSON.", "duties own");
+    CLI::App* pass = add_query(all, "hand-over", "Has a duty's holder give it back, at once, to another one.",
+                               "duties pass");
     pass->add_option("duty", name_, "the duty")->required();
-    pass->add_option("--to", more_, "the node that is to have it");
-    asked(all, "define", "Tells the voters a duty's settings anew, as the asked node's file has them.",
-          "duties define")
+    pass->add_option("--to", argument_, "the node that is to have it");
+    add_query(all, "define", "Tells the voters a duty's settings anew, as the asked node's file has them.",
+              "duties define")
         ->add_option("duty", name_, "the duty")
         ->required();
-    asked(all, "remove", "Has the voters forget a duty.", "duties remove")
+    add_query(all, "remove", "Has the voters forget a duty.", "duties remove")
         ->add_option("duty", name_, "the duty")
         ->required();
     CLI::App* voters = all->add_subcommand("voters", "Who votes.");
     voters->require_subcommand(1);
-    asked(voters, "show", "Who votes, as the asked node's voter has it.", "duties voters", true);
-    CLI::App* add =
-        asked(voters, "add", "Has a voter join, whose node runs on a state of its own.", "duties voters add");
+    add_query(voters, "show", "Who votes, as the asked node's voter has it.", "duties voters", true);
+    CLI::App* add = add_query(voters, "add", "Has a voter join, whose node runs on a state of its own.",
+                              "duties voters add");
     add->add_option("name", name_, "the voter's node")->required();
-    add->add_option("--address", more_, "where it listens, for nodes whose files don't name it");
-    asked(voters, "remove", "Has a voter vote no more.", "duties voters remove")
+    add->add_option("--address", argument_, "where it listens, for nodes whose files don't name it");
+    add_query(voters, "remove", "Has a voter vote no more.", "duties voters remove")
         ->add_option("name", name_, "the voter's node")
         ->required();
     init_ = all->add_subcommand("init", "Makes the state of a new voter, with a new identity.");
     init_->add_option("--folder", folder_, "where it is to lie")->required();
-    init_->add_option("--found", found_, "it is the first one of all, on the node of this name");
-    guard_ = app.add_subcommand("duty-guard", "The guardian of a duty's program; started by the node alone.");
-    guard_->group("");
-    guard_->add_option("stop", stop_)->required();
-    guard_->add_option("command", command_)->required();
-    guard_->prefix_command();
+    init_->add_option("--found", first_voter_, "it is the first one of all, on the node of this name");
+    watchdog_ =
+        app.add_subcommand("duty-guard", "The guardian of a duty's program; started by the node alone.");
+    watchdog_->group("");
+    watchdog_->add_option("stop", stop_timeout_)->required();
+    watchdog_->add_option("command", command_)->required();
+    watchdog_->prefix_command();
     report_ = app.add_subcommand(
         "report", "What the fleet has answered, period by period, as its report's file has it.");
-    report_->add_option("--book", book_, "the file")->required();
+    report_->add_option("--book", report_path_, "the file")->required();
     report_->add_option("--periods", periods_, "so many, the last ones")
         ->check(CLI::Range(1, 1000000))
         ->capture_default_str();
@@ -192,45 +193,45 @@
   // What was asked for, done; none: it was something else.
   std::optional<int> run() {
     try {
-      if (*guard_) {
-        command_.insert(command_.end(), guard_->remaining().begin(), guard_->remaining().end());
-        return ns::run_guardian(stop_, command_);
+      if (*watchdog_) {
+        command_.insert(command_.end(), watchdog_->remaining().begin(), watchdog_->remaining().end());
+        return ns::run_watchdog(stop_timeout_, command_);
       }
-      if (*init_) return told(ns::init_voter(folder_, found_));
+      if (*init_) return print(ns::init_voter(folder_, first_voter_));
       if (*report_) return report();
       for (const auto& [app, command] : commands_) {
         if (!*app) continue;
         std::string line = command;
-        for (const std::string* word : {&name_, &more_}) line += word->empty() ? "" : " " + *word;
-        const std::string out = ns::ask_control(socket_, line);
-        if (command == std::string("duties") && !json_) return told(ns::duties_table(out));
-        if (command == std::string("duties voters") && !json_) return told(ns::voters_table(out));
-        return told(out == "\n" ? "done\n" : out);
+        for (const std::string* word : {&name_, &argument_}) line += word->empty() ? "" : " " + *word;
+        const std::string out = ns::send_control_command(socket_, line);
+        if (command == std::string("duties") && !json_) return print(ns::duties_table(out));
+        if (command == std::string("duties voters") && !json_) return print(ns::voters_table(out));
+        return print(out == "\n" ? "done\n" : out);
       }
     } catch (const std::exception& problem) {
-      return say_error(problem);
+      return print_error(problem);
     }
     return std::nullopt;
   }
 
  private:
-  static int told(const std::string& text) {
+  static int print(const std::string& text) {
     std::fputs(text.c_str(), stdout);
     return 0;
   }
   int report() const {
-    if (!std::ifstream(book_)) throw std::runtime_error("can't read " + book_);
-    ns::report::Book book(book_);
-    const auto periods = book.periods(static_cast<std::uint64_t>(periods_));
-    if (!plot_.empty()) ns::report::plot(periods, plot_);
-    return told(csv_ ? ns::report::csv(periods) : ns::report::table(periods));
+    if (!std::ifstream(report_path_)) throw std::runtime_error("can't read " + report_path_);
+    ns::report::ReportStore store(report_path_);
+    const auto periods = store.periods(static_cast<std::uint64_t>(periods_));
+    if (!plot_.empty()) ns::report::write_plot(periods, plot_);
+    return print(csv_ ? ns::report::to_csv(periods) : ns::report::to_table(periods));
   }
 
   std::vector<std::pair<CLI::App*, const char*>> commands_;
-  CLI::App *init_ = nullptr, *guard_ = nullptr, *report_ = nullptr;
-  std::string socket_, name_, more_, folder_, found_, book_, plot_;
+  CLI::App *init_ = nullptr, *watchdog_ = nullptr, *report_ = nullptr;
+  std::string socket_, name_, argument_, folder_, first_voter_, report_path_, plot_;
   std::vector<std::string> command_;
-  double stop_ = 2;
+  double stop_timeout_ = 2;
   int periods_ = 10;
   bool json_ = false, csv_ = false;
 };
@@ -260,12 +261,13 @@
   app.require_subcommand(0, 1);
   std::string file;
   double seconds = 20;
-  CLI::App* run_it = app.add_subcommand("run",
-                                        "Runs a node on the platform's configuration, an operator's file, or "
-                                        "both: then the platform's rules and the file adds to it.");
-  run_it->add_option("--config", file, "the operator's file (TOML)");
+  CLI::App* run_command =
+      app.add_subcommand("run",
+                         "Runs a node on the platform's configuration, an operator's file, or "
+                         "both: then the platform's rules and the file adds to it.");
+  run_command->add_option("--config", file, "the operator's file (TOML)");
   std::optional<ns::LogOptions::Format> format;
-  run_it
+  run_command
       ->add_option("--log-format", format,
                    "plain (a sentence a line), text (time, level, component, event, fields) or json; before "
                    "the file's [log]")
@@ -273,22 +275,23 @@
           std::map<std::string, ns::LogOptions::Format>{{"plain", ns::LogOptions::Format::kPlain},
                                                         {"text", ns::LogOptions::Format::kText},
                                                         {"json", ns::LogOptions::Format::kJson}}));
-  CLI::App* check_it =
+  CLI::App* check_command =
       app.add_subcommand("check", "Says all that is wrong with an operator's file; exit code 2 then.");
-  check_it->add_option("file", file, "the operator's file (TOML)")->required();
-  CLI::App* peers_it = app.add_subcommand("peers", "Membership among the nodes.");
-  peers_it->require_subcommand(1);
-  CLI::App* show_it = peers_it->add_subcommand(
+  check_command->add_option("file", file, "the operator's file (TOML)")->required();
+  CLI::App* peers_command = app.add_subcommand("peers", "Membership among the nodes.");
+  peers_command->require_subcommand(1);
+  CLI::App* show_command = peers_command->add_subcommand(
       "show",
       "What a running node knows of the others, asked at its control socket ([control] of its file).");
   std::string socket;
   bool json = false;
-  show_it->add_option("--socket", socket, "path of the control socket")->required();
-  show_it->add_flag("--json", json, "all of it, as one JSON object");
-  CLI::App* demo_it = app.add_subcommand("demo",
-                                         "A node, three servers and callers on loopback: a server is killed, "
-                                         "drained and cold-started on the way.");
-  demo_it->add_option("--seconds", seconds, "how long it lasts")
+  show_command->add_option("--socket", socket, "path of the control socket")->required();
+  show_command->add_flag("--json", json, "all of it, as one JSON object");
+  CLI::App* demo_command =
+      app.add_subcommand("demo",
+                         "A node, three servers and callers on loopback: a server is killed, "
+                         "drained and cold-started on the way.");
+  demo_command->add_option("--seconds", seconds, "how long it lasts")
       ->check(CLI::Range(5.0, 600.0))
       ->capture_default_str();
 #ifdef NETTLESTAND_WITH_DUTIES
@@ -302,8 +305,8 @@
 #ifdef NETTLESTAND_WITH_DUTIES
   if (const auto code = duties.run()) return *code;
 #endif
-  if (*check_it) return check(file);
-  if (*show_it) return show_peers(socket, json);
-  if (*demo_it) return demo(seconds);
+  if (*check_command) return check_file(file);
+  if (*show_command) return show_peers(socket, json);
+  if (*demo_command) return demo(seconds);
   return run(file, format);
 }
--- a/daemon/node.cpp
+++ b/daemon/node.cpp
@@ -15,10 +15,10 @@
 
 namespace asio = boost::asio;
 
-constexpr std::size_t kOtherSockets = 40;  // the event loop's, standard ones, discovery, and headroom
-constexpr std::size_t kBodyPart = 3;       // of the memory, the part that bodies may take up: a third
+constexpr std::size_t kReservedSockets = 40;   // the event loop's, standard ones, discovery, and headroom
+constexpr std::size_t kBodyMemoryDivisor = 3;  // of the memory, the part that bodies may take up: a third
 
-constexpr auto kDrainLook = std::chrono::milliseconds(20);
+constexpr auto kDrainCheckInterval = std::chrono::milliseconds(20);
 
 double longest_deadline(const quinceusher::Settings& settings) {
   double longest = 0;
@@ -26,27 +26,31 @@
   return longest;
 }
 
-constexpr auto kLastWords = std::chrono::milliseconds(30);  // for what is said to the voters at the end
+constexpr auto kFinalMessagesDelay =
+    std::chrono::milliseconds(30);  // for what is said to the voters at the end
 
 // One thread runs the loop and whatever it serves: nothing on it needs a lock, unless a voter or a report's
 // writer beside it has something to tell.
-int locks(const Config& config) {
+int concurrency_hint(const Config& config) {
   return config.duties ? BOOST_ASIO_CONCURRENCY_HINT_SAFE : BOOST_ASIO_CONCURRENCY_HINT_UNSAFE;
 }
 
 }  // namespace
 
 Node::Node(const Config& config, std::function<Config()> reload, Log log)
-    : io_(locks(config)),
+    : io_(concurrency_hint(config)),
       reload_config_(std::move(reload)),
       log_(std::move(log)),
       config_(config),
-      sockets_(config.sockets - kOtherSockets),
-      plan_(config.settings.copy_count == 1, longest_deadline(config.settings)),
-      budget_(config.memory_mb * 1024 * 1024 / kBodyPart),
+      sockets_(config.sockets - kReservedSockets),
+      drain_plan_(config.settings.copy_count == 1, longest_deadline(config.settings)),
+      budget_(config.memory_mb * 1024 * 1024 / kBodyMemoryDivisor),
       poller_(io_),
-      upstream_(io_, poller_, {config.connect_timeout, config.idle_close, sockets_ * 9 / 20}, budget_, log_),
-      engine_(io_, {config.settings, config.seed, config.max_servers(), config.known, counted(config)},
+      upstream_(io_, poller_, {config.connect_timeout, config.server_idle_timeout, sockets_ * 9 / 20},
+                budget_, log_),
+      engine_(io_,
+              {config.settings, config.seed, config.max_servers(), config.last_known_servers,
+               answer_observer(config)},
               upstream_, log_,
               [this] {
                 if (discovery_) discovery_->watch();
@@ -55,8 +59,8 @@
                 RequestValidator(config.settings, config.classes, config.tenants, config.duties.has_value()),
                 engine_, budget_, sockets_ * 11 / 20, config.listener, log_),
       signals_(io_, SIGTERM, SIGINT),
-      reload_(io_, SIGHUP),
-      look_(io_) {
+      reload_signal_(io_, SIGHUP),
+      drain_timer_(io_) {
   if (config.peers) {
     peers_.emplace(io_, *config.peers,
                    peers::Service::Listeners{[this](const peers::BalancerAssignment& assignment) {
@@ -70,32 +74,34 @@
 #ifdef NETTLESTAND_WITH_DUTIES
   if (config.duties) duties_.emplace(io_, config, log_);
 #endif
-  if (!config.control.empty()) {
-    control_.emplace(io_, config.control,
-                     Control::Commands{{"peers",
-                                        [this] {
-                                          if (!peers_)
-                                            throw std::runtime_error("membership is off in this node");
-                                          return peers_->report();
-                                        }}},
-                     commands(), log_);
+  if (!config.control_socket.empty()) {
+    control_socket_.emplace(
+        io_, config.control_socket,
+        ControlSocket::Commands{{"peers",
+                                 [this] {
+                                   if (!peers_) throw std::runtime_error("membership is off in this node");
+                                   return peers_->report();
+                                 }}},
+        commands(), log_);
   }
   if (!config.discovery) return;
-  discovery_.emplace(io_,
-                     DiscoveryOptions{*config.discovery, config.zones, config.seed,
-                                      config.known ? std::optional(config.known->seq) : std::nullopt,
-                                      !config.settings.must_watch, config.max_servers()},
-                     Discovery::Callbacks{[this](const ServerList& list) { engine_.on_server_list(list); },
-                                          [this] { engine_.on_watch_failed(); }},
-                     log_);
+  discovery_.emplace(
+      io_,
+      DiscoveryOptions{
+          *config.discovery, config.zones, config.seed,
+          config.last_known_servers ? std::optional(config.last_known_servers->seq) : std::nullopt,
+          !config.settings.must_watch, config.max_servers()},
+      Discovery::Callbacks{[this](const ServerList& list) { engine_.on_server_list(list); },
+                           [this] { engine_.on_watch_failed(); }},
+      log_);
 }
 
 // What the fleet report counts; nothing where there is none.
-std::function<void(const Call&, Reply::Kind)> Node::counted(const Config& config) {
+std::function<void(const Call&, Reply::Kind)> Node::answer_observer(const Config& config) {
 #ifdef NETTLESTAND_WITH_DUTIES
   if (config.duties && config.duties->report) {
     return [this](const Call& call, Reply::Kind kind) {
-      if (duties_) duties_->answered(call, kind);
+      if (duties_) duties_->count_answer(call, kind);
     };
   }
 #endif
@@ -103,7 +109,7 @@
   return {};
 }
 
-Control::Later Node::commands() {
+ControlSocket::AsyncCommands Node::commands() {
 #ifdef NETTLESTAND_WITH_DUTIES
   if (duties_) return duties_->commands();
 #endif
@@ -119,7 +125,7 @@
 #ifdef NETTLESTAND_WITH_DUTIES
   if (duties_) duties_->start();
 #endif
-  if (!discovery_ && config_.servers) engine_.on_server_list(*config_.servers);
+  if (!discovery_ && config_.static_servers) engine_.on_server_list(*config_.static_servers);
   signals_.async_wait([this](const boost::system::error_code& error, int) {
     if (!error) drain();
   });
@@ -127,8 +133,8 @@
   while (!io_.stopped()) {
     try {
       io_.run();
-    } catch (const std::exception& surprise) {  // one connection's trouble must not end the others
-      log_(nettlestand::surprise("node", surprise.what()));
+    } catch (const std::exception& error) {  // one connection's trouble must not end the others
+      log_(nettlestand::unexpected_error("node", error.what()));
     }
   }
 }
@@ -137,11 +143,11 @@
 // discovery's address, or the list of servers where there is none, and the peers' addresses and keys are
 // taken over; the rest holds until the next start.
 void Node::await_reload() {
-  reload_.async_wait([this](const boost::system::error_code& error, int) {
+  reload_signal_.async_wait([this](const boost::system::error_code& error, int) {
     if (error) return;
     await_reload();
     try {
-      take_over(reload_config_());
+      apply_reload(reload_config_());
     } catch (const std::exception& problem) {
       log_({LogLevel::kError,
             "node",
@@ -152,15 +158,15 @@
   });
 }
 
-void Node::take_over(const Config& next) {
-  if (discovery_.has_value() != next.discovery.has_value() || (!discovery_ && !next.servers)) {
+void Node::apply_reload(const Config& next) {
+  if (discovery_.has_value() != next.discovery.has_value() || (!discovery_ && !next.static_servers)) {
     throw std::runtime_error("it has another source of servers");
   }
   if (peers_ && next.peers) peers_->reload(*next.peers);  // throws before anything is changed
   if (discovery_) {
     discovery_->set_address(*next.discovery);
   } else {
-    engine_.on_server_list(*next.servers);
+    engine_.on_server_list(*next.static_servers);
   }
 }
 
@@ -169,41 +175,41 @@
   drain_began_ = now();
   if (peers_) peers_->announce_leaving();
 #ifdef NETTLESTAND_WITH_DUTIES
-  if (duties_) duties_->leave();
+  if (duties_) duties_->begin_drain();
 #endif
   listener_.drain();
-  look();
+  check_drain();
 }
 
-void Node::look() {
+void Node::check_drain() {
   const double since = now() - drain_began_;
-  if (!plan_.accepts(since)) {
-    if (accepting_) listener_.stop_accepting();
-    accepting_ = false;
+  if (!drain_plan_.accepts(since)) {
+    if (is_accepting_) listener_.stop_accepting();
+    is_accepting_ = false;
   }
-  if (plan_.finishing(since)) listener_.close_idle_connections();
-  if (plan_.last_answers(since)) {
+  if (drain_plan_.finishing(since)) listener_.close_idle_connections();
+  if (drain_plan_.last_answers(since)) {
     listener_.stop_reading();
     engine_.expire_all();
   }
-  if (plan_.over(since, listener_.connections() > 0)) {
+  if (drain_plan_.over(since, listener_.connections() > 0)) {
     if (peers_) peers_->leave();
-    control_.reset();
+    control_socket_.reset();
     log_({LogLevel::kInfo, "node", "drained", "drained", {{"after_ms", std::int64_t(since * 1000)}}});
-    return end();
+    return stop();
   }
-  look_.expires_after(kDrainLook);
-  look_.async_wait([this](const boost::system::error_code& error) {
-    if (!error) look();
+  drain_timer_.expires_after(kDrainCheckInterval);
+  drain_timer_.async_wait([this](const boost::system::error_code& error) {
+    if (!error) check_drain();
   });
 }
 
-void Node::end() {
+void Node::stop() {
 #ifdef NETTLESTAND_WITH_DUTIES
   if (duties_) {
-    duties_->close();
-    look_.expires_after(kLastWords);
-    return look_.async_wait([this](const boost::system::error_code&) { io_.stop(); });
+    duties_->shut_down();
+    drain_timer_.expires_after(kFinalMessagesDelay);
+    return drain_timer_.async_wait([this](const boost::system::error_code&) { io_.stop(); });
   }
 #endif
   io_.stop();
--- a/daemon/node.h
+++ b/daemon/node.h
@@ -9,7 +9,7 @@
 
 #include "core/engine.h"
 #include "daemon/config.h"
-#include "daemon/control.h"
+#include "daemon/control_socket.h"
 #ifdef NETTLESTAND_WITH_DUTIES
 #include "daemon/duties.h"
 #endif
@@ -17,7 +17,7 @@
 #include "http/listener.h"
 #include "http/upstream.h"
 #include "nettlestand/drain.h"
-#include "util/budget.h"
+#include "util/byte_budget.h"
 #include "util/log.h"
 #include "util/poller.h"
 
@@ -35,18 +35,18 @@
  private:
   void await_reload();
   void drain();
-  void look();
-  void end();
-  Control::Later commands();
-  std::function<void(const Call&, Reply::Kind)> counted(const Config& config);
-  void take_over(const Config& next);
+  void check_drain();
+  void stop();
+  ControlSocket::AsyncCommands commands();
+  std::function<void(const Call&, Reply::Kind)> answer_observer(const Config& config);
+  void apply_reload(const Config& next);
 
   boost::asio::io_context io_;
   const std::function<Config()> reload_config_;
   const Log log_;
   const Config config_;
   const std::size_t sockets_;
-  const DrainPlan plan_;
+  const DrainPlan drain_plan_;
   std::optional<Discovery> discovery_;
   ByteBudget budget_;
   Poller poller_;
@@ -57,11 +57,11 @@
 #ifdef NETTLESTAND_WITH_DUTIES
   std::optional<NodeDuties> duties_;
 #endif
-  std::optional<Control> control_;
-  boost::asio::signal_set signals_, reload_;
-  boost::asio::steady_timer look_;
+  std::optional<ControlSocket> control_socket_;
+  boost::asio::signal_set signals_, reload_signal_;
+  boost::asio::steady_timer drain_timer_;
   double drain_began_ = 0;
-  bool accepting_ = true;
+  bool is_accepting_ = true;
 };
 
 }  // namespace nettlestand
--- a/daemon/operator_file.h
+++ b/daemon/operator_file.h
@@ -21,13 +21,14 @@
 
 // What a file says; none, and `problems` in the order of the file, where it can't be used. `alone`: it has to
 // say all that a node needs; else it adds to what the platform tells.
-std::optional<Config> read_operator_file(std::string_view text, bool alone, std::vector<Problem>& problems);
+std::optional<Config> parse_operator_file(std::string_view text, bool standalone,
+                                          std::vector<Problem>& problems);
 
 // "FILE:3:9: what is wrong", a line each.
 std::string to_text(const std::vector<Problem>& problems, const std::string& file);
 
 // Adds to the platform's configuration what only the file can say: the listener's time limits, the log, the
 // control socket, and how membership goes about it where the platform allows it.
-void add_operator_file(Config& platform, const Config& file);
+void merge_operator_file(Config& platform, const Config& file);
 
 }  // namespace nettlestand
--- a/discovery/server_list_parser.cpp
+++ b/discovery/server_list_parser.cpp
@@ -24,11 +24,11 @@
 
 ListedServer read_server(const Json& in, const std::vector<std::string>& zones) {
   ListedServer out;
-  out.info.address = json::text(in, "host");
+  out.info.address = json::string(in, "host");
   if (out.info.address.empty() || out.info.address.size() > kMaxHostBytes) {
-    json::wrong("host", "a name of 1 to 255 bytes");
+    json::reject_field("host", "a name of 1 to 255 bytes");
   }
-  const std::string_view health = json::text(in, "health");
+  const std::string_view health = json::string(in, "health");
   if (health == "active") {
     out.info.state = quinceusher::ServerState::kReady;
   } else if (health == "leaving") {
@@ -36,15 +36,16 @@
   } else if (health == "left") {
     out.info.state = quinceusher::ServerState::kGone;
   } else {
-    json::wrong("health", "active, leaving or left");
+    json::reject_field("health", "active, leaving or left");
   }
-  if (out.info.state != quinceusher::ServerState::kGone) out.endpoint = read_endpoint(json::text(in, "dial"));
-  if (json::find(in, "site") != nullptr) out.info.zone = zone_index_of(json::text(in, "site"), zones);
-  out.info.cell = json::whole_or(in, "block", 0);
+  if (out.info.state != quinceusher::ServerState::kGone)
+    out.endpoint = read_endpoint(json::string(in, "dial"));
+  if (json::find(in, "site") != nullptr) out.info.zone = zone_index_of(json::string(in, "site"), zones);
+  out.info.cell = json::integer_or(in, "block", 0);
   out.info.weight = json::number_or(in, "share", 1);
-  json::check(out.info.weight, "share", 0, 1e6);
+  json::check_range(out.info.weight, "share", 0, 1e6);
   const double start_unix_ms = json::number_or(in, "born_ms", 0);
-  json::check(start_unix_ms, "born_ms", 0, 1e15);
+  json::check_range(start_unix_ms, "born_ms", 0, 1e15);
   out.info.started = unix_ms_to_steady(start_unix_ms);
   return out;
 }
@@ -53,8 +54,8 @@
 
 ServerList server_list_from_json(const Json& in, const std::vector<std::string>& zones) {
   ServerList out;
-  out.seq = json::token(in, "seq");
-  out.is_full = json::flag(in, "whole");
+  out.seq = json::unsigned_integer(in, "seq");
+  out.is_full = json::boolean(in, "whole");
   for (const Json& item : json::array(in, "hosts").GetArray())
     out.servers.push_back(read_server(item, zones));
   return out;
@@ -108,8 +109,8 @@
 }
 
 boost::asio::ip::tcp::endpoint read_endpoint(std::string_view text) {
-  const auto out = endpoint_of(text);
-  if (!out) throw json::BadMessage("'" + std::string(text) + "' is not an address and a port");
+  const auto out = parse_endpoint(text);
+  if (!out) throw json::MessageError("'" + std::string(text) + "' is not an address and a port");
   return *out;
 }
 
--- a/discovery/server_list_parser.h
+++ b/discovery/server_list_parser.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "core/server_list.h"
-#include "json/read.h"
+#include "json/reader.h"
 
 namespace nettlestand {
 
--- a/duties/client_service.cpp
+++ b/duties/client_service.cpp
@@ -192,7 +192,7 @@
   double next = client_.next_deadline();
   // While connecting, the connection's own timeout applies.
   if (connecting_) next = std::max(next, now() + 0.05);
-  timer_.expires_at(at(std::max(next, now() + 0.001)));
+  timer_.expires_at(to_time_point(std::max(next, now() + 0.001)));
   timer_.async_wait([this, alive = alive_](const error_code& error) {
     if (error || !*alive || !running_) return;
     Client::Actions out;
--- a/duties/frame_connection.cpp
+++ b/duties/frame_connection.cpp
@@ -121,7 +121,7 @@
     timer_.cancel();
     return;
   }
-  timer_.expires_after(duration(seconds));
+  timer_.expires_after(to_duration(seconds));
   timer_.async_wait([self = shared_from_this()](const error_code& error) {
     if (error || self->closed_) return;
     if (!self->channel_.handshake_done() || self->closing_) return self->fail("timed out");
--- a/duties/voter_service.cpp
+++ b/duties/voter_service.cpp
@@ -198,7 +198,7 @@
     for (const VoterAddress& a : options_.addresses) {
       if (a.name == name) return a.endpoint;
     }
-    return endpoint_of(voter_address(label));
+    return parse_endpoint(voter_address(label));
   }
 
   void connect_to_voters() {
@@ -314,7 +314,7 @@
   }
 
   void schedule_timer() {
-    timer_.expires_at(at(voter_ ? voter_->next_deadline() : reopen_at_));
+    timer_.expires_at(to_time_point(voter_ ? voter_->next_deadline() : reopen_at_));
     timer_.async_wait([this](const error_code& error) {
       if (!error) run_once();
     });
--- a/gateway/convert.cpp
+++ b/gateway/convert.cpp
@@ -63,7 +63,7 @@
 
 std::optional<boost::asio::ip::udp::endpoint> udp_of(Checker& checker, const std::string& field,
                                                      const std::string& text, bool any_port = false) {
-  const auto e = endpoint_of(text);
+  const auto e = parse_endpoint(text);
   if (!e || !e->address().is_v4() || (e->port() == 0 && !any_port)) {
     checker.wrong(field, "'" + text + "' is not an IPv4 address and a port");
     return std::nullopt;
@@ -122,7 +122,7 @@
   for (std::size_t i = 0; i < d.voters.size(); ++i) {
     const std::string field = "duties.voters[" + std::to_string(i) + "]";
     checker.name(field + ".name", d.voters[i].name, duties::kMaxNameBytes);
-    if (const auto e = endpoint_of(d.voters[i].address)) {
+    if (const auto e = parse_endpoint(d.voters[i].address)) {
       to.voters.push_back({d.voters[i].name, *e});
     } else {
       checker.wrong(field + ".address", "'" + d.voters[i].address + "' is not an address and a port");
@@ -172,7 +172,7 @@
     checker.name(item("servers", i, "name"), server.name, kLongestServer);
     checker.once(item("servers", i, "name"), server.name, seen);
     checker.number(item("servers", i, "weight"), server.weight, 0, 1e6);
-    const auto dial = endpoint_of(server.address);
+    const auto dial = parse_endpoint(server.address);
     if (!dial)
       checker.wrong(item("servers", i, "address"), "'" + server.address + "' is not an address and a port");
     if (!server.zone.empty() && zone_of(server.zone, zones) == static_cast<int>(zones.size())) {
@@ -267,7 +267,7 @@
   out.engine.seed = options.seed;
   out.engine.max_servers = options.memory / (1024 * 1024) * kServersInMegabyte;
   if (!options.discovery.empty()) {
-    out.discovery = endpoint_of(options.discovery);
+    out.discovery = parse_endpoint(options.discovery);
     if (!out.discovery)
       checker.wrong("discovery", "'" + options.discovery + "' is not an address and a port");
     s.must_watch = true;
@@ -325,7 +325,7 @@
   if (request.target.empty() || request.target.front() != '/') throw RequestRejection{400, "bad target"};
   auto forward = std::make_shared<UpstreamRequest>();
   Call out = request_validator.read_call(head, lines, *forward);
-  forward->claim = Claim(budget);
+  forward->claim = ByteReservation(budget);
   // Guards the memory limit: answers need room too, so requests leave half of the budget to them.
   if (!forward->claim.grow_to(request.body.size(), budget.size() / 2))
     throw RequestRejection{503, "no memory to spare"};
--- a/gateway/impl.cpp
+++ b/gateway/impl.cpp
@@ -148,7 +148,7 @@
         self->loop_.run();
         return;
       } catch (const std::exception& surprise) {  // one connection's trouble must not end the others
-        self->log(nettlestand::surprise("gateway", surprise.what()));
+        self->log(nettlestand::unexpected_error("gateway", surprise.what()));
       }
     }
   });
@@ -186,7 +186,7 @@
   if (peers_) peers_->leave();
   if (duties_) duties_->close();
   engine_.shut_down();
-  poller_.shut();
+  poller_.shut_down();
   if (stopped_) post_task(std::exchange(stopped_, nullptr));
 }
 
@@ -322,7 +322,7 @@
     if (duties_) duties_->release_all();
     double longest = 0;
     for (const auto& c : checked_.engine.settings.classes) longest = std::max(longest, c.give_up);
-    last_answers_.expires_after(duration(std::min(longest, kLongestDeadline) + kLastAnswers));
+    last_answers_.expires_after(to_duration(std::min(longest, kLongestDeadline) + kLastAnswers));
     last_answers_.async_wait([self = shared_from_this()](const boost::system::error_code& error) {
       if (error || self->shut_) return;
       self->engine_.expire_all();
@@ -387,7 +387,7 @@
 }
 
 Error Gateway::Impl::move_discovery(const std::string& address) {
-  const auto to = endpoint_of(address);
+  const auto to = parse_endpoint(address);
   if (!to) return {Errc::kBadOption, "discovery: '" + address + "' is not an address and a port"};
   if (!discovery_) return {Errc::kBadOption, "discovery: this gateway was opened without one"};
   on_loop([this, to = *to] { discovery_->set_address(to); });
--- a/gateway/impl.h
+++ b/gateway/impl.h
@@ -24,7 +24,7 @@
 #include "nettlestand/gateway.h"
 #include "nettlestand/http.h"
 #include "peers/service.h"
-#include "util/budget.h"
+#include "util/byte_budget.h"
 #include "util/endpoint.h"
 #include "util/poller.h"
 
--- a/http/listener.cpp
+++ b/http/listener.cpp
@@ -98,7 +98,7 @@
 
   // Closes the connection if the client has probably seen its end.
   bool close_if_end_seen() {
-    if (!socket_.end_arrived() && now() - state_since_ < kEvictionGraceSeconds) return false;
+    if (!socket_.is_end_acknowledged() && now() - state_since_ < kEvictionGraceSeconds) return false;
     run_guarded([this] { read(); });  // closing with unread bytes would reset the connection
     close();
     return true;
--- a/http/listener.h
+++ b/http/listener.h
@@ -11,7 +11,7 @@
 
 #include "core/engine.h"
 #include "http/request_validator.h"
-#include "util/budget.h"
+#include "util/byte_budget.h"
 #include "util/log.h"
 #include "util/poller.h"
 #include "util/socket.h"
--- a/http/request_reader.cpp
+++ b/http/request_reader.cpp
@@ -75,7 +75,7 @@
 RequestReader::Step RequestReader::on_head() {
   const RequestValidator::Head& head = parser_->get().base();
   keep_alive_ = parser_->get().keep_alive();
-  claim_ = Claim(budget_);
+  claim_ = ByteReservation(budget_);
   try {
     const RequestValidator::FieldValues fields(head);
     RequestValidator::check_framing(head, fields);
--- a/http/request_reader.h
+++ b/http/request_reader.h
@@ -10,7 +10,7 @@
 #include "http/arena_parser.h"
 #include "http/request_validator.h"
 #include "http/upstream_payload.h"
-#include "util/budget.h"
+#include "util/byte_budget.h"
 
 namespace nettlestand {
 
@@ -61,7 +61,7 @@
   std::shared_ptr<UpstreamRequest> upstream_request_;
   std::size_t head_bytes_ = 0;
   bool keep_alive_ = false, expects_continue_ = false;
-  Claim claim_;  // memory reserved for the body
+  ByteReservation claim_;  // memory reserved for the body
   RequestRejection rejection_{400, nullptr};
 };
 
--- a/http/responses.h
+++ b/http/responses.h
@@ -14,7 +14,7 @@
   unsigned status = 500;
   double retry_after = 0;  // s; 0: no Retry-After field
   std::string body, content_type;
-  Claim claim;  // memory reserved for the body
+  ByteReservation claim;  // memory reserved for the body
 };
 
 inline constexpr RequestRejection kRequestIdInUse{409, "this Request-Id is open"};
--- a/http/upstream.cpp
+++ b/http/upstream.cpp
@@ -73,7 +73,7 @@
   void connect(const tcp::endpoint& to) {
     const int failed = socket_.connect(to);
     // Out of descriptors, which says nothing about the server.
-    if (!socket_.opened()) return end(Outcome::kNotSent, false);
+    if (!socket_.is_open()) return end(Outcome::kNotSent, false);
     if (failed != 0) return end(Outcome::kDialFailed, false);
     poller_key_ = pool_.poller_.add(socket_.descriptor(), *this);
     if (poller_key_ == 0) return end(Outcome::kNotSent, false);
@@ -101,7 +101,7 @@
 
   void on_connected() {
     if (Server* known = pool_.find(server)) known->connecting.erase(shared_from_this());
-    if (socket_.error() != 0) return end(Outcome::kDialFailed, false);
+    if (socket_.pending_error() != 0) return end(Outcome::kDialFailed, false);
     is_stale() ? end_before_written() : start_writing();
   }
 
@@ -193,7 +193,7 @@
   }
 
   void arm_timer(double at) {
-    timer_.expires_after(duration(at - now()));
+    timer_.expires_after(to_duration(at - now()));
     timer_.async_wait([self = shared_from_this(), serial = attempt_serial_](const error_code& error) {
       if (!error && serial == self->attempt_serial_ && self->has_attempt_) self->expire();
     });
@@ -322,7 +322,7 @@
     parser_->body_limit(kMaxBodyBytes);
     parser_->header_limit(kMaxHeadBytes);
     head_bytes_ = 0;
-    claim_ = Claim(pool_.budget_);
+    claim_ = ByteReservation(pool_.budget_);
   }
 
   // Evaluates the head; false if the end of the response is ambiguous or there is no memory for its body.
@@ -369,7 +369,7 @@
   std::string in_, out_;  // out_: the head of the request
   std::size_t written_ = 0, head_bytes_ = 0;
   int interim_count_ = 0;
-  Claim claim_;
+  ByteReservation claim_;
   std::uint64_t attempt_serial_ = 0;  // counts the attempts on this connection
   AttemptId attempt_;
   bool has_attempt_ = false;
@@ -535,7 +535,7 @@
     oldest->close();
   }
   expiry_timer_.expires_after(
-      duration(max_idle_seconds_ - (idle_.empty() ? 0 : now() - idle_.front()->idle_since)));
+      to_duration(max_idle_seconds_ - (idle_.empty() ? 0 : now() - idle_.front()->idle_since)));
   expiry_timer_.async_wait([this](const error_code& error) {
     if (!error) close_expired();
   });
--- a/http/upstream.h
+++ b/http/upstream.h
@@ -18,7 +18,7 @@
 #include "core/transport.h"
 #include "http/upstream_payload.h"
 #include "quinceusher/balancer.h"
-#include "util/budget.h"
+#include "util/byte_budget.h"
 #include "util/log.h"
 #include "util/poller.h"
 #include "util/socket.h"
--- a/http/upstream_payload.h
+++ b/http/upstream_payload.h
@@ -4,7 +4,7 @@
 #include <string>
 
 #include "core/transport.h"
-#include "util/budget.h"
+#include "util/byte_budget.h"
 
 namespace nettlestand {
 
@@ -12,14 +12,14 @@
 struct UpstreamRequest final : Payload {
   std::string head;  // request line and headers, without Request-Timeout-Ms and the final empty line
   std::string body;
-  Claim claim;  // memory reserved for the body
+  ByteReservation claim;  // memory reserved for the body
   bool retryable = false;
 };
 
 // A server's complete 200 response, as it is returned to a caller.
 struct UpstreamResponse final : Payload {
   std::string body, content_type;
-  Claim claim;  // memory reserved for the body
+  ByteReservation claim;  // memory reserved for the body
 };
 
 }  // namespace nettlestand
--- a/json/read.cpp
+++ b/json/reader.cpp
@@ -1,4 +1,4 @@
-#include "json/read.h"
+#include "json/reader.h"
 
 #include <cstdio>
 
@@ -10,100 +10,101 @@
   rapidjson::Document out;
   out.Parse<rapidjson::kParseIterativeFlag>(text.data(), text.size());
   if (out.HasParseError()) {
-    throw BadMessage(std::string("not valid JSON: ") + rapidjson::GetParseError_En(out.GetParseError()) +
-                     " at byte " + std::to_string(out.GetErrorOffset()));
+    throw MessageError(std::string("not valid JSON: ") + rapidjson::GetParseError_En(out.GetParseError()) +
+                       " at byte " + std::to_string(out.GetErrorOffset()));
   }
   return out;
 }
 
-void check(double value, const char* field, double least, double most) {
-  if (value >= least && value <= most) return;
+void check_range(double value, const char* field, double min, double max) {
+  if (value >= min && value <= max) return;
   char wanted[64];
-  std::snprintf(wanted, sizeof wanted, "from %.10g to %.10g", least, most);
-  wrong(field, wanted);
+  std::snprintf(wanted, sizeof wanted, "from %.10g to %.10g", min, max);
+  reject_field(field, wanted);
 }
 
-void wrong(const char* field, const char* wanted) {
-  throw BadMessage(std::string("field '") + field + "' is not " + wanted);
+void reject_field(const char* field, const char* wanted) {
+  throw MessageError(std::string("field '") + field + "' is not " + wanted);
 }
 
 const Json* find(const Json& object, const char* field) {
-  if (!object.IsObject()) throw BadMessage(std::string("not an object where field '") + field + "' belongs");
+  if (!object.IsObject())
+    throw MessageError(std::string("not an object where field '") + field + "' belongs");
   const auto it = object.FindMember(field);
   return it == object.MemberEnd() || it->value.IsNull() ? nullptr : &it->value;
 }
 
-const Json& need(const Json& object, const char* field) {
+const Json& require(const Json& object, const char* field) {
   const Json* value = find(object, field);
-  if (value == nullptr) throw BadMessage(std::string("field '") + field + "' is missing");
+  if (value == nullptr) throw MessageError(std::string("field '") + field + "' is missing");
   return *value;
 }
 
 double number(const Json& object, const char* field) {
-  const Json& value = need(object, field);
-  if (!value.IsNumber()) wrong(field, "a number");
+  const Json& value = require(object, field);
+  if (!value.IsNumber()) reject_field(field, "a number");
   return value.GetDouble();
 }
 
-double number_or(const Json& object, const char* field, double otherwise) {
-  return find(object, field) == nullptr ? otherwise : number(object, field);
+double number_or(const Json& object, const char* field, double default_value) {
+  return find(object, field) == nullptr ? default_value : number(object, field);
 }
 
-int whole(const Json& object, const char* field) {
-  const Json& value = need(object, field);
+int integer(const Json& object, const char* field) {
+  const Json& value = require(object, field);
   if (value.IsInt()) return value.GetInt();
-  wrong(field, "a whole number in range");
+  reject_field(field, "a whole number in range");
 }
 
-int whole_or(const Json& object, const char* field, int otherwise) {
-  return find(object, field) == nullptr ? otherwise : whole(object, field);
+int integer_or(const Json& object, const char* field, int default_value) {
+  return find(object, field) == nullptr ? default_value : integer(object, field);
 }
 
 std::size_t index_or_zero(const Json& object, const char* field) {
-  const int value = whole_or(object, field, 0);
-  if (value < 0) wrong(field, "a whole number in range");
+  const int value = integer_or(object, field, 0);
+  if (value < 0) reject_field(field, "a whole number in range");
   return static_cast<std::size_t>(value);
 }
 
-bool flag(const Json& object, const char* field) {
+bool boolean(const Json& object, const char* field) {
   const Json* value = find(object, field);
   if (value == nullptr) return false;
-  if (!value->IsBool()) wrong(field, "true or false");
+  if (!value->IsBool()) reject_field(field, "true or false");
   return value->GetBool();
 }
 
-std::string_view text(const Json& object, const char* field) {
-  const Json& value = need(object, field);
-  if (!value.IsString()) wrong(field, "a string");
+std::string_view string(const Json& object, const char* field) {
+  const Json& value = require(object, field);
+  if (!value.IsString()) reject_field(field, "a string");
   return {value.GetString(), value.GetStringLength()};
 }
 
-std::uint64_t token(const Json& object, const char* field) {
-  const Json& value = need(object, field);
-  if (!value.IsUint64()) wrong(field, "a whole number from 0");
+std::uint64_t unsigned_integer(const Json& object, const char* field) {
+  const Json& value = require(object, field);
+  if (!value.IsUint64()) reject_field(field, "a whole number from 0");
   return value.GetUint64();
 }
 
 const Json& array(const Json& object, const char* field) {
-  const Json& value = need(object, field);
-  if (!value.IsArray()) wrong(field, "an array");
+  const Json& value = require(object, field);
+  if (!value.IsArray()) reject_field(field, "an array");
   return value;
 }
 
 namespace {
 
-RequestClass read_class(const Json& in) {
+RequestClass read_request_class(const Json& in) {
   RequestClass out;
   out.aim = number(in, "aim");
   out.aim_stretch = number_or(in, "aimStretch", 0);
   out.give_up = number(in, "giveUp");
   out.late_worth = number_or(in, "lateWorth", 0);
-  const std::string_view effect = text(in, "effect");
+  const std::string_view effect = string(in, "effect");
   if (effect == "safe") {
     out.effect = Effect::kSafe;
   } else if (effect == "keyed") {
     out.effect = Effect::kKeyed;
-    const std::string_view group = text(in, "group");
+    const std::string_view group = string(in, "group");
     if (group == "all") {
       out.dedup_scope = DedupScope::kAll;
     } else if (group == "zone") {
@@ -126,12 +127,12 @@
 
 Settings read_settings(const Json& in) {
   Settings out;
-  out.copy_index = whole(in, "position");
-  out.copy_count = whole(in, "peersTotal");
-  out.tier = whole_or(in, "stage", 0);
-  out.zone = whole_or(in, "zone", 0);
+  out.copy_index = integer(in, "position");
+  out.copy_count = integer(in, "peersTotal");
+  out.tier = integer_or(in, "stage", 0);
+  out.zone = integer_or(in, "zone", 0);
   out.tick = number_or(in, "granularity", 0);
-  for (const Json& item : array(in, "categories").GetArray()) out.classes.push_back(read_class(item));
+  for (const Json& item : array(in, "categories").GetArray()) out.classes.push_back(read_request_class(item));
   if (find(in, "realms") != nullptr) {
     for (const Json& item : array(in, "realms").GetArray()) {
       Tenant tenant;
@@ -140,12 +141,12 @@
     }
   }
   out.over_share_worth = number_or(in, "overShareWorth", 1);
-  const Json& bounds = need(in, "bounds");
-  out.max_attempts = whole_or(bounds, "maxAttempts", 1);
-  out.second_copies = flag(bounds, "secondCopies");
-  out.can_cancel = flag(bounds, "cancel");
-  out.max_retry_after = flag(bounds, "retryAfter") ? number_or(bounds, "maxRetryAfter", 0) : 0;
-  out.must_watch = find(in, "registryMode") != nullptr && text(in, "registryMode") == "subscribe";
+  const Json& bounds = require(in, "bounds");
+  out.max_attempts = integer_or(bounds, "maxAttempts", 1);
+  out.second_copies = boolean(bounds, "secondCopies");
+  out.can_cancel = boolean(bounds, "cancel");
+  out.max_retry_after = boolean(bounds, "retryAfter") ? number_or(bounds, "maxRetryAfter", 0) : 0;
+  out.must_watch = find(in, "registryMode") != nullptr && string(in, "registryMode") == "subscribe";
   if (const Json* rules = find(in, "rules")) {
     out.ask_within = number_or(*rules, "askWithin", 0);
     out.start_capacity = number_or(*rules, "startCapacity", 1);
--- a/peers/service.cpp
+++ b/peers/service.cpp
@@ -328,7 +328,7 @@
   if (!running_) return;
   double next = std::min({membership_.next_tick(), balancers_.next_tick(), next_drop_log_});
   if (options_.broadcast && broadcasts_sent_ < kStartBroadcasts) next = std::min(next, next_broadcast_);
-  timer_.expires_at(at(next));
+  timer_.expires_at(to_time_point(next));
   timer_.async_wait([this, alive = alive_](const error_code& error) {
     if (*alive && !error && running_) on_timer();
   });
--- a/report/book.cpp
+++ b/report/report_store.cpp
@@ -1,4 +1,4 @@
-#include "report/book.h"
+#include "report/report_store.h"
 
 #include <sys/wait.h>
 
@@ -18,10 +18,10 @@
 using duties::Sqlite;
 using duties::SqliteFencingChecker;
 
-constexpr int kWait = 2000;                   // ms for another process's transaction
-constexpr std::uint64_t kForgotten = 100000;  // periods without a word of a life
+constexpr int kBusyTimeoutMs = 2000;                         // ms for another process's transaction
+constexpr std::uint64_t kBaselineRetentionPeriods = 100000;  // periods without a word of a life
 
-std::string when(double at) {
+std::string format_utc(double at) {
   const auto t = static_cast<std::time_t>(at);
   std::tm parts{};
   gmtime_r(&t, &parts);
@@ -30,7 +30,7 @@
   return out;
 }
 
-std::string fixed(double value, int digits) {
+std::string format_fixed(double value, int digits) {
   char out[32];
   std::snprintf(out, sizeof out, "%.*f", digits, value);
   return out;
@@ -38,8 +38,8 @@
 
 }  // namespace
 
-struct Book::Db {
-  explicit Db(const std::string& path) : sql(path, true, kWait) {
+struct ReportStore::Database {
+  explicit Database(const std::string& path) : sql(path, true, kBusyTimeoutMs) {
     // A write-ahead log: readers do not hold up whoever writes.
     sql.run("PRAGMA journal_mode=WAL");
     sql.run("PRAGMA synchronous=FULL");
@@ -54,22 +54,22 @@
           "CREATE TABLE IF NOT EXISTS taken(node TEXT, life INTEGER, tier INTEGER, zone TEXT, tenant TEXT,"
           " counts BLOB, number INTEGER, PRIMARY KEY(node, life, tier, zone, tenant)) WITHOUT ROWID");
     });
-    place = std::make_unique<SqliteFencingChecker>(sql);
+    fencing_checker = std::make_unique<SqliteFencingChecker>(sql);
   }
   Sqlite sql;
-  std::unique_ptr<SqliteFencingChecker> place;
+  std::unique_ptr<SqliteFencingChecker> fencing_checker;
 };
 
-Book::Book(const std::string& path) : db_(std::make_unique<Db>(path)) {}
-Book::~Book() = default;
+ReportStore::ReportStore(const std::string& path) : database_(std::make_unique<Database>(path)) {}
+ReportStore::~ReportStore() = default;
 
-Book::Written Book::close(duties::Token token, const std::string& writer, double at,
-                          const std::vector<Word>& words) {
-  Written out = Written::kYes;
-  Sqlite& sql = db_->sql;
+ReportStore::CloseResult ReportStore::close_period(duties::Token token, const std::string& writer, double at,
+                                                   const std::vector<NodeCounts>& node_counts) {
+  CloseResult out = CloseResult::kWritten;
+  Sqlite& sql = database_->sql;
   sql.transaction([&] {
-    if (!db_->place->admit(kDuty, token)) {
-      out = Written::kStale;
+    if (!database_->fencing_checker->admit(kReportDuty, token)) {
+      out = CloseResult::kStale;
       return;
     }
     std::uint64_t number = 1;
@@ -81,51 +81,55 @@
         began = last.column_double(1);
       }
     }
-    std::map<Key, Counts> all;
-    for (const Word& word : words) {
-      for (const auto& [key, counts] : word.counts) {
-        Counts before;
+    std::map<CountKey, AnswerCounts> all;
+    for (const NodeCounts& reported : node_counts) {
+      for (const auto& [key, counts] : reported.counts) {
+        AnswerCounts before;
         {
           Sqlite::Statement find(
               sql,
               "SELECT counts FROM taken WHERE node = ?1 AND life = ?2 AND tier = ?3 AND zone = ?4"
               " AND tenant = ?5");
-          find.bind(1, word.node).bind(2, word.life).bind(3, static_cast<std::uint64_t>(key.tier));
+          find.bind(1, reported.node)
+              .bind(2, reported.generation)
+              .bind(3, static_cast<std::uint64_t>(key.tier));
           find.bind(4, key.zone).bind(5, key.tenant);
           if (find.step()) before = decode_counts(find.column_bytes(0));
         }
-        const Counts more = counts.since(before);
+        const AnswerCounts more = counts.increase_since(before);
         if (more.empty()) continue;
         all[key] += more;
         Sqlite::Statement put(sql, "INSERT OR REPLACE INTO taken VALUES(?1, ?2, ?3, ?4, ?5, ?6, ?7)");
-        put.bind(1, word.node).bind(2, word.life).bind(3, static_cast<std::uint64_t>(key.tier));
+        put.bind(1, reported.node).bind(2, reported.generation).bind(3, static_cast<std::uint64_t>(key.tier));
         put.bind(4, key.zone).bind(5, key.tenant).bind_bytes(6, encode(counts)).bind(7, number).run();
       }
     }
     Sqlite::Statement period(sql, "INSERT INTO period VALUES(?1, ?2, ?3, ?4, ?5, ?6)");
     period.bind(1, number).bind(2, began).bind(3, at).bind(4, token).bind(5, writer);
-    period.bind(6, static_cast<std::uint64_t>(words.size())).run();
+    period.bind(6, static_cast<std::uint64_t>(node_counts.size())).run();
     for (const auto& [key, counts] : all) {
       Sqlite::Statement put(sql, "INSERT INTO entry VALUES(?1, ?2, ?3, ?4, ?5)");
       put.bind(1, number).bind(2, static_cast<std::uint64_t>(key.tier)).bind(3, key.zone).bind(4, key.tenant);
       put.bind_bytes(5, encode(counts)).run();
     }
-    if (number > kForgotten)
-      Sqlite::Statement(sql, "DELETE FROM taken WHERE number < ?1").bind(1, number - kForgotten).run();
+    if (number > kBaselineRetentionPeriods)
+      Sqlite::Statement(sql, "DELETE FROM taken WHERE number < ?1")
+          .bind(1, number - kBaselineRetentionPeriods)
+          .run();
     if (before_commit) before_commit();
   });
   return out;
 }
 
-double Book::last_ended() {
-  Sqlite::Statement last(db_->sql, "SELECT ended FROM period ORDER BY number DESC LIMIT 1");
+double ReportStore::last_ended() {
+  Sqlite::Statement last(database_->sql, "SELECT ended FROM period ORDER BY number DESC LIMIT 1");
   return last.step() ? last.column_double(0) : 0;
 }
 
-std::vector<Period> Book::periods(std::uint64_t last) {
+std::vector<Period> ReportStore::periods(std::uint64_t last) {
   std::vector<Period> out;
   Sqlite::Statement all(
-      db_->sql,
+      database_->sql,
       "SELECT number, began, ended, token, writer, nodes FROM period ORDER BY number DESC LIMIT ?1");
   all.bind(1, last);
   while (all.step()) {
@@ -136,7 +140,8 @@
     p.token = all.column_uint64(3);
     p.writer = all.column_bytes(4);
     p.nodes = all.column_uint64(5);
-    Sqlite::Statement entries(db_->sql, "SELECT tier, zone, tenant, counts FROM entry WHERE number = ?1");
+    Sqlite::Statement entries(database_->sql,
+                              "SELECT tier, zone, tenant, counts FROM entry WHERE number = ?1");
     entries.bind(1, p.number);
     while (entries.step()) {
       p.counts[{static_cast<int>(entries.column_uint64(0)), entries.column_bytes(1),
@@ -148,27 +153,29 @@
   return out;
 }
 
-std::string csv(const std::vector<Period>& periods) {
+std::string to_csv(const std::vector<Period>& periods) {
   std::string out =
       "period,began,ended,writer,token,nodes,tier,zone,tenant,served,refused,failed,p50_ms,p99_ms\n";
   for (const Period& p : periods) {
-    const std::string head = std::to_string(p.number) + "," + when(p.began) + "," + when(p.ended) + "," +
-                             p.writer + "," + std::to_string(p.token) + "," + std::to_string(p.nodes) + ",";
+    const std::string head = std::to_string(p.number) + "," + format_utc(p.began) + "," +
+                             format_utc(p.ended) + "," + p.writer + "," + std::to_string(p.token) + "," +
+                             std::to_string(p.nodes) + ",";
     if (p.counts.empty()) out += head + ",,,0,0,0,,\n";
     for (const auto& [key, c] : p.counts) {
       out += head + std::to_string(key.tier) + "," + key.zone + "," + key.tenant + "," +
              std::to_string(c.served) + "," + std::to_string(c.refused) + "," + std::to_string(c.failed) +
-             "," + fixed(quantile(c, 0.5) * 1000, 1) + "," + fixed(quantile(c, 0.99) * 1000, 1) + "\n";
+             "," + format_fixed(quantile(c, 0.5) * 1000, 1) + "," +
+             format_fixed(quantile(c, 0.99) * 1000, 1) + "\n";
     }
   }
   return out;
 }
 
-std::string table(const std::vector<Period>& periods) {
+std::string to_table(const std::vector<Period>& periods) {
   std::vector<std::vector<std::string>> rows = {{"period", "ended", "by", "nodes", "tier", "zone", "tenant",
                                                  "served", "refused", "failed", "p50 ms", "p99 ms"}};
   for (const Period& p : periods) {
-    const std::vector<std::string> head = {std::to_string(p.number), when(p.ended), p.writer,
+    const std::vector<std::string> head = {std::to_string(p.number), format_utc(p.ended), p.writer,
                                            std::to_string(p.nodes)};
     const auto row = [&](const std::vector<std::string>& rest) {
       rows.push_back(head);
@@ -178,13 +185,13 @@
     for (const auto& [key, c] : p.counts) {
       row({std::to_string(key.tier), key.zone.empty() ? "-" : key.zone, key.tenant.empty() ? "-" : key.tenant,
            std::to_string(c.served), std::to_string(c.refused), std::to_string(c.failed),
-           fixed(quantile(c, 0.5) * 1000, 1), fixed(quantile(c, 0.99) * 1000, 1)});
+           format_fixed(quantile(c, 0.5) * 1000, 1), format_fixed(quantile(c, 0.99) * 1000, 1)});
     }
   }
-  return columns(rows);
+  return align_columns(rows);
 }
 
-void plot(const std::vector<Period>& periods, const std::string& file) {
+void write_plot(const std::vector<Period>& periods, const std::string& file) {
   // It stands in gnuplot's quotes, and in the shell's.
   if (file.find_first_of("'\"\\$`\n") != std::string::npos)
     throw std::runtime_error(file + ": a name with quotes, backslashes or $ can't be plotted to");
@@ -192,7 +199,7 @@
   {
     std::ofstream out(data);
     for (const Period& p : periods) {
-      Counts all;
+      AnswerCounts all;
       for (const auto& [key, c] : p.counts) all += c;
       const double seconds = std::max(p.ended - p.began, 1e-3);
       out << p.number << " " << static_cast<double>(all.served) / seconds << " "
--- a/report/book.h
+++ b/report/report_store.h
@@ -11,17 +11,17 @@
 #include <vector>
 
 #include "duties/lease_table.h"
-#include "report/tally.h"
+#include "report/answer_counter.h"
 
 namespace nettlestand::report {
 
-inline constexpr const char* kDuty = "fleet-report";
+inline constexpr const char* kReportDuty = "fleet-report";
 
 // What a node has counted, as it last said.
-struct Word {
+struct NodeCounts {
   std::string node;
-  std::uint64_t life = 0;
-  std::map<Key, Counts> counts;
+  std::uint64_t generation = 0;
+  std::map<CountKey, AnswerCounts> counts;
 };
 
 struct Period {
@@ -30,20 +30,21 @@
   duties::Token token = 0;      // by which it was written
   std::string writer;
   std::uint64_t nodes = 0;  // that had a word in it
-  std::map<Key, Counts> counts;
+  std::map<CountKey, AnswerCounts> counts;
 };
 
-class Book {
+class ReportStore {
  public:
   // Makes the file where there is none. Throws duties::StoreError.
-  explicit Book(const std::string& path);
-  ~Book();
-  Book(const Book&) = delete;
-  Book& operator=(const Book&) = delete;
+  explicit ReportStore(const std::string& path);
+  ~ReportStore();
+  ReportStore(const ReportStore&) = delete;
+  ReportStore& operator=(const ReportStore&) = delete;
 
-  enum class Written { kYes, kStale };  // kStale: a later holder has written; nothing was changed
+  enum class CloseResult { kWritten, kStale };  // kStale: a later holder has written; nothing was changed
   // Closes a period. `at`: s since 1970. Throws duties::StoreError, and has changed nothing.
-  Written close(duties::Token token, const std::string& writer, double at, const std::vector<Word>& words);
+  CloseResult close_period(duties::Token token, const std::string& writer, double at,
+                           const std::vector<NodeCounts>& node_counts);
   // s since 1970 of the last period's end; 0: there is none.
   double last_ended();
   std::vector<Period> periods(std::uint64_t last);  // so many, the oldest first
@@ -52,15 +53,15 @@
   std::function<void()> before_commit;
 
  private:
-  struct Db;
-  std::unique_ptr<Db> db_;
+  struct Database;
+  std::unique_ptr<Database> database_;
 };
 
 // For people: a line a period, tier, zone and tenant.
-std::string table(const std::vector<Period>& periods);
-std::string csv(const std::vector<Period>& periods);
+std::string to_table(const std::vector<Period>& periods);
+std::string to_csv(const std::vector<Period>& periods);
 // One SVG picture by gnuplot: served, refused and failed a second, and p99, over the periods. Throws
 // std::runtime_error where there is no gnuplot.
-void plot(const std::vector<Period>& periods, const std::string& file);
+void write_plot(const std::vector<Period>& periods, const std::string& file);
 
 }  // namespace nettlestand::report
--- a/tests/config/command_line_test.cpp
+++ b/tests/config/command_line_test.cpp
@@ -10,31 +10,31 @@
 namespace nettlestand::testing {
 namespace {
 
-struct Ran {
+struct RunResult {
   int code = 0;
   std::string out;  // both streams
 };
 
-Ran run(const std::string& arguments) {
-  Ran ran;
+RunResult run(const std::string& arguments) {
+  RunResult result;
   FILE* pipe = popen(("env -u GW_CONFIG " + std::string(NODE) + " " + arguments + " 2>&1").c_str(), "r");
-  for (char bytes[1024]; fgets(bytes, sizeof bytes, pipe) != nullptr;) ran.out += bytes;
+  for (char bytes[1024]; fgets(bytes, sizeof bytes, pipe) != nullptr;) result.out += bytes;
   const int status = pclose(pipe);
-  ran.code = WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
-  return ran;
+  result.code = WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
+  return result;
 }
 
 // A file that goes with the test.
-struct File {
-  explicit File(const std::string& text) {
+struct TemporaryFile {
+  explicit TemporaryFile(const std::string& text) {
     static int count = 0;
     path = ::testing::TempDir() + "/operator_" + std::to_string(getpid()) + "_" + std::to_string(++count) +
            ".toml";
     std::ofstream(path) << text;
   }
-  File(const File&) = delete;
-  File& operator=(const File&) = delete;
-  ~File() { std::remove(path.c_str()); }
+  TemporaryFile(const TemporaryFile&) = delete;
+  TemporaryFile& operator=(const TemporaryFile&) = delete;
+  ~TemporaryFile() { std::remove(path.c_str()); }
   std::string path;
 };
 
@@ -58,10 +58,10 @@
 }
 
 TEST(CommandLine, TellsItsVersionAndItsUse) {
-  const Ran version = run("--version");
+  const RunResult version = run("--version");
   EXPECT_EQ(version.code, 0);
   EXPECT_EQ(version.out.rfind("nettlestand 0.", 0), 0U) << version.out;
-  const Ran help = run("--help");
+  const RunResult help = run("--help");
   EXPECT_EQ(help.code, 0);
   for (const char* word : {"run", "check", "demo", "--version"}) EXPECT_TRUE(has(help.out, word)) << help.out;
   EXPECT_TRUE(has(run("demo --help").out, "--seconds"));
@@ -76,36 +76,36 @@
                                                         {"run extra", "extra"},
                                                         {"demo --seconds much", "much"},
                                                         {"demo --seconds 1", "1"}}) {
-    const Ran ran = run(arguments);
-    EXPECT_EQ(ran.code, 2) << arguments;
-    EXPECT_TRUE(has(ran.out, word)) << ran.out;
+    const RunResult result = run(arguments);
+    EXPECT_EQ(result.code, 2) << arguments;
+    EXPECT_TRUE(has(result.out, word)) << result.out;
   }
-  const Ran bare = run("");
+  const RunResult bare = run("");
   EXPECT_EQ(bare.code, 2);
   EXPECT_EQ(bare.out, "nettlestand: GW_CONFIG is not set\n");
 }
 
 TEST(CommandLine, ChecksAFile) {
-  const File good(file_for(9001)), bad("[node]\nlisten = 1\nlistne = 2\n");
-  Ran ran = run("check " + good.path);
-  EXPECT_EQ(ran.code, 0);
-  EXPECT_EQ(ran.out, good.path + ": good\n");
-  ran = run("check " + bad.path);
-  EXPECT_EQ(ran.code, 2);
-  EXPECT_TRUE(has(ran.out, bad.path + ":2:10: node.listen: is a whole number where a string belongs\n"))
-      << ran.out;
-  EXPECT_TRUE(has(ran.out, bad.path + ":3:1: unknown key 'listne' in node; did you mean 'listen'?\n"))
-      << ran.out;
-  ran = run("check /nowhere/at/all.toml");
-  EXPECT_EQ(ran.code, 2);
-  EXPECT_EQ(ran.out, "can't read /nowhere/at/all.toml\n");
+  const TemporaryFile good(file_for(9001)), bad("[node]\nlisten = 1\nlistne = 2\n");
+  RunResult result = run("check " + good.path);
+  EXPECT_EQ(result.code, 0);
+  EXPECT_EQ(result.out, good.path + ": good\n");
+  result = run("check " + bad.path);
+  EXPECT_EQ(result.code, 2);
+  EXPECT_TRUE(has(result.out, bad.path + ":2:10: node.listen: is a whole number where a string belongs\n"))
+      << result.out;
+  EXPECT_TRUE(has(result.out, bad.path + ":3:1: unknown key 'listne' in node; did you mean 'listen'?\n"))
+      << result.out;
+  result = run("check /nowhere/at/all.toml");
+  EXPECT_EQ(result.code, 2);
+  EXPECT_EQ(result.out, "can't read /nowhere/at/all.toml\n");
   EXPECT_EQ(run("check /tmp").code, 2) << "a folder is no file";
   EXPECT_EQ(run("run --config " + bad.path).code, 2) << "and runs nothing on it";
 }
 
 TEST(CommandLine, RunsANodeOnAFileAlone) {
   const TcpListener server, other;
-  const File file(file_for(server.port()));
+  const TemporaryFile file(file_for(server.port()));
   NodeUnderTest node("", 1024, {"run", "--config", file.path}, false);
   TcpConnection caller = TcpConnection::to(node.port());
   until([&] {
@@ -146,11 +146,11 @@
   const auto file = [&](const std::string& more) {
     return file_for(server.port()) + more + "[control]\nsocket = \"" + socket + "\"\n";
   };
-  const File good(file("[peers]\nlisten = \"127.0.0.1:" + std::to_string(free_udp_port()) +
-                       "\"\njoin = [\"127.0.0.1:9\"]\n"));
-  Ran ran = run("peers show --socket " + socket);
-  EXPECT_EQ(ran.code, 1);
-  EXPECT_TRUE(has(ran.out, socket + ": no node answers there")) << ran.out;
+  const TemporaryFile good(file("[peers]\nlisten = \"127.0.0.1:" + std::to_string(free_udp_port()) +
+                                "\"\njoin = [\"127.0.0.1:9\"]\n"));
+  RunResult result = run("peers show --socket " + socket);
+  EXPECT_EQ(result.code, 1);
+  EXPECT_TRUE(has(result.out, socket + ": no node answers there")) << result.out;
   EXPECT_EQ(run("peers show").code, 2) << "which socket is not said";
   {
     NodeUnderTest node("", 1024, {"run", "--config", good.path}, false);
@@ -158,13 +158,13 @@
     struct stat is {};
     ASSERT_EQ(::stat(socket.c_str(), &is), 0);
     EXPECT_EQ(is.st_mode & 0777, 0600U) << "nobody but its owner may ask";
-    ran = run("peers show --socket " + socket);
-    EXPECT_EQ(ran.code, 0) << ran.out;
-    EXPECT_TRUE(has(ran.out, "nettlestand of nettlestand at 127.0.0.1:")) << ran.out;
-    EXPECT_TRUE(has(ran.out, ": 1 living, copy 0 of 1, not sealed, health 0\n")) << ran.out;
-    EXPECT_TRUE(has(ran.out, "\nnettlestand  alive")) << ran.out;
-    ran = run("peers show --json --socket " + socket);
-    EXPECT_EQ(ran.out.rfind("{\"name\":\"nettlestand\"", 0), 0U) << ran.out;
+    result = run("peers show --socket " + socket);
+    EXPECT_EQ(result.code, 0) << result.out;
+    EXPECT_TRUE(has(result.out, "nettlestand of nettlestand at 127.0.0.1:")) << result.out;
+    EXPECT_TRUE(has(result.out, ": 1 living, copy 0 of 1, not sealed, health 0\n")) << result.out;
+    EXPECT_TRUE(has(result.out, "\nnettlestand  alive")) << result.out;
+    result = run("peers show --json --socket " + socket);
+    EXPECT_EQ(result.out.rfind("{\"name\":\"nettlestand\"", 0), 0U) << result.out;
     // The path is taken: another node does not start there, and the first one answers on.
     NodeUnderTest second("", 1024, {"run", "--config", good.path}, false);
     EXPECT_EQ(second.exit_code(), 1);
@@ -173,12 +173,12 @@
     node.exit_code();
   }
   EXPECT_EQ(::access(socket.c_str(), F_OK), 0) << "left behind by the crash";
-  const File without(file(""));
+  const TemporaryFile without(file(""));
   NodeUnderTest node("", 1024, {"run", "--config", without.path}, false);  // takes its place
   node.port();
-  ran = run("peers show --socket " + socket);
-  EXPECT_EQ(ran.code, 1);
-  EXPECT_TRUE(has(ran.out, "membership is off in this node")) << ran.out;
+  result = run("peers show --socket " + socket);
+  EXPECT_EQ(result.code, 1);
+  EXPECT_TRUE(has(result.out, "membership is off in this node")) << result.out;
   node.signal(SIGTERM);
   EXPECT_EQ(node.exit_code(), 0);
   EXPECT_NE(::access(socket.c_str(), F_OK), 0) << "an end in order takes it away";
@@ -187,7 +187,7 @@
 // The platform's configuration rules; the file adds the listener's time limits to it.
 TEST(CommandLine, AddsAFileToThePlatforms) {
   World w;
-  const File file("[node]\nlisten = \"127.0.0.1:1\"\n[listener]\nread_ms = 300\n");
+  const TemporaryFile file("[node]\nlisten = \"127.0.0.1:1\"\n[listener]\nread_ms = 300\n");
   w.node = std::make_unique<NodeUnderTest>(w.config(), 1024,
                                            std::vector<std::string>{"run", "--config", file.path});
   w.take_watch();
@@ -201,12 +201,12 @@
 }
 
 TEST(CommandLine, PlaysTheDemo) {
-  const Ran ran = run("demo --seconds 5");
-  EXPECT_EQ(ran.code, 0) << ran.out;
+  const RunResult result = run("demo --seconds 5");
+  EXPECT_EQ(result.code, 0) << result.out;
   for (const char* words :
        {"s0 is killed", "s1 drains", "s1 is back, cold", " served, ",
         "kept: no request lost, no effect twice, drains obeyed, no cold server pushed over\n"}) {
-    EXPECT_TRUE(has(ran.out, words)) << ran.out;
+    EXPECT_TRUE(has(result.out, words)) << result.out;
   }
 }
 
--- a/tests/config/log_test.cpp
+++ b/tests/config/log_test.cpp
@@ -83,7 +83,7 @@
 }
 
 TEST(Log, RepeatsAreBoundedAndCounted) {
-  RepeatLimit limit(2, 10);
+  RepeatLimiter limit(2, 10);
   EXPECT_EQ(limit.allow("a", 100), 0U);
   EXPECT_EQ(limit.allow("a", 101), 0U);
   EXPECT_FALSE(limit.allow("a", 102));
@@ -92,12 +92,12 @@
   EXPECT_EQ(limit.allow("a", 110), 2U) << "those left out are told of with the next";
   EXPECT_EQ(limit.allow("a", 111), 0U);
   EXPECT_FALSE(limit.allow("a", 112));
-  RepeatLimit none(0, 10);
+  RepeatLimiter none(0, 10);
   for (int i = 0; i < 100; ++i) EXPECT_EQ(none.allow("a", 1), 0U);
 
   LogOptions options;
-  options.repeats = 3;
-  options.period = 1000;
+  options.max_repeats = 3;
+  options.repeat_period = 1000;
   EXPECT_EQ(lines_of(options, std::vector<LogEvent>(50, kEvent)).size(), 3U * 2)
       << "three, each of them over two lines in plain text";
 }
--- a/tests/duties/components_test.cpp
+++ b/tests/duties/components_test.cpp
@@ -13,7 +13,7 @@
 #include "cluster.h"
 #include "duties/sqlite.h"
 #include "duties/sqlite_fencing_checker.h"
-#include "report/book.h"
+#include "report/report_store.h"
 
 namespace nettlestand::duties::testing {
 namespace {
@@ -557,63 +557,65 @@
   const std::string path = directory.path + "/book.db";
   std::mt19937_64 random(9);
   std::uint64_t expected_total = 0;
-  std::map<std::string, report::Tally> nodes;
-  std::vector<report::Word> old;
+  std::map<std::string, report::AnswerCounter> nodes;
+  std::vector<report::NodeCounts> old;
   Token token = 1;
   for (int period = 0; period < 60; ++period) {
-    std::vector<report::Word> words;
+    std::vector<report::NodeCounts> node_counts;
     for (int n = 0; n < 4; ++n) {
       const std::string name = "n" + std::to_string(n);
-      auto& tally = nodes.try_emplace(name, 0, "a", std::vector<std::string>{"x", "y"}).first->second;
+      auto& counter = nodes.try_emplace(name, 0, "a", std::vector<std::string>{"x", "y"}).first->second;
       for (std::uint64_t k = random() % 20; k > 0; --k) {
-        tally.add(random() % 2, report::Ending::kServed, 0.01);
+        counter.add(random() % 2, report::AnswerOutcome::kServed, 0.01);
         ++expected_total;
       }
-      if (random() % 3 != 0 || period == 59) words.push_back({name, 1, tally.counts()});
+      if (random() % 3 != 0 || period == 59) node_counts.push_back({name, 1, counter.counts()});
     }
     // Late counts of earlier periods in any order, a writer that dies before its commit, and a writer whose
     // lease has passed to another.
-    if (!old.empty()) words.push_back(old[random() % old.size()]);
-    std::shuffle(words.begin(), words.end(), random);
-    old.insert(old.end(), words.begin(), words.end());
-    report::Book book(path);
+    if (!old.empty()) node_counts.push_back(old[random() % old.size()]);
+    std::shuffle(node_counts.begin(), node_counts.end(), random);
+    old.insert(old.end(), node_counts.begin(), node_counts.end());
+    report::ReportStore store(path);
     if (random() % 4 == 0) {
-      book.before_commit = [] { throw std::runtime_error("died"); };
-      EXPECT_THROW(book.close(token, "n0", 1000 + period, words), std::runtime_error);
-      book.before_commit = {};
+      store.before_commit = [] { throw std::runtime_error("died"); };
+      EXPECT_THROW(store.close_period(token, "n0", 1000 + period, node_counts), std::runtime_error);
+      store.before_commit = {};
     }
     if (random() % 3 == 0) ++token;
-    EXPECT_EQ(book.close(token, "n0", 1000 + period, words), report::Book::Written::kYes);
+    EXPECT_EQ(store.close_period(token, "n0", 1000 + period, node_counts),
+              report::ReportStore::CloseResult::kWritten);
     if (token > 1) {
-      EXPECT_EQ(book.close(token - 1, "n1", 1000 + period, words), report::Book::Written::kStale);
+      EXPECT_EQ(store.close_period(token - 1, "n1", 1000 + period, node_counts),
+                report::ReportStore::CloseResult::kStale);
     }
   }
   std::uint64_t sum = 0;
-  const auto periods = report::Book(path).periods(1000);
+  const auto periods = report::ReportStore(path).periods(1000);
   ASSERT_EQ(periods.size(), 60U);
   for (std::size_t i = 0; i < periods.size(); ++i) {
     EXPECT_EQ(periods[i].number, i + 1);
     for (const auto& [key, counts] : periods[i].counts) sum += counts.served;
   }
   EXPECT_EQ(sum, expected_total);
-  EXPECT_NE(report::csv(periods).find("\n60,"), std::string::npos);
+  EXPECT_NE(report::to_csv(periods).find("\n60,"), std::string::npos);
   const std::string plot_path = directory.path + "/plot.svg";
-  report::plot(periods, plot_path);
+  report::write_plot(periods, plot_path);
   EXPECT_GT(std::filesystem::file_size(plot_path), 1000U);
 }
 
 TEST(DutiesBook, CountsAreReadOrRefusedWhole) {
-  report::Tally tally(1, "a", {"x"});
-  tally.add(0, report::Ending::kServed, 0.0004);
-  tally.add(0, report::Ending::kServed, 1e9);
-  tally.add(0, report::Ending::kRefused, 0);
-  tally.add(5, report::Ending::kFailed, 0);
-  const std::string bytes = report::encode(tally.counts());
-  EXPECT_EQ(report::decode(bytes), tally.counts());
+  report::AnswerCounter counter(1, "a", {"x"});
+  counter.add(0, report::AnswerOutcome::kServed, 0.0004);
+  counter.add(0, report::AnswerOutcome::kServed, 1e9);
+  counter.add(0, report::AnswerOutcome::kRefused, 0);
+  counter.add(5, report::AnswerOutcome::kFailed, 0);
+  const std::string bytes = report::encode(counter.counts());
+  EXPECT_EQ(report::decode(bytes), counter.counts());
   for (std::size_t i = 0; i < bytes.size(); ++i) {
     EXPECT_THROW(report::decode(bytes.substr(0, i)), std::runtime_error);
   }
-  EXPECT_NEAR(report::quantile(tally.counts().begin()->second, 0.1), 0.0005, 1e-9);
+  EXPECT_NEAR(report::quantile(counter.counts().begin()->second, 0.1), 0.0005, 1e-9);
 }
 
 }  // namespace
--- a/tests/duties/process_setup.h
+++ b/tests/duties/process_setup.h
@@ -9,12 +9,12 @@
 #include <string>
 #include <vector>
 
-#include "daemon/control.h"
+#include "daemon/control_socket.h"
 #include "duties/raft_replica.h"
 #include "duties/sqlite_fencing_checker.h"
 #include "duties/store.h"
-#include "json/read.h"
-#include "report/book.h"
+#include "json/reader.h"
+#include "report/report_store.h"
 #include "tests/process_worlds.h"
 
 namespace nettlestand::standins::testing {
@@ -73,7 +73,7 @@
 // The reply of a node's control socket, or a text that starts with "error".
 inline std::string run_control_command(ProcessWorld& world, std::size_t i, const std::string& command) {
   try {
-    return ask_control(world.state(i).path() + "/control", command);
+    return send_control_command(world.state(i).path() + "/control", command);
   } catch (const std::exception& problem) {
     return std::string("error: ") + problem.what();
   }
--- a/tests/duties/processes_test.cpp
+++ b/tests/duties/processes_test.cpp
@@ -420,7 +420,7 @@
   const auto periods = [&] {
     if (!std::filesystem::exists(path)) return std::vector<report::Period>();
     try {
-      return report::Book(path).periods(1000000);
+      return report::ReportStore(path).periods(1000000);
     } catch (const duties::StoreError&) {
       return std::vector<report::Period>();
     }
@@ -428,7 +428,7 @@
   ASSERT_EVENTUALLY(periods().size() >= 2);
   // The writer changes by an operator's request and by a stopped process. A killed client would lose the
   // counts of its last 100 ms, so no client that gets calls is killed.
-  const auto writer = [&] { return duty_holders(world, 0)[report::kDuty]; };
+  const auto writer = [&] { return duty_holders(world, 0)[report::kReportDuty]; };
   world.play("", 1);
   run_control_command(world, 0, "duties pass fleet-report");
   world.play("", 1);
@@ -443,7 +443,7 @@
   // Wait until all nodes have sent their last counts and one more period is closed.
   std::uint64_t served = 0, asked = 0;
   const auto sum = [&] {
-    report::Counts all;
+    report::AnswerCounts all;
     for (const report::Period& p : periods()) {
       for (const auto& [key, c] : p.counts) all += c;
     }
@@ -451,7 +451,7 @@
   };
   const auto last = periods().size();
   ASSERT_EVENTUALLY(periods().size() > last + 3);
-  const report::Counts all = sum();
+  const report::AnswerCounts all = sum();
   const auto done = periods();
   const Timeline timeline = world.finish();
   for (const CallRecord& c : timeline.evidence.calls) {
@@ -466,7 +466,7 @@
     EXPECT_GE(done[i].token, token);
     token = done[i].token;
   }
-  EXPECT_NE(report::table(done).find("acme"), std::string::npos);
+  EXPECT_NE(report::to_table(done).find("acme"), std::string::npos);
 }
 
 // Random fault scripts
--- a/tests/forms/platform_options.h
+++ b/tests/forms/platform_options.h
@@ -43,8 +43,8 @@
   out.zones = config.zones;
   if (static_cast<std::size_t>(s.zone) < out.zones.size())
     out.zone = out.zones[static_cast<std::size_t>(s.zone)];
-  if (config.known) {
-    for (const ListedServer& from : config.known->servers) {
+  if (config.last_known_servers) {
+    for (const ListedServer& from : config.last_known_servers->servers) {
       ServerOptions to;
       to.name = from.info.address;
       to.address = text_of(from.endpoint);
@@ -52,7 +52,7 @@
       to.weight = from.info.weight;
       out.servers.push_back(to);
     }
-    out.servers_version = config.known->seq;
+    out.servers_version = config.last_known_servers->seq;
   }
   out.discovery = text_of(*config.discovery);
   out.position = s.copy_index;
@@ -64,7 +64,7 @@
   out.start_capacity = s.start_capacity;
   out.ramp_time = ms(s.ramp_time);
   out.connect_timeout = ms(config.connect_timeout);
-  out.idle_close = ms(config.idle_close);
+  out.idle_close = ms(config.server_idle_timeout);
   out.sockets = (config.sockets - 40) * 9 / 20;
   out.memory = config.memory_mb * 1024 * 1024;
   return out;
--- a/tests/forms/service.h
+++ b/tests/forms/service.h
@@ -24,7 +24,7 @@
   if (path == nullptr) throw std::runtime_error("GW_CONFIG is not set");
   std::ifstream in(path);
   if (!in) throw std::runtime_error(std::string("can't read ") + path);
-  return read_config({std::istreambuf_iterator<char>(in), {}});
+  return read_platform_config({std::istreambuf_iterator<char>(in), {}});
 }
 
 // After SIGHUP: a configuration that can't be used changes nothing.
--- a/tests/peers/processes_test.cpp
+++ b/tests/peers/processes_test.cpp
@@ -13,7 +13,7 @@
 #include <thread>
 
 #include "../faults/parallel.h"
-#include "daemon/control.h"
+#include "daemon/control_socket.h"
 #include "peers/datagram_codec.h"
 #include "standins/common/loop.h"
 #include "world.h"
@@ -48,7 +48,7 @@
 
 View view(ProcessWorld& w, std::size_t i) {
   View out;
-  out.report.Parse(ask_control(w.state(i).path() + "/control", "peers").c_str());
+  out.report.Parse(send_control_command(w.state(i).path() + "/control", "peers").c_str());
   return out;
 }
 
@@ -159,7 +159,7 @@
   s.peers = false;
   ProcessWorld w(s);
   w.start();
-  EXPECT_THROW(ask_control(w.state(0).path() + "/control", "peers"), std::runtime_error);
+  EXPECT_THROW(send_control_command(w.state(0).path() + "/control", "peers"), std::runtime_error);
   EXPECT_EQ(w.node(0).log().find("\"component\":\"peers\""), std::string::npos);
   w.finish();
 }
@@ -414,7 +414,7 @@
   const std::int64_t generation = view(w, 0).generation("n2");
   ExtraNode twin(w, 5, 2);
   ASSERT_TRUE(ProcessWorld::until([&] { return count_events(twin.process->log(), "refused") == 1; }))
-      << twin.process->log() << ask_control(twin.socket, "peers") << w.node(0).log();
+      << twin.process->log() << send_control_command(twin.socket, "peers") << w.node(0).log();
   EXPECT_GE(count_events(twin.process->log(), "namesake"), 1U);
   ASSERT_EVENTUALLY(count_events(w.node(2).log(), "namesake") >= 1);
   EXPECT_EQ(count_events(w.node(2).log(), "refused"), 0U);
--- a/util/budget.h
+++ b/util/byte_budget.h
@@ -13,54 +13,55 @@
   explicit ByteBudget(std::size_t bytes) : bytes_(bytes) {}
   ByteBudget(const ByteBudget&) = delete;
   ByteBudget& operator=(const ByteBudget&) = delete;
-  std::size_t left() const {
+  std::size_t available() const {
     const std::size_t used = used_.load(std::memory_order_relaxed);
     return used < bytes_ ? bytes_ - used : 0;
   }
   std::size_t size() const { return bytes_; }
 
  private:
-  friend class Claim;
+  friend class ByteReservation;
   const std::size_t bytes_;
   std::atomic<std::size_t> used_ = 0;
 };
 
 // A part of the budget that somebody holds; it goes back with its holder.
-class Claim {
+class ByteReservation {
  public:
-  Claim() = default;
-  explicit Claim(ByteBudget& budget) : budget_(&budget) {}
-  Claim(Claim&& other) noexcept : budget_(other.budget_), held_(std::exchange(other.held_, 0)) {}
-  Claim& operator=(Claim&& other) noexcept {
+  ByteReservation() = default;
+  explicit ByteReservation(ByteBudget& budget) : budget_(&budget) {}
+  ByteReservation(ByteReservation&& other) noexcept
+      : budget_(other.budget_), reserved_(std::exchange(other.reserved_, 0)) {}
+  ByteReservation& operator=(ByteReservation&& other) noexcept {
     release();
     budget_ = other.budget_;
-    held_ = std::exchange(other.held_, 0);
+    reserved_ = std::exchange(other.reserved_, 0);
     return *this;
   }
-  ~Claim() { release(); }
+  ~ByteReservation() { release(); }
 
   // Holds so many bytes in all, and `spare` must be left over; false, and no change, where they are not
   // there.
-  bool grow_to(std::size_t bytes, std::size_t spare = 0) {
-    if (budget_ == nullptr || bytes <= held_) return true;
-    const std::size_t more = bytes - held_;
+  bool grow_to(std::size_t bytes, std::size_t headroom = 0) {
+    if (budget_ == nullptr || bytes <= reserved_) return true;
+    const std::size_t more = bytes - reserved_;
     const std::size_t before = budget_->used_.fetch_add(more, std::memory_order_relaxed);
-    if (before + more + spare > budget_->bytes_) {
+    if (before + more + headroom > budget_->bytes_) {
       budget_->used_.fetch_sub(more, std::memory_order_relaxed);
       return false;
     }
-    held_ = bytes;
+    reserved_ = bytes;
     return true;
   }
   void release() {
-    if (budget_ != nullptr && held_ > 0) {
-      budget_->used_.fetch_sub(std::exchange(held_, 0), std::memory_order_relaxed);
+    if (budget_ != nullptr && reserved_ > 0) {
+      budget_->used_.fetch_sub(std::exchange(reserved_, 0), std::memory_order_relaxed);
     }
   }
 
  private:
   ByteBudget* budget_ = nullptr;
-  std::size_t held_ = 0;
+  std::size_t reserved_ = 0;
 };
 
 }  // namespace nettlestand
--- a/util/clock.h
+++ b/util/clock.h
@@ -12,12 +12,12 @@
 }
 
 // A time on that clock, and a duration, as timers take them.
-inline std::chrono::steady_clock::time_point at(double seconds) {
+inline std::chrono::steady_clock::time_point to_time_point(double seconds) {
   return std::chrono::steady_clock::time_point(
       std::chrono::duration_cast<std::chrono::steady_clock::duration>(
           std::chrono::duration<double>(seconds)));
 }
-inline std::chrono::nanoseconds duration(double seconds) {
+inline std::chrono::nanoseconds to_duration(double seconds) {
   return std::chrono::nanoseconds(static_cast<std::int64_t>(std::max(0.0, seconds) * 1e9));
 }
 
--- a/util/columns.h
+++ b/util/columns.h
@@ -8,7 +8,7 @@
 
 namespace nettlestand {
 
-inline std::string columns(const std::vector<std::vector<std::string>>& rows) {
+inline std::string align_columns(const std::vector<std::vector<std::string>>& rows) {
   std::vector<std::size_t> widths;
   for (const auto& row : rows) {
     widths.resize(std::max(widths.size(), row.size()));
--- a/util/endpoint.h
+++ b/util/endpoint.h
@@ -10,7 +10,7 @@
 namespace nettlestand {
 
 // "10.0.0.4:3000" or "[::1]:3000"; none for anything else.
-inline std::optional<boost::asio::ip::tcp::endpoint> endpoint_of(std::string_view text) {
+inline std::optional<boost::asio::ip::tcp::endpoint> parse_endpoint(std::string_view text) {
   const std::size_t colon = text.rfind(':');
   if (colon == std::string_view::npos) return std::nullopt;
   std::string host(text.substr(0, colon));
--- a/util/log.h
+++ b/util/log.h
@@ -11,7 +11,7 @@
 using Log = std::function<void(const LogEvent&)>;
 
 // Something that should not happen, and that the program survives.
-inline LogEvent surprise(std::string_view component, const std::string& what) {
+inline LogEvent unexpected_error(std::string_view component, const std::string& what) {
   return {LogLevel::kError, component, "surprise", "surprise: " + what, {{"what", what}}};
 }
 
--- a/util/poller.cpp
+++ b/util/poller.cpp
@@ -11,29 +11,29 @@
   if (descriptor < 0)
     throw boost::system::system_error(errno, boost::system::system_category(), "epoll_create1");
   epoll_.assign(descriptor);
-  wait();
+  await_events();
 }
 
-void Poller::shut() {
+void Poller::shut_down() {
   *alive_ = false;
   error_code ignored;
   epoll_.close(ignored);
   slots_.clear();
-  free_.clear();
+  free_slots_.clear();
 }
 
 Poller::Key Poller::add(int descriptor, Watcher& watcher) {
-  if (free_.empty()) {
-    free_.push_back(static_cast<std::uint32_t>(slots_.size()));
+  if (free_slots_.empty()) {
+    free_slots_.push_back(static_cast<std::uint32_t>(slots_.size()));
     slots_.emplace_back();
   }
-  const std::uint32_t slot = free_.back();
+  const std::uint32_t slot = free_slots_.back();
   const Key key = (static_cast<Key>(slots_[slot].generation) << 32) | slot;
   epoll_event event{};
   event.events = EPOLLIN | EPOLLOUT | EPOLLRDHUP | EPOLLET;
   event.data.u64 = key;
   if (::epoll_ctl(epoll_.native_handle(), EPOLL_CTL_ADD, descriptor, &event) != 0) return 0;
-  free_.pop_back();
+  free_slots_.pop_back();
   slots_[slot].watcher = &watcher;
   return key;
 }
@@ -45,20 +45,20 @@
   ::epoll_ctl(epoll_.native_handle(), EPOLL_CTL_DEL, descriptor, &ignored);
   slots_[slot].watcher = nullptr;
   if (++slots_[slot].generation == 0) slots_[slot].generation = 1;  // no key is 0
-  free_.push_back(slot);
+  free_slots_.push_back(slot);
 }
 
-void Poller::wait() {
+void Poller::await_events() {
   epoll_.async_wait(boost::asio::posix::stream_descriptor::wait_read,
                     [this, alive = alive_](const error_code& error) {
                       if (error || !*alive) return;
-                      tell();
-                      if (*alive) wait();
+                      dispatch();
+                      if (*alive) await_events();
                     });
 }
 
 // Guards watchers that end within the batch: what is told of them by then belongs to a generation before.
-void Poller::tell() {
+void Poller::dispatch() {
   const auto alive = alive_;
   const int count = ::epoll_wait(epoll_.native_handle(), events_.data(), static_cast<int>(events_.size()), 0);
   for (int i = 0; i < count && *alive; ++i) {
--- a/util/poller.h
+++ b/util/poller.h
@@ -28,7 +28,7 @@
 
   // Throws boost::system::system_error.
   explicit Poller(boost::asio::io_context& io);
-  ~Poller() { shut(); }
+  ~Poller() { shut_down(); }
   Poller(const Poller&) = delete;
   Poller& operator=(const Poller&) = delete;
 
@@ -38,7 +38,7 @@
   void remove(Key key, int descriptor);
 
   // The end: nobody is told of anything from here on, and the loop is left alone.
-  void shut();
+  void shut_down();
 
  private:
   struct Slot {
@@ -46,12 +46,12 @@
     std::uint32_t generation = 1;
   };
 
-  void wait();
-  void tell();
+  void await_events();
+  void dispatch();
 
   boost::asio::posix::stream_descriptor epoll_;
   std::vector<Slot> slots_;
-  std::vector<std::uint32_t> free_;
+  std::vector<std::uint32_t> free_slots_;
   std::array<epoll_event, 128> events_{};
   const std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/util/socket.h
+++ b/util/socket.h
@@ -40,9 +40,9 @@
     if (::connect(descriptor_, to.data(), size) == 0 || errno == EINPROGRESS) return 0;
     return errno;
   }
-  bool opened() const { return descriptor_ >= 0; }
+  bool is_open() const { return descriptor_ >= 0; }
   // How connect() has ended.
-  int error() const {
+  int pending_error() const {
     int out = 0;
     socklen_t size = sizeof out;
     return ::getsockopt(descriptor_, SOL_SOCKET, SO_ERROR, &out, &size) == 0 ? out : errno;
@@ -75,7 +75,7 @@
   void shutdown_send() const { ::shutdown(descriptor_, SHUT_WR); }
   // Whether the other side's machine has all that was written and the end of it: whatever its program sent
   // before it could know of that end has come by now. False where the system doesn't tell.
-  bool end_arrived() const {
+  bool is_end_acknowledged() const {
     tcp_info info{};
     socklen_t size = sizeof info;
     return ::getsockopt(descriptor_, IPPROTO_TCP, TCP_INFO, &info, &size) == 0 &&
