--- a/bench/decisions.cpp
+++ b/bench/decisions.cpp
@@ -45,25 +45,26 @@
   void request() {
     now += 0.00006;
     qu::Request r;
-    r.id = std::to_string(++last);
+    r.id = std::to_string(++last_id);
     r.time_left = 6;
     actions.clear();
     balancer.handle(now, r, actions);
-    out.push_back(r.id);
-    if (out.size() - done < 16) return;
+    outstanding.push_back(r.id);
+    if (outstanding.size() - completed < 16) return;
     actions.clear();
-    balancer.handle(now, qu::AttemptResult{out[done++], 0, qu::Outcome::kDelivered, 0.001, true}, actions);
-    if (done > 4096) {
-      out.erase(out.begin(), out.begin() + static_cast<std::ptrdiff_t>(done));
-      done = 0;
+    balancer.handle(now, qu::AttemptResult{outstanding[completed++], 0, qu::Outcome::kDelivered, 0.001, true},
+                    actions);
+    if (completed > 4096) {
+      outstanding.erase(outstanding.begin(), outstanding.begin() + static_cast<std::ptrdiff_t>(completed));
+      completed = 0;
     }
   }
 
   qu::Balancer balancer;
   std::vector<qu::Action> actions;
-  std::vector<std::string> out;
-  std::size_t done = 0;
-  std::uint64_t last = 0;
+  std::vector<std::string> outstanding;
+  std::size_t completed = 0;
+  std::uint64_t last_id = 0;
   double now = 1000;
 };
 
@@ -72,7 +73,7 @@
   for (auto _ : state) fleet.request();
 }
 
-void change_of_the_list(benchmark::State& state) {
+void server_list_change(benchmark::State& state) {
   const auto servers = static_cast<std::size_t>(state.range(0));
   Fleet fleet(servers, static_cast<int>(state.range(1)));
   std::size_t n = 0;
@@ -93,7 +94,7 @@
 }
 
 BENCHMARK(request_and_outcome)->Apply(sizes);
-BENCHMARK(change_of_the_list)->Apply(sizes);
+BENCHMARK(server_list_change)->Apply(sizes);
 
 }  // namespace
 
--- a/bench/duties.cpp
+++ b/bench/duties.cpp
@@ -33,7 +33,7 @@
 using duties::testing::Cluster;
 using duties::testing::ClusterSettings;
 
-void line(const std::string& name, std::vector<double> values, const char* unit) {
+void print_quantiles(const std::string& name, std::vector<double> values, const char* unit) {
   std::sort(values.begin(), values.end());
   const auto at = [&](double part) {
     return values[static_cast<std::size_t>(part * static_cast<double>(values.size() - 1) + 0.5)];
@@ -47,7 +47,8 @@
 // ------------------------------------------------------------ without a holder, simulated
 
 // s from what happens to the holder until another one holds the duty.
-double gap(std::uint64_t seed, const std::function<void(Cluster&, std::size_t)>& trouble, double lease) {
+double measure_gap(std::uint64_t seed, const std::function<void(Cluster&, std::size_t)>& inject_fault,
+                   double lease) {
   ClusterSettings s;
   s.voters = 5;
   s.nodes = 10;
@@ -59,17 +60,17 @@
   c.run(2 + 0.037 * static_cast<double>(seed % 100));
   const auto holder = c.holder("d0");
   if (!holder) return -1;
-  trouble(c, *holder);
+  inject_fault(c, *holder);
   const double from = c.sim.now();
   for (int i = 0; i < 6000; ++i) {
     c.run(0.005);
-    const auto now_held = c.holder("d0");
-    if (now_held && *now_held != *holder) return c.sim.now() - from;
+    const auto new_holder = c.holder("d0");
+    if (new_holder && *new_holder != *holder) return c.sim.now() - from;
   }
   return -1;
 }
 
-void gaps(int runs) {
+void measure_gaps(int runs) {
   using emulator::ActorId;
   const auto actor = [](Cluster& c, std::size_t n) { return static_cast<ActorId>(c.settings.voters + n); };
   const auto cut = [actor](Cluster& c, std::size_t n, bool out, bool in) {
@@ -81,7 +82,7 @@
       if (in) c.sim.set_way(o, actor(c, n), way);
     }
   };
-  const std::vector<std::pair<const char*, std::function<void(Cluster&, std::size_t)>>> troubles = {
+  const std::vector<std::pair<const char*, std::function<void(Cluster&, std::size_t)>>> faults = {
       {"handed over (SIGTERM)",
        [](Cluster& c, std::size_t n) {
          auto* node = c.node(n);
@@ -96,23 +97,23 @@
          c.sim.kill(static_cast<ActorId>(c.leader()->index));
          c.sim.kill(actor(c, n));
        }}};
-  for (const auto& [name, trouble] : troubles) {
+  for (const auto& [name, inject_fault] : faults) {
     std::vector<double> all;
     for (int i = 0; i < runs; ++i) {
-      const double s = gap(static_cast<std::uint64_t>(i) + 1, trouble, 5);
+      const double s = measure_gap(static_cast<std::uint64_t>(i) + 1, inject_fault, 5);
       if (s >= 0) all.push_back(s);
     }
-    line(std::string("lease 5 s, election 1 s: ") + name, all, "s");
+    print_quantiles(std::string("lease 5 s, election 1 s: ") + name, all, "s");
   }
 }
 
 // ------------------------------------------------------------ on processes
 
-void processes(int runs) {
+void measure_process_gaps(int runs) {
   using namespace standins;
   using namespace standins::testing;
   const auto measure = [&](const char* name,
-                           const std::function<void(ProcessWorld&, std::size_t, std::size_t)>& trouble) {
+                           const std::function<void(ProcessWorld&, std::size_t, std::size_t)>& inject_fault) {
     std::vector<double> all;
     for (int run = 0; run < runs; ++run) {
       DutiesSetup d(6, 5, 1);
@@ -129,7 +130,7 @@
           quinceusher::json::parse(run_control_command(w, holder, "duties voters"))["leader"].GetString();
       const std::uint64_t token = read_effects(d).back().token;
       const double from = nettlestand::now();
-      trouble(w, holder, leader.empty() ? 0 : std::stoul(leader.substr(1)));
+      inject_fault(w, holder, leader.empty() ? 0 : std::stoul(leader.substr(1)));
       double until = 0;
       ProcessWorld::until([&] {
         for (const EffectRecord& e : read_effects(d)) {
@@ -142,7 +143,7 @@
       });
       if (until > 0 && !w.starvation().is_void) all.push_back(until - from);
     }
-    line(std::string("lease 1 s, election 0.3 s: ") + name, all, "s");
+    print_quantiles(std::string("lease 1 s, election 0.3 s: ") + name, all, "s");
   };
   measure("handed over (SIGTERM)",
           [](ProcessWorld& w, std::size_t h, std::size_t) { w.node(h).signal(SIGTERM); });
@@ -168,8 +169,8 @@
 
 // ------------------------------------------------------------ voters in this process
 
-struct Voters {
-  explicit Voters(std::size_t count, unsigned election_ms = 1000, unsigned heartbeat_ms = 100) {
+struct VoterCluster {
+  explicit VoterCluster(std::size_t count, unsigned election_ms = 1000, unsigned heartbeat_ms = 100) {
     std::string name = "/tmp/nettlestand_bench_XXXXXX";
     if (mkdtemp(name.data()) == nullptr) throw std::runtime_error("no folder");
     folder = name;
@@ -214,7 +215,7 @@
       }
     }
   }
-  ~Voters() {
+  ~VoterCluster() {
     services.clear();
     std::error_code ignored;
     std::filesystem::remove_all(folder, ignored);
@@ -235,7 +236,7 @@
   std::vector<std::unique_ptr<duties::VoterService>> services;
 };
 
-double cpu_of(pid_t pid, const std::vector<pid_t>& threads = {}) {
+double cpu_seconds(pid_t pid, const std::vector<pid_t>& threads = {}) {
   double out = 0;
   if (threads.empty()) {
     std::ifstream in("/proc/" + std::to_string(pid) + "/schedstat");
@@ -260,9 +261,9 @@
   return out;
 }
 
-void rest(std::size_t clients) {
+void measure_idle_cost(std::size_t clients) {
   const auto before = threads_of_this_process();
-  Voters v(5);
+  VoterCluster v(5);
   std::vector<pid_t> threads;
   for (const pid_t t : threads_of_this_process()) {
     if (!std::binary_search(before.begin(), before.end(), t)) threads.push_back(t);
@@ -271,7 +272,7 @@
   for (std::size_t i = 0; i < clients; ++i)
     all.push_back(v.client("c" + std::to_string(i), {{"d0", 5, {}, {}, {}}}));
   v.io.run_for(std::chrono::seconds(5));
-  const double cpu = cpu_of(0, threads), mine = cpu_of(getpid()), from = nettlestand::now();
+  const double cpu = cpu_seconds(0, threads), client_cpu = cpu_seconds(getpid()), from = nettlestand::now();
   const auto sent = [&] {
     std::uint64_t out = 0;
     for (const auto& s : all) {
@@ -288,16 +289,16 @@
   std::printf(
       "at rest, 5 voters, %zu clients, one duty: %.3f%% of a core a voter, %.4f%% a client, %.0f bytes/s a "
       "client both ways\n",
-      clients, 100 * (cpu_of(0, threads) - cpu) / seconds / 5,
-      100 * (cpu_of(getpid()) - mine) / seconds / static_cast<double>(clients),
+      clients, 100 * (cpu_seconds(0, threads) - cpu) / seconds / 5,
+      100 * (cpu_seconds(getpid()) - client_cpu) / seconds / static_cast<double>(clients),
       static_cast<double>(sent() - bytes) / seconds / static_cast<double>(clients));
   all.clear();
 }
 
-void grants(int runs) {
+void measure_grant_rate(int runs) {
   std::vector<double> all;
   for (int run = 0; run < runs; ++run) {
-    Voters v(3);
+    VoterCluster v(3);
     std::vector<Duty> wants;
     for (int i = 0; i < 1000; ++i) wants.push_back({"d" + std::to_string(i), 30, {}, {}, {}});
     auto s = v.client("c", wants);
@@ -312,10 +313,10 @@
     if (held == 1000) all.push_back(1000 / (nettlestand::now() - from));
     s.reset();
   }
-  line("1,000 duties defined, granted and confirmed, 3 voters", all, "duties/s");
+  print_quantiles("1,000 duties defined, granted and confirmed, 3 voters", all, "duties/s");
 }
 
-void log_growth() {
+void measure_log_growth() {
   std::string folder = "/tmp/nettlestand_log_XXXXXX";
   if (mkdtemp(folder.data()) == nullptr) return;
   duties::SqliteStore::create(folder);
@@ -373,10 +374,10 @@
   std::filesystem::remove_all(folder, ignored);
 }
 
-void service(int runs) {
+void measure_service_impact(int runs) {
   using namespace standins;
   using namespace standins::testing;
-  std::vector<double> on, off, on99, off99;
+  std::vector<double> on, off, on_p99, off_p99;
   for (int run = 0; run < runs; ++run) {
     for (const bool with : {run % 2 == 0, run % 2 != 0}) {
       DutiesSetup d(5, with ? 3 : 0, with ? 2 : 0);
@@ -401,13 +402,13 @@
       }
       std::sort(times.begin(), times.end());
       (with ? on : off).push_back(static_cast<double>(served) / static_cast<double>(t.evidence.calls.size()));
-      if (!times.empty()) (with ? on99 : off99).push_back(times[times.size() * 99 / 100] * 1000);
+      if (!times.empty()) (with ? on_p99 : off_p99).push_back(times[times.size() * 99 / 100] * 1000);
     }
   }
-  line("served, duties and report on", on, "");
-  line("served, off", off, "");
-  line("p99, duties and report on", on99, "ms");
-  line("p99, off", off99, "ms");
+  print_quantiles("served, duties and report on", on, "");
+  print_quantiles("served, off", off, "");
+  print_quantiles("p99, duties and report on", on_p99, "ms");
+  print_quantiles("p99, off", off_p99, "ms");
 }
 
 }  // namespace
@@ -418,17 +419,17 @@
   const int runs = argc > 2 ? std::atoi(argv[2]) : 100;
   using namespace nettlestand;
   if (part == "gaps")
-    gaps(runs);
+    measure_gaps(runs);
   else if (part == "processes")
-    processes(runs);
+    measure_process_gaps(runs);
   else if (part == "rest")
-    rest(static_cast<std::size_t>(runs));
+    measure_idle_cost(static_cast<std::size_t>(runs));
   else if (part == "grants")
-    grants(runs);
+    measure_grant_rate(runs);
   else if (part == "log")
-    log_growth();
+    measure_log_growth();
   else if (part == "service")
-    service(runs);
+    measure_service_impact(runs);
   else
     return std::fprintf(stderr, "gaps|processes|rest|grants|log|service [RUNS, or clients]\n"), 2;
   return 0;
--- a/bench/fleet_faults.cpp
+++ b/bench/fleet_faults.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr double kFrom = 10, kUntil = 20, kEnd = 40;
+constexpr double kFaultStart = 10, kFaultEnd = 20, kEnd = 40;
 
 double rate(const std::vector<double>& at, double from, double until) {
   return static_cast<double>(std::lower_bound(at.begin(), at.end(), until) -
@@ -20,10 +20,11 @@
 }
 
 // The first time from which on the rate over `window` s holds what is wanted, until `limit`.
-template <class Holds>
-double first(const std::vector<double>& at, double from, double limit, double window, Holds&& holds) {
+template <class Condition>
+double first_time(const std::vector<double>& at, double from, double limit, double window,
+                  Condition&& condition) {
   for (double t = from; t < limit; t += 0.05) {
-    if (holds(rate(at, t, t + window))) return t - from;
+    if (condition(rate(at, t, t + window))) return t - from;
   }
   return -1;
 }
@@ -31,23 +32,23 @@
 }  // namespace
 
 int main() {
-  struct Kind {
+  struct FaultCase {
     const char* name;
     fleet::FaultKind kind;
     double factor;
   };
-  const Kind kinds[] = {{"refuses connects", fleet::FaultKind::kRefuse, 1},
-                        {"connects hang", fleet::FaultKind::kHangConnect, 1},
-                        {"takes and never answers", fleet::FaultKind::kSilent, 1},
-                        {"resets after the request", fleet::FaultKind::kReset, 1},
-                        {"answers errors", fleet::FaultKind::kError, 1},
-                        {"ten times slower", fleet::FaultKind::kSlow, 10}};
+  const FaultCase fault_cases[] = {{"refuses connects", fleet::FaultKind::kRefuse, 1},
+                                   {"connects hang", fleet::FaultKind::kHangConnect, 1},
+                                   {"takes and never answers", fleet::FaultKind::kSilent, 1},
+                                   {"resets after the request", fleet::FaultKind::kReset, 1},
+                                   {"answers errors", fleet::FaultKind::kError, 1},
+                                   {"ten times slower", fleet::FaultKind::kSlow, 10}};
   std::printf(
       "| fault | copies | effect | attempts that met it in the first second, later a second | under a tenth "
       "of its "
       "share after s | half its share again after s | most in a second after, of its share | served |\n"
       "| --- | --- | --- | --- | --- | --- | --- | --- |\n");
-  for (const Kind& kind : kinds) {
+  for (const FaultCase& fault_case : fault_cases) {
     for (const std::size_t copies : {1U, 10U}) {
       for (const Effect effect : {Effect::kSafe, Effect::kUnsafe}) {
         fleet::Spec spec;
@@ -59,17 +60,21 @@
         for (int i = 0; i < 4; ++i) spec.tenants.push_back({500, 250});  // half of capacity
         spec.seconds = kEnd;
         spec.keep_times = true;
-        spec.faults = {{kFrom, kUntil, 0, 1, kind.kind, kind.factor}};
+        spec.faults = {{kFaultStart, kFaultEnd, 0, 1, fault_case.kind, fault_case.factor}};
         const fleet::Result r = fleet::play(spec);
         const std::vector<double>& at = r.sent_at[0];
-        const double share = rate(at, 2, kFrom);
-        const double out = first(at, kFrom, kUntil, 1, [&](double now) { return now < share / 10; });
-        const double back = first(at, kUntil, kEnd - 1, 1, [&](double now) { return now > share / 2; });
-        double most = 0;
-        for (double t = kUntil; t < kEnd - 1; t += 0.1) most = std::max(most, rate(at, t, t + 1) / share);
-        std::printf("| %s | %zu | %s | %.0f, %.1f | %.2f | %.2f | %.2f | %.4f |\n", kind.name, copies,
-                    effect == Effect::kSafe ? "safe" : "unsafe", rate(at, kFrom, kFrom + 1),
-                    rate(at, kFrom + 1, kUntil), out, back, most, r.all.served_part());
+        const double share = rate(at, 2, kFaultStart);
+        const double ejected_after =
+            first_time(at, kFaultStart, kFaultEnd, 1, [&](double now) { return now < share / 10; });
+        const double restored_after =
+            first_time(at, kFaultEnd, kEnd - 1, 1, [&](double now) { return now > share / 2; });
+        double max_share = 0;
+        for (double t = kFaultEnd; t < kEnd - 1; t += 0.1)
+          max_share = std::max(max_share, rate(at, t, t + 1) / share);
+        std::printf("| %s | %zu | %s | %.0f, %.1f | %.2f | %.2f | %.2f | %.4f |\n", fault_case.name, copies,
+                    effect == Effect::kSafe ? "safe" : "unsafe", rate(at, kFaultStart, kFaultStart + 1),
+                    rate(at, kFaultStart + 1, kFaultEnd), ejected_after, restored_after, max_share,
+                    r.all.served_part());
       }
     }
   }
--- a/bench/fleet_grid.cpp
+++ b/bench/fleet_grid.cpp
@@ -20,16 +20,16 @@
   std::string only, policy = "module";
   int bound = 4;
   bool quiet = false, even = false;
-  fleet::WorkDraw draw = fleet::WorkDraw::kExponential;
+  fleet::WorkDraw work_draw = fleet::WorkDraw::kExponential;
   for (int i = 1; i < argc; ++i) {
     const std::string name = argv[i];
     const char* value = i + 1 < argc ? argv[i + 1] : "";
     if (name == "--fixed") {
-      draw = fleet::WorkDraw::kFixed;
+      work_draw = fleet::WorkDraw::kFixed;
       continue;
     }
     if (name == "--uniform") {
-      draw = fleet::WorkDraw::kUniform;
+      work_draw = fleet::WorkDraw::kUniform;
       continue;
     }
     if (name == "--quiet") {
@@ -66,7 +66,7 @@
   for (const fleet::Cell& cell : fleet::grid(load, calls, per_copy)) {
     if (cell.name().find(only) != std::string::npos) cells.push_back(cell);
   }
-  std::vector<fleet::Judgement> found(cells.size());
+  std::vector<fleet::Judgement> judgements(cells.size());
   std::vector<fleet::Result> results(cells.size());
   std::atomic<std::size_t> next{0};
   std::vector<std::thread> workers;
@@ -74,7 +74,7 @@
     workers.emplace_back([&] {
       for (std::size_t i; (i = next++) < cells.size();) {
         fleet::Spec spec = fleet::spec_of(cells[i], seed);
-        spec.draw = draw;
+        spec.draw = work_draw;
         if (even) {
           for (fleet::Tenant& tenant : spec.tenants) tenant.offered = tenant.allowance * load;
         }
@@ -83,18 +83,18 @@
                                             : fleet::Policy::kModule;
         spec.bound = bound;
         results[i] = fleet::play(spec);
-        found[i] = fleet::judge(cells[i], results[i]);
+        judgements[i] = fleet::judge(cells[i], results[i]);
       }
     });
   }
   for (std::thread& worker : workers) worker.join();
-  std::size_t short_of = 0;
+  std::size_t short_cells = 0;
   double sum = 0;
   for (std::size_t i = 0; i < cells.size(); ++i) {
-    const fleet::Judgement& j = found[i];
+    const fleet::Judgement& j = judgements[i];
     const fleet::Counts& c = results[i].all;
     const bool falls_short = load <= 1 ? j.served < 0.995 : j.of_capacity < 0.9 || j.worst_tenant < 0.9;
-    short_of += falls_short ? 1 : 0;
+    short_cells += falls_short ? 1 : 0;
     sum += load <= 1 ? j.served : j.of_capacity;
     if (quiet && !falls_short) continue;
     std::printf("%s %-62s served %.4f of capacity %.3f tenant %.3f asked %llu refused %llu failed %llu\n",
@@ -102,7 +102,7 @@
                 j.worst_tenant, static_cast<unsigned long long>(c.asked),
                 static_cast<unsigned long long>(c.refused), static_cast<unsigned long long>(c.failed));
   }
-  std::printf("%zu cells, %zu fall short, mean %.4f\n", cells.size(), short_of,
+  std::printf("%zu cells, %zu fall short, mean %.4f\n", cells.size(), short_cells,
               sum / static_cast<double>(cells.size()));
   return 0;
 }
--- a/bench/item_schedule.cpp
+++ b/bench/item_schedule.cpp
@@ -12,13 +12,13 @@
 
 using namespace nettlestand::tier;
 
-constexpr std::size_t kItems = 60;
-constexpr std::size_t kTenants = 8;
-constexpr Millis kTickMs = 40;
+constexpr std::size_t kItemsPerJob = 60;
+constexpr std::size_t kTenantCount = 8;
+constexpr Millis kTickIntervalMs = 40;
 
-class Host : public ItemHost {
+class BenchmarkItemHost : public ItemHost {
  public:
-  bool room = false;
+  bool has_free_capacity = false;
 
   bool may_run(Millis, const JobKey&) override { return true; }
   ItemLimits limits_for(Millis, const std::string&) override {
@@ -27,7 +27,7 @@
     return out;
   }
   bool can_start() const override { return true; }
-  bool has_capacity(Millis, const std::string&) override { return room; }
+  bool has_capacity(Millis, const std::string&) override { return has_free_capacity; }
   void start(Millis, const ItemRun&) override {}
   void on_corrupted_item(const JobKey&, std::uint32_t, StartReason) override {}
   void on_result(Millis, const JobKey&, JobResult) override {}
@@ -37,11 +37,11 @@
 void add_jobs(JobTable& table, std::size_t count) {
   for (std::size_t i = 0; i < count; ++i) {
     JobChange change{};
-    change.tenant = "tenant-" + std::to_string(i % kTenants);
+    change.tenant = "tenant-" + std::to_string(i % kTenantCount);
     change.job = "job-" + std::to_string(i);
     JobSpec spec{};
     spec.route = "jobs";
-    for (std::size_t n = 0; n < kItems; ++n) {
+    for (std::size_t n = 0; n < kItemsPerJob; ++n) {
       JobItem item{};
       item.id = change.job + "-" + std::to_string(n);
       set_digest(item);
@@ -53,24 +53,24 @@
 }
 
 // `room`: all items are started before the measurement.
-void pump(benchmark::State& state, bool room) {
+void pump(benchmark::State& state, bool has_free_capacity) {
   JobTable table;
   add_jobs(table, static_cast<std::size_t>(state.range(0)));
-  Host host;
+  BenchmarkItemHost host;
   ItemSchedule schedule(table, host);
   Millis now = 1;
-  host.room = room;
+  host.has_free_capacity = has_free_capacity;
   schedule.pump(now);
   for (auto _ : state) {
-    now += kTickMs;
+    now += kTickIntervalMs;
     schedule.pump(now);
   }
 }
 
-void pump_without_room(benchmark::State& state) { pump(state, false); }
+void pump_without_capacity(benchmark::State& state) { pump(state, false); }
 void pump_with_all_running(benchmark::State& state) { pump(state, true); }
 
-BENCHMARK(pump_without_room)->Arg(10)->Arg(100)->Arg(1000);
+BENCHMARK(pump_without_capacity)->Arg(10)->Arg(100)->Arg(1000);
 BENCHMARK(pump_with_all_running)->Arg(10)->Arg(100)->Arg(1000);
 
 }  // namespace
--- a/bench/lab_costs.cpp
+++ b/bench/lab_costs.cpp
@@ -14,18 +14,18 @@
 
 using namespace nettlestand::standins;
 
-double own_cpu() {
+double process_cpu_seconds() {
   rusage usage{};
   getrusage(RUSAGE_SELF, &usage);
   return static_cast<double>(usage.ru_utime.tv_sec + usage.ru_stime.tv_sec) +
          static_cast<double>(usage.ru_utime.tv_usec + usage.ru_stime.tv_usec) * 1e-6;
 }
 
-struct Seen {
+struct LoadMeasurement {
   double per_s = 0, p50 = 0, p99 = 0;
 };
 
-Seen load(const Address& at, std::size_t callers, std::size_t bytes) {
+LoadMeasurement measure_load(const Address& at, std::size_t callers, std::size_t bytes) {
   LoadSettings s;
   s.targets = {{"s0", at.port, at.ip}};
   s.callers = callers;
@@ -37,7 +37,7 @@
           1e6 * r.all.latency.quantile(0.99)};
 }
 
-std::string spread(std::vector<double> values) {
+std::string median_and_range(std::vector<double> values) {
   std::sort(values.begin(), values.end());
   char out[80];
   std::snprintf(out, sizeof out, "%.3g (%.3g to %.3g)", values[values.size() / 2], values.front(),
@@ -45,7 +45,7 @@
   return out;
 }
 
-void relay() {
+void measure_link_cost() {
   std::puts(
       "| callers, bytes | direct calls/s | through a link, of that | added p50 us | added p99 us |\n"
       "| --- | --- | --- | --- | --- |");
@@ -57,23 +57,25 @@
     ServerSettings settings;
     settings.ip = net.ip(b);
     ScriptedServer server(servers.loop(), settings);
-    const Address way = net.tcp(a, b, server.port()), direct{net.ip(b), server.port()};
+    const Address relayed = net.tcp(a, b, server.port()), direct{net.ip(b), server.port()};
     net.look();
-    std::vector<double> per_s, part, p50, p99;
+    std::vector<double> per_s, relayed_share, p50, p99;
     for (int i = 0; i < 5; ++i) {
-      const Seen d = load(direct, callers, bytes), r = load(way, callers, bytes);
+      const LoadMeasurement d = measure_load(direct, callers, bytes),
+                            r = measure_load(relayed, callers, bytes);
       per_s.push_back(d.per_s);
-      part.push_back(r.per_s / d.per_s);
+      relayed_share.push_back(r.per_s / d.per_s);
       p50.push_back(r.p50 - d.p50);
       p99.push_back(r.p99 - d.p99);
     }
-    std::printf("| %zu, %zu | %s | %s | %s | %s |\n", callers, bytes, spread(per_s).c_str(),
-                spread(part).c_str(), spread(p50).c_str(), spread(p99).c_str());
+    std::printf("| %zu, %zu | %s | %s | %s | %s |\n", callers, bytes, median_and_range(per_s).c_str(),
+                median_and_range(relayed_share).c_str(), median_and_range(p50).c_str(),
+                median_and_range(p99).c_str());
     std::fflush(stdout);
   }
 }
 
-void worlds(const std::string& node) {
+void measure_world_cost(const std::string& node) {
   std::puts(
       "\n| nodes, servers | start s | memory of a node KB | of the rest KB | CPU of a node, of a core | of "
       "the rest "
@@ -94,7 +96,7 @@
     constexpr double kSeconds = 5;
     ProcessWorld world(s);
     world.start();
-    const double before = own_cpu();
+    const double before = process_cpu_seconds();
     std::vector<double> ran;
     for (std::size_t i = 0; i < nodes; ++i) ran.push_back(world.node(i).times().ran);
     world.play("", kSeconds);
@@ -103,7 +105,7 @@
       cpu += (world.node(i).times().ran - ran[i]) / kSeconds / static_cast<double>(nodes);
       memory += static_cast<double>(world.node(i).resident_kb()) / static_cast<double>(nodes);
     }
-    const double rest = (own_cpu() - before) / kSeconds;
+    const double harness_cpu = (process_cpu_seconds() - before) / kSeconds;
     rusage usage{};
     getrusage(RUSAGE_SELF, &usage);
     const double start = world.seconds_to_start(), waited = world.starvation().most;
@@ -111,7 +113,7 @@
     const auto served = std::count_if(t.evidence.calls.begin(), t.evidence.calls.end(),
                                       [](const CallRecord& c) { return c.status == 200; });
     std::printf("| %zu, %zu | %.2f | %.0f | %ld | %.4f | %.2f | %.0f | %.4f | %.3f |\n", nodes, servers,
-                start, memory, usage.ru_maxrss, cpu, rest, s.load.rate,
+                start, memory, usage.ru_maxrss, cpu, harness_cpu, s.load.rate,
                 static_cast<double>(served) / static_cast<double>(t.evidence.calls.size()), waited);
     std::fflush(stdout);
   }
@@ -124,6 +126,6 @@
     std::fprintf(stderr, "nettlestand_lab_costs: give the node's program\n");
     return 2;
   }
-  relay();
-  worlds(argv[1]);
+  measure_link_cost();
+  measure_world_cost(argv[1]);
 }
--- a/bench/peers.cpp
+++ b/bench/peers.cpp
@@ -30,25 +30,25 @@
 using peers::testing::Fleet;
 
 // Each tells all others every second that it is there; who was not heard for five is dead. Names are known.
-struct Heart final : emulator::Actor {
-  Heart(std::size_t count, std::vector<peers::testing::RecordedChange>* changes)
-      : heard(count, 0), dead(count), changes(changes) {}
+struct HeartbeatNode final : emulator::Actor {
+  HeartbeatNode(std::size_t count, std::vector<peers::testing::RecordedChange>* changes)
+      : last_heard(count, 0), dead(count), changes(changes) {}
   void start(emulator::Context& c) override {
-    std::fill(heard.begin(), heard.end(), c.now());
+    std::fill(last_heard.begin(), last_heard.end(), c.now());
     c.set_timer(c.now() + static_cast<double>(c.random()() % 1000) / 1000, 1);
   }
   void message(emulator::Context& c, emulator::ActorId from, const std::string&) override {
-    heard[from] = c.now();
+    last_heard[from] = c.now();
     dead[from] = 0;
   }
   void timer(emulator::Context& c, std::uint64_t) override {
-    const std::string beat(66, 'b');  // as long as a ping
-    for (emulator::ActorId i = 0; i < heard.size(); ++i) {
+    const std::string heartbeat(66, 'b');  // as long as a ping
+    for (emulator::ActorId i = 0; i < last_heard.size(); ++i) {
       if (i == c.self()) continue;
-      c.send(i, beat);
-      if (!dead[i] && c.now() - heard[i] > 5) {
+      c.send(i, heartbeat);
+      if (!dead[i] && c.now() - last_heard[i] > 5) {
         dead[i] = 1;
-        ++declared;
+        ++declared_dead;
         if (changes != nullptr) {
           Change change;
           change.member.key = member_key(Fleet::name(i));
@@ -59,28 +59,29 @@
     }
     c.set_timer(c.now() + 1, 1);
   }
-  std::vector<double> heard;
+  std::vector<double> last_heard;
   std::vector<char> dead;
   std::vector<peers::testing::RecordedChange>* changes;
-  std::uint64_t declared = 0;
+  std::uint64_t declared_dead = 0;
 };
 
-enum class Kinds { kHearts, kSwim, kLifeguard, kShipped };
-constexpr Kinds kAll[] = {Kinds::kHearts, Kinds::kSwim, Kinds::kLifeguard, Kinds::kShipped};
-const char* name_of(Kinds kind) {
+enum class ProtocolVariant { kHeartbeats, kSwim, kLifeguard, kShipped };
+constexpr ProtocolVariant kAllVariants[] = {ProtocolVariant::kHeartbeats, ProtocolVariant::kSwim,
+                                            ProtocolVariant::kLifeguard, ProtocolVariant::kShipped};
+const char* name_of(ProtocolVariant kind) {
   const char* names[] = {"heartbeats", "SWIM", "with Lifeguard", "as shipped"};
   return names[static_cast<int>(kind)];
 }
 
-MembershipSettings settings(Kinds kind) {
+MembershipSettings settings(ProtocolVariant kind) {
   MembershipSettings out;
-  out.protocol = kind == Kinds::kSwim        ? Protocol::kSwim
-                 : kind == Kinds::kLifeguard ? Protocol::kLifeguard
-                                             : Protocol::kDefault;
+  out.protocol = kind == ProtocolVariant::kSwim        ? Protocol::kSwim
+                 : kind == ProtocolVariant::kLifeguard ? Protocol::kLifeguard
+                                                       : Protocol::kDefault;
   return out;
 }
 
-standins::WayFaults network(double loss) {
+standins::WayFaults link_conditions(double loss) {
   standins::WayFaults out;
   out.delay = 0.001;
   out.jitter = 0.004;
@@ -91,7 +92,7 @@
 double quantile(std::vector<double> all, double part) { return lab::quantile(all, part); }
 
 // One run for each kind and seed, a core each; `f` fills a place of its own.
-void each(int kinds, int seeds, const std::function<void(int kind, int seed)>& f) {
+void run_in_parallel(int kinds, int seeds, const std::function<void(int kind, int seed)>& f) {
   std::atomic<int> next = 0;
   std::vector<std::thread> threads;
   const unsigned width = std::max(1U, std::thread::hardware_concurrency());
@@ -104,13 +105,14 @@
 }
 
 // A fleet that knows itself, of any kind.
-std::unique_ptr<Fleet> known_fleet(Kinds kind, std::size_t nodes, double loss, std::uint64_t seed) {
+std::unique_ptr<Fleet> make_joined_fleet(ProtocolVariant kind, std::size_t nodes, double loss,
+                                         std::uint64_t seed) {
   auto fleet = std::make_unique<Fleet>(0, seed, settings(kind));
-  fleet->sim.set_network(network(loss));
-  if (kind == Kinds::kHearts) {
+  fleet->sim.set_network(link_conditions(loss));
+  if (kind == ProtocolVariant::kHeartbeats) {
     for (std::size_t i = 0; i < nodes; ++i) {
       fleet->sim.add([f = fleet.get(), nodes](emulator::ActorId, std::uint64_t) {
-        return std::make_unique<Heart>(nodes, f->record ? &f->changes : nullptr);
+        return std::make_unique<HeartbeatNode>(nodes, f->record ? &f->changes : nullptr);
       });
     }
     fleet->start_all();
@@ -129,174 +131,182 @@
   return fleet;
 }
 
-std::uint64_t total(Fleet& fleet, std::uint64_t emulator::Traffic::*what) {
+std::uint64_t total_traffic(Fleet& fleet, std::uint64_t emulator::Traffic::*counter) {
   std::uint64_t out = 0;
-  for (emulator::ActorId i = 0; i < fleet.sim.size(); ++i) out += fleet.sim.traffic(i).*what;
+  for (emulator::ActorId i = 0; i < fleet.sim.size(); ++i) out += fleet.sim.traffic(i).*counter;
   return out;
 }
 
-void deaths(std::size_t nodes, double loss, int seeds, int rounds) {
-  struct Seen {
+void measure_deaths(std::size_t nodes, double loss, int seeds, int rounds) {
+  struct SeedResult {
     std::vector<double> first, all;
     double bytes = 0, datagrams = 0;
-    int missed = 0;
+    int incomplete = 0;
   };
-  std::vector<std::vector<Seen>> seen(4, std::vector<Seen>(static_cast<std::size_t>(seeds)));
-  each(4, seeds, [&](int k, int seed) {
-    if (kAll[k] == Kinds::kHearts && nodes > 300) return;  // as many datagrams a second as nodes squared
-    Seen& s = seen[static_cast<std::size_t>(k)][static_cast<std::size_t>(seed)];
-    const auto fleet = known_fleet(kAll[k], nodes, loss, static_cast<std::uint64_t>(seed) * 31 + 5);
+  std::vector<std::vector<SeedResult>> results(4, std::vector<SeedResult>(static_cast<std::size_t>(seeds)));
+  run_in_parallel(4, seeds, [&](int k, int seed) {
+    if (kAllVariants[k] == ProtocolVariant::kHeartbeats && nodes > 300)
+      return;  // as many datagrams a second as nodes squared
+    SeedResult& s = results[static_cast<std::size_t>(k)][static_cast<std::size_t>(seed)];
+    const auto fleet =
+        make_joined_fleet(kAllVariants[k], nodes, loss, static_cast<std::uint64_t>(seed) * 31 + 5);
     fleet->sim.run_until(10);
     for (int round = 0; round < rounds; ++round) {
-      const auto who = static_cast<emulator::ActorId>((static_cast<std::size_t>(round) * 37 + 5) % nodes);
+      const auto victim = static_cast<emulator::ActorId>((static_cast<std::size_t>(round) * 37 + 5) % nodes);
       fleet->sim.run_until(fleet->sim.now() + 3 + 0.13 * round);
       fleet->changes.clear();
       const double at = fleet->sim.now();
-      const std::uint64_t bytes = total(*fleet, &emulator::Traffic::bytes_sent);
-      const std::uint64_t datagrams = total(*fleet, &emulator::Traffic::sent);
-      fleet->sim.kill(who);
+      const std::uint64_t bytes = total_traffic(*fleet, &emulator::Traffic::bytes_sent);
+      const std::uint64_t datagrams = total_traffic(*fleet, &emulator::Traffic::sent);
+      fleet->sim.kill(victim);
       fleet->sim.run_until(at + 15);
-      std::vector<double> heard(nodes, -1);
+      std::vector<double> known_after(nodes, -1);
       for (const auto& one : fleet->changes) {
-        if (one.change.member.key == member_key(Fleet::name(who)) &&
-            one.change.member.state == MemberState::kDead && heard[one.observer] < 0) {
-          heard[one.observer] = one.at - at;
+        if (one.change.member.key == member_key(Fleet::name(victim)) &&
+            one.change.member.state == MemberState::kDead && known_after[one.observer] < 0) {
+          known_after[one.observer] = one.at - at;
         }
       }
       std::vector<double> known;
       for (emulator::ActorId i = 0; i < nodes; ++i) {
-        if (i != who && heard[i] >= 0) known.push_back(heard[i]);
+        if (i != victim && known_after[i] >= 0) known.push_back(known_after[i]);
       }
       if (!known.empty()) s.first.push_back(*std::min_element(known.begin(), known.end()));
       if (known.size() == nodes - 1) {
         s.all.push_back(*std::max_element(known.begin(), known.end()));
       } else {
-        ++s.missed;
+        ++s.incomplete;
       }
-      const double spent = 15 * static_cast<double>(nodes);
-      s.bytes += static_cast<double>(total(*fleet, &emulator::Traffic::bytes_sent) - bytes) / spent / rounds;
-      s.datagrams +=
-          static_cast<double>(total(*fleet, &emulator::Traffic::sent) - datagrams) / spent / rounds;
-      fleet->sim.start(who);
+      const double node_seconds = 15 * static_cast<double>(nodes);
+      s.bytes += static_cast<double>(total_traffic(*fleet, &emulator::Traffic::bytes_sent) - bytes) /
+                 node_seconds / rounds;
+      s.datagrams += static_cast<double>(total_traffic(*fleet, &emulator::Traffic::sent) - datagrams) /
+                     node_seconds / rounds;
+      fleet->sim.start(victim);
       fleet->sim.run_until(fleet->sim.now() + 6);
     }
   });
   for (int k = 0; k < 4; ++k) {
     std::vector<double> first, all, bytes, datagrams;
-    int missed = 0;
-    for (const Seen& s : seen[static_cast<std::size_t>(k)]) {
+    int incomplete = 0;
+    for (const SeedResult& s : results[static_cast<std::size_t>(k)]) {
       first.insert(first.end(), s.first.begin(), s.first.end());
       all.insert(all.end(), s.all.begin(), s.all.end());
       bytes.push_back(s.bytes);
       datagrams.push_back(s.datagrams);
-      missed += s.missed;
+      incomplete += s.incomplete;
     }
     if (first.empty()) continue;
     const lab::Estimate b = lab::estimate(bytes), d = lab::estimate(datagrams);
     std::printf("| %zu | %.0f%% | %s | %.1f, %.1f | %.1f, %.1f | %d of %d | %.0f ± %.0f | %.1f ± %.1f |\n",
-                nodes, 100 * loss, name_of(kAll[k]), quantile(first, 0.5), quantile(first, 0.99),
-                quantile(all, 0.5), quantile(all, 0.99), missed, seeds * rounds, b.mean, b.half, d.mean,
+                nodes, 100 * loss, name_of(kAllVariants[k]), quantile(first, 0.5), quantile(first, 0.99),
+                quantile(all, 0.5), quantile(all, 0.99), incomplete, seeds * rounds, b.mean, b.half, d.mean,
                 d.half);
   }
 }
 
 // An accusation or a death is false where its member ran, and had run for the second before.
-void accusations(const std::string& trouble, std::size_t nodes, double minutes, int seeds,
-                 bool shipped_alone) {
-  const double loss = trouble.rfind("loss:", 0) == 0 ? std::atof(trouble.c_str() + 5) : 0;
-  struct Seen {
-    double accusations = 0, dead = 0, standing = 0, bytes = 0;
+void measure_suspicions(const std::string& fault, std::size_t nodes, double minutes, int seeds,
+                        bool shipped_only) {
+  const double loss = fault.rfind("loss:", 0) == 0 ? std::atof(fault.c_str() + 5) : 0;
+  struct SeedResult {
+    double false_suspicions = 0, dead = 0, of_paused = 0, bytes = 0;
   };
-  std::vector<std::vector<Seen>> seen(4, std::vector<Seen>(static_cast<std::size_t>(seeds)));
-  each(4, seeds, [&](int k, int seed) {
-    if (shipped_alone && kAll[k] != Kinds::kShipped) return;
-    Seen& s = seen[static_cast<std::size_t>(k)][static_cast<std::size_t>(seed)];
-    const auto fleet = known_fleet(kAll[k], nodes, loss, static_cast<std::uint64_t>(seed) * 17 + 9);
+  std::vector<std::vector<SeedResult>> results(4, std::vector<SeedResult>(static_cast<std::size_t>(seeds)));
+  run_in_parallel(4, seeds, [&](int k, int seed) {
+    if (shipped_only && kAllVariants[k] != ProtocolVariant::kShipped) return;
+    SeedResult& s = results[static_cast<std::size_t>(k)][static_cast<std::size_t>(seed)];
+    const auto fleet =
+        make_joined_fleet(kAllVariants[k], nodes, loss, static_cast<std::uint64_t>(seed) * 17 + 9);
     pcg64 random(static_cast<std::uint64_t>(seed) + 4);
-    const auto anybody = [&] { return static_cast<emulator::ActorId>(random() % nodes); };
+    const auto random_node = [&] { return static_cast<emulator::ActorId>(random() % nodes); };
     fleet->sim.run_until(10);
     fleet->changes.clear();
-    if (trouble == "one-sided") {
+    if (fault == "one-sided") {
       standins::WayFaults cut;
       cut.cut = true;
-      for (std::size_t i = 0; i < nodes * 3 / 2; ++i) fleet->sim.set_way(anybody(), anybody(), cut);
+      for (std::size_t i = 0; i < nodes * 3 / 2; ++i) fleet->sim.set_way(random_node(), random_node(), cut);
     }
-    std::vector<double> stood(nodes, -10);  // until when; infinite while it stands
-    std::unordered_map<MemberKey, emulator::ActorId> who_is;
-    for (emulator::ActorId i = 0; i < nodes; ++i) who_is[member_key(Fleet::name(i))] = i;
-    const auto look = [&] {
+    std::vector<double> paused_until(nodes, -10);  // until when; infinite while it stands
+    std::unordered_map<MemberKey, emulator::ActorId> actor_of;
+    for (emulator::ActorId i = 0; i < nodes; ++i) actor_of[member_key(Fleet::name(i))] = i;
+    const auto count_changes = [&] {
       for (const auto& one : fleet->changes) {
         const bool dead = one.change.member.state == MemberState::kDead;
-        const bool own =
-            kAll[k] == Kinds::kHearts || one.change.source == member_key(Fleet::name(one.observer));
+        const bool own = kAllVariants[k] == ProtocolVariant::kHeartbeats ||
+                         one.change.source == member_key(Fleet::name(one.observer));
         if (!own || (!dead && one.change.member.state != MemberState::kSuspect)) continue;
-        const bool stands = one.at < stood[who_is[one.change.member.key]] + 1;
-        ++(stands ? s.standing : dead ? s.dead : s.accusations);
+        const bool was_paused = one.at < paused_until[actor_of[one.change.member.key]] + 1;
+        ++(was_paused ? s.of_paused : dead ? s.dead : s.false_suspicions);
       }
       fleet->changes.clear();
     };
-    const std::uint64_t bytes = total(*fleet, &emulator::Traffic::bytes_sent);
+    const std::uint64_t bytes = total_traffic(*fleet, &emulator::Traffic::bytes_sent);
     const double from = fleet->sim.now(), until = from + minutes * 60;
     while (fleet->sim.now() < until) {
-      if (trouble == "pauses") {  // a tenth stands for 5 s, by chance
-        std::vector<emulator::ActorId> who;
-        for (std::size_t i = 0; i < std::max<std::size_t>(1, nodes / 10); ++i) who.push_back(anybody());
-        for (const auto w : who) {
+      if (fault == "pauses") {  // a tenth stands for 5 s, by chance
+        std::vector<emulator::ActorId> paused;
+        for (std::size_t i = 0; i < std::max<std::size_t>(1, nodes / 10); ++i)
+          paused.push_back(random_node());
+        for (const auto w : paused) {
           fleet->sim.pause(w);
-          stood[w] = std::numeric_limits<double>::infinity();
+          paused_until[w] = std::numeric_limits<double>::infinity();
         }
         fleet->sim.run_until(fleet->sim.now() + 5);
-        look();
-        for (const auto w : who) {
+        count_changes();
+        for (const auto w : paused) {
           fleet->sim.resume(w);
-          stood[w] = fleet->sim.now();
+          paused_until[w] = fleet->sim.now();
         }
         fleet->sim.run_until(fleet->sim.now() + 10);
       } else {
         fleet->sim.run_until(fleet->sim.now() + 60);
       }
-      look();
+      count_changes();
     }
     const double hours = (fleet->sim.now() - from) / 3600 * static_cast<double>(nodes);
     s.dead /= hours;
-    s.accusations /= hours;
-    s.standing /= hours;
-    s.bytes = static_cast<double>(total(*fleet, &emulator::Traffic::bytes_sent) - bytes) / hours / 3600;
+    s.false_suspicions /= hours;
+    s.of_paused /= hours;
+    s.bytes =
+        static_cast<double>(total_traffic(*fleet, &emulator::Traffic::bytes_sent) - bytes) / hours / 3600;
   });
   for (int k = 0; k < 4; ++k) {
-    if (shipped_alone && kAll[k] != Kinds::kShipped) continue;
-    std::vector<double> accused, dead, standing, bytes;
-    for (const Seen& s : seen[static_cast<std::size_t>(k)]) {
-      accused.push_back(s.accusations);
+    if (shipped_only && kAllVariants[k] != ProtocolVariant::kShipped) continue;
+    std::vector<double> accused, dead, of_paused, bytes;
+    for (const SeedResult& s : results[static_cast<std::size_t>(k)]) {
+      accused.push_back(s.false_suspicions);
       dead.push_back(s.dead);
-      standing.push_back(s.standing);
+      of_paused.push_back(s.of_paused);
       bytes.push_back(s.bytes);
     }
-    const lab::Estimate a = lab::estimate(accused), d = lab::estimate(dead), st = lab::estimate(standing),
+    const lab::Estimate a = lab::estimate(accused), d = lab::estimate(dead), st = lab::estimate(of_paused),
                         b = lab::estimate(bytes);
     std::printf("| %s | %zu | %s | %.0f | %.2f ± %.2f | %.3f ± %.3f | %.0f ± %.0f | %.0f ± %.0f |\n",
-                trouble.c_str(), nodes, name_of(kAll[k]), minutes / 60 * static_cast<double>(nodes) * seeds,
-                a.mean, a.half, d.mean, d.half, st.mean, st.half, b.mean, b.half);
+                fault.c_str(), nodes, name_of(kAllVariants[k]),
+                minutes / 60 * static_cast<double>(nodes) * seeds, a.mean, a.half, d.mean, d.half, st.mean,
+                st.half, b.mean, b.half);
   }
 }
 
-void joining(std::size_t nodes, double loss, int seeds, bool listed) {
+void measure_joining(std::size_t nodes, double loss, int seeds, bool listed) {
   std::vector<std::vector<double>> took(4), bytes(4);
   for (auto* v : {&took, &bytes}) {
     for (auto& one : *v) one.resize(static_cast<std::size_t>(seeds));
   }
-  each(3, seeds, [&](int k, int seed) {
+  run_in_parallel(3, seeds, [&](int k, int seed) {
     ++k;  // heartbeats know everybody
-    Fleet fleet(nodes, static_cast<std::uint64_t>(seed) * 13 + 3, settings(kAll[k]), listed ? nodes : 3);
+    Fleet fleet(nodes, static_cast<std::uint64_t>(seed) * 13 + 3, settings(kAllVariants[k]),
+                listed ? nodes : 3);
     fleet.record = false;
-    fleet.sim.set_network(network(loss));
+    fleet.sim.set_network(link_conditions(loss));
     fleet.start_all();
     const bool all = fleet.converge(300);
     const auto s = static_cast<std::size_t>(seed);
     took[static_cast<std::size_t>(k)][s] = all ? fleet.sim.now() : std::nan("");
     bytes[static_cast<std::size_t>(k)][s] =
-        static_cast<double>(total(fleet, &emulator::Traffic::bytes_sent)) / static_cast<double>(nodes) /
-        fleet.sim.now();
+        static_cast<double>(total_traffic(fleet, &emulator::Traffic::bytes_sent)) /
+        static_cast<double>(nodes) / fleet.sim.now();
   });
   for (std::size_t k = 1; k < 4; ++k) {
     const lab::Estimate b = lab::estimate(bytes[k]);
@@ -304,33 +314,34 @@
     std::erase_if(took[k], [](double t) { return std::isnan(t); });
     const lab::Estimate t = lab::estimate(took[k]);
     std::printf("| %zu%s | %.0f%% | %s | %.1f ± %.1f | %d of %d | %.0f ± %.0f |\n", nodes,
-                listed ? ", listed" : "", 100 * loss, name_of(kAll[k]), t.mean, t.half,
+                listed ? ", listed" : "", 100 * loss, name_of(kAllVariants[k]), t.mean, t.half,
                 static_cast<int>(late), seeds, b.mean, b.half);
   }
 }
 
-double cpu() {
+double cpu_seconds() {
   rusage used{};
   getrusage(RUSAGE_SELF, &used);
   return static_cast<double>(used.ru_utime.tv_sec + used.ru_stime.tv_sec) +
          static_cast<double>(used.ru_utime.tv_usec + used.ru_stime.tv_usec) * 1e-6;
 }
 
-void costs(std::size_t nodes, double seconds) {
-  for (const Kinds kind : kAll) {
-    if (kind == Kinds::kHearts && nodes > 1000) continue;
-    const auto fleet = known_fleet(kind, nodes, 0, 1);
+void measure_costs(std::size_t nodes, double seconds) {
+  for (const ProtocolVariant kind : kAllVariants) {
+    if (kind == ProtocolVariant::kHeartbeats && nodes > 1000) continue;
+    const auto fleet = make_joined_fleet(kind, nodes, 0, 1);
     fleet->record = false;
     fleet->sim.run_until(5);
-    const std::uint64_t bytes = total(*fleet, &emulator::Traffic::bytes_sent);
-    const std::uint64_t datagrams = total(*fleet, &emulator::Traffic::sent);
-    const double from = cpu();
+    const std::uint64_t bytes = total_traffic(*fleet, &emulator::Traffic::bytes_sent);
+    const std::uint64_t datagrams = total_traffic(*fleet, &emulator::Traffic::sent);
+    const double from = cpu_seconds();
     fleet->sim.run_until(5 + seconds);
-    const double spent = seconds * static_cast<double>(nodes);
-    std::printf("| %zu | %s | %.0f | %.1f | %.4f%% |\n", nodes, name_of(kind),
-                static_cast<double>(total(*fleet, &emulator::Traffic::bytes_sent) - bytes) / spent,
-                static_cast<double>(total(*fleet, &emulator::Traffic::sent) - datagrams) / spent,
-                100 * (cpu() - from) / spent);
+    const double node_seconds = seconds * static_cast<double>(nodes);
+    std::printf(
+        "| %zu | %s | %.0f | %.1f | %.4f%% |\n", nodes, name_of(kind),
+        static_cast<double>(total_traffic(*fleet, &emulator::Traffic::bytes_sent) - bytes) / node_seconds,
+        static_cast<double>(total_traffic(*fleet, &emulator::Traffic::sent) - datagrams) / node_seconds,
+        100 * (cpu_seconds() - from) / node_seconds);
     std::fflush(stdout);
   }
 }
@@ -338,33 +349,34 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  const std::string what = argc > 1 ? argv[1] : "";
-  const auto number = [&](int i, double otherwise) { return argc > i ? std::atof(argv[i]) : otherwise; };
-  const auto count = [&](int i, double otherwise) { return static_cast<std::size_t>(number(i, otherwise)); };
-  if (what == "deaths") {
+  const std::string command = argc > 1 ? argv[1] : "";
+  const auto number = [&](int i, double fallback) { return argc > i ? std::atof(argv[i]) : fallback; };
+  const auto count = [&](int i, double fallback) { return static_cast<std::size_t>(number(i, fallback)); };
+  if (command == "deaths") {
     std::puts(
         "| nodes | lost | kind | first knows after s: p50, p99 | all know after s: p50, p99 | not all within "
         "15 s | "
         "bytes/s a node | datagrams/s a node |\n| --- | --- | --- | --- | --- | --- | --- | --- |");
-    deaths(count(2, 100), number(3, 0), static_cast<int>(number(4, 4)), static_cast<int>(number(5, 25)));
-  } else if (what == "accusations") {
+    measure_deaths(count(2, 100), number(3, 0), static_cast<int>(number(4, 4)),
+                   static_cast<int>(number(5, 25)));
+  } else if (command == "accusations") {
     std::puts(
         "| trouble | nodes | kind | node-hours | false accusations a node-hour | living declared dead a "
         "node-hour | "
         "both, of those that stood | bytes/s a node |\n| --- | --- | --- | --- | --- | --- | --- | --- |");
-    accusations(argc > 2 ? argv[2] : "loss:0", count(3, 40), number(4, 15), static_cast<int>(number(5, 6)),
-                argc > 6);
-  } else if (what == "joining") {
+    measure_suspicions(argc > 2 ? argv[2] : "loss:0", count(3, 40), number(4, 15),
+                       static_cast<int>(number(5, 6)), argc > 6);
+  } else if (command == "joining") {
     std::puts(
         "| nodes | lost | kind | all know all after s | not within 300 s | bytes/s a node meanwhile |\n| --- "
         "| --- | "
         "--- | --- | --- | --- |");
-    joining(count(2, 300), number(3, 0), static_cast<int>(number(4, 4)), argc > 5);
-  } else if (what == "costs") {
+    measure_joining(count(2, 300), number(3, 0), static_cast<int>(number(4, 4)), argc > 5);
+  } else if (command == "costs") {
     std::puts(
         "| nodes | kind | bytes/s a node | datagrams/s a node | of a core a node |\n| --- | --- | --- | --- "
         "| --- |");
-    costs(count(2, 1000), number(3, 20));
+    measure_costs(count(2, 1000), number(3, 20));
   } else {
     std::fprintf(stderr,
                  "usage: nettlestand_peers_bench deaths|accusations|joining|costs ...: see the source\n");
--- a/bench/reading.cpp
+++ b/bench/reading.cpp
@@ -18,7 +18,7 @@
   return out;
 }
 
-void read_a_request(benchmark::State& state) {
+void read_request(benchmark::State& state) {
   const ns::RequestValidator request_validator(settings(), {"lookup"}, {"acme"});
   ns::ByteBudget budget(1 << 20);
   ns::RequestReader reader(request_validator, budget, 0);
@@ -40,7 +40,7 @@
   }
   state.SetItemsProcessed(state.iterations());
 }
-BENCHMARK(read_a_request)->Arg(0)->Arg(10)->Arg(40);
+BENCHMARK(read_request)->Arg(0)->Arg(10)->Arg(40);
 
 }  // namespace
 
--- a/tests/system/simulation_test.cpp
+++ b/tests/system/simulation_test.cpp
@@ -6,7 +6,7 @@
 #include <thread>
 
 #include "node/log.h"
-#include "simulate/campaign.h"
+#include "simulate/scenario.h"
 
 using namespace nettlestand::tier;
 using namespace nettlestand::tier::simulate;
@@ -20,19 +20,20 @@
 
 // Runs scenarios on all cores. Each one belongs to a single thread, so the outcomes do not depend on the
 // order.
-Totals run_scenarios(std::uint64_t from, std::uint64_t count, Planted planted, bool until_broken) {
+Totals run_scenarios(std::uint64_t from, std::uint64_t count, InjectedFault injected_fault,
+                     bool until_broken) {
   Totals totals;
   std::mutex mutex;
   std::atomic<std::uint64_t> next(from);
   const auto worker = [&] {
     for (std::uint64_t seed = next++; seed < from + count; seed = next++) {
-      const Outcome outcome = play(seed, planted);
+      const ScenarioResult outcome = run_scenario(seed, injected_fault);
       const std::lock_guard lock(mutex);
-      totals.orders += outcome.orders;
-      totals.results += outcome.results;
-      if (outcome.broken.empty()) continue;
+      totals.orders += outcome.acknowledged_changes;
+      totals.results += outcome.results_read;
+      if (outcome.violation.empty()) continue;
       if (totals.broken++ == 0)
-        totals.first_violation = "seed " + std::to_string(seed) + ": " + outcome.broken;
+        totals.first_violation = "seed " + std::to_string(seed) + ": " + outcome.violation;
       if (until_broken) next = from + count;
     }
   };
@@ -49,14 +50,14 @@
 // Built with a fault injected into one source file: see CMakeLists.txt.
 TEST_CASE("the planted fault of this build is found") {
   start_logging("error");
-  const Totals totals = run_scenarios(1, 4000, Planted::kNone, true);
+  const Totals totals = run_scenarios(1, 4000, InjectedFault::kNone, true);
   INFO(totals.first_violation);
   CHECK(totals.broken > 0);
 }
 #else
 TEST_CASE("whole tiers keep their promises over many worlds") {
   start_logging("error");
-  const Totals totals = run_scenarios(1, SIMULATED_WORLDS, Planted::kNone, false);
+  const Totals totals = run_scenarios(1, SIMULATED_WORLDS, InjectedFault::kNone, false);
   INFO(totals.first_violation);
   CHECK(totals.broken == 0);
   // The scenarios did a minimum of work.
@@ -65,18 +66,19 @@
 }
 
 TEST_CASE("a world plays the same way again") {
-  const Outcome first = play(77), second = play(77);
-  CHECK(first.orders == second.orders);
-  CHECK(first.results == second.results);
-  CHECK(first.log == second.log);
+  const ScenarioResult first = run_scenario(77), second = run_scenario(77);
+  CHECK(first.acknowledged_changes == second.acknowledged_changes);
+  CHECK(first.results_read == second.results_read);
+  CHECK(first.fault_log == second.fault_log);
 }
 
 #ifndef SIMULATED_QUICKLY
 TEST_CASE("faults planted in disk, clock and identity are found") {
-  const auto planted = GENERATE(Planted::kAcknowledgeBeforeSync, Planted::kIdentityAfterWipe,
-                                Planted::kNoSyncAtStart, Planted::kStandingClock);
-  INFO("injected fault " << static_cast<int>(planted));
-  CHECK(run_scenarios(1, 2000, planted, true).broken > 0);
+  const auto injected_fault =
+      GENERATE(InjectedFault::kAcknowledgeBeforeSync, InjectedFault::kIdentitySurvivesWipe,
+               InjectedFault::kNoSyncOnStart, InjectedFault::kClockStopsWhileFrozen);
+  INFO("injected fault " << static_cast<int>(injected_fault));
+  CHECK(run_scenarios(1, 2000, injected_fault, true).broken > 0);
 }
 #endif
 #endif
--- a/tests/system/soak_test.cpp
+++ b/tests/system/soak_test.cpp
@@ -19,17 +19,17 @@
 constexpr int kSoakSeconds = 20;
 constexpr std::uint64_t kPlannedSeed = 2, kUnplannedSeed = 3;
 
-LiveRequest live_request(const std::string& id, bool repeatable, int status) {
+LiveRequest live_request(const std::string& id, bool idempotent, int status) {
   LiveRequest out;
   out.id = id;
   out.target = "/x";
   out.body = "body";
   out.tenant = "t";
-  out.repeatable = repeatable;
+  out.idempotent = idempotent;
   out.sent_at = 1000;
   out.outcome.status = status;
-  out.outcome.complete = status != 0;
-  out.outcome.whole_sent = true;
+  out.outcome.response_complete = status != 0;
+  out.outcome.request_sent = true;
   out.outcome.ended_at = 2000;
   return out;
 }
@@ -47,10 +47,10 @@
 // The violations that the oracle reports for one request and its runs.
 std::vector<std::string> violations_of(const LiveRequest& sent,
                                        const std::vector<standins::SeenRequest>& runs) {
-  Ledger ledger;
-  ledger.on_sent(sent);
-  ledger.check(runs);
-  return ledger.broken();
+  Oracle oracle;
+  oracle.on_sent(sent);
+  oracle.check(runs);
+  return oracle.violations();
 }
 
 }  // namespace
@@ -100,11 +100,11 @@
   options.program = PROGRAM;
   options.seconds = kSoakSeconds;
   options.seed = GENERATE(kPlannedSeed, kUnplannedSeed);
-  const SoakReport report = play_soak(options);
+  const SoakReport report = run_soak(options);
   std::string broken;
-  for (const std::string& line : report.broken) broken += line + "\n";
+  for (const std::string& line : report.violations) broken += line + "\n";
   INFO("seed " << options.seed << "\n" << broken);
-  CHECK(report.broken.empty());
+  CHECK(report.violations.empty());
   // It did a minimum of work.
   CHECK(report.totals.served > 500);
   CHECK(report.totals.results > 50);
@@ -130,11 +130,11 @@
 
 TEST_CASE("a loss beside unplanned trouble, or at the close of a connection, is not owed") {
   const auto violations_beside_fault = [](const LiveRequest& sent, Millis from, Millis until) {
-    Ledger ledger;
-    ledger.on_sent(sent);
-    ledger.on_unplanned(sent.node, from, until);
-    ledger.check({seen_request(sent.id)});
-    return ledger.broken().size();
+    Oracle oracle;
+    oracle.on_sent(sent);
+    oracle.on_node_fault(sent.node, from, until);
+    oracle.check({seen_request(sent.id)});
+    return oracle.violations().size();
   };
   const LiveRequest lost = live_request("a", false, 0);
   CHECK(violations_beside_fault(lost, 1500, 1600) == 0);
@@ -146,26 +146,26 @@
 }
 
 TEST_CASE("results of jobs are compared with what was submitted and with what was read before") {
-  Ledger ledger;
-  ledger.set_whole_text("whole");
+  Oracle oracle;
+  oracle.set_expected_result("whole");
   SubmittedJob job;
   job.id = "j";
   job.tenant = "t";
   job.bodies = {{"j-0", "body"}, {"j-1", "body"}};
-  ledger.on_job(job);
-  ledger.on_job_answer("j", true, false);
-  ledger.on_page("j", {"j-0"}, {"whole"});
-  ledger.on_page("j", {"j-0", "j-1"}, {"whole", "whole"});
-  CHECK(ledger.broken().empty());
-  CHECK(ledger.open_jobs().empty());
-  SECTION("another result at a position") { ledger.on_page("j", {"j-1"}, {"whole"}); }
-  SECTION("an item twice") { ledger.on_page("j", {"j-0", "j-1", "j-0"}, {"whole", "whole", "whole"}); }
-  SECTION("a text that is not whole") { ledger.on_page("j", {"j-0"}, {"whol"}); }
-  SECTION("a job that is gone") { ledger.on_job_missing("j"); }
+  oracle.on_job(job);
+  oracle.on_job_submitted("j", true, false);
+  oracle.on_result_page("j", {"j-0"}, {"whole"});
+  oracle.on_result_page("j", {"j-0", "j-1"}, {"whole", "whole"});
+  CHECK(oracle.violations().empty());
+  CHECK(oracle.unfinished_jobs().empty());
+  SECTION("another result at a position") { oracle.on_result_page("j", {"j-1"}, {"whole"}); }
+  SECTION("an item twice") { oracle.on_result_page("j", {"j-0", "j-1", "j-0"}, {"whole", "whole", "whole"}); }
+  SECTION("a text that is not whole") { oracle.on_result_page("j", {"j-0"}, {"whol"}); }
+  SECTION("a job that is gone") { oracle.on_job_missing("j"); }
   SECTION("an item of which the body has changed") {
     standins::SeenRequest run = seen_request("j-0");
     run.body = "";
-    ledger.check({run});
+    oracle.check({run});
   }
-  CHECK(ledger.broken().size() == 1);
+  CHECK(oracle.violations().size() == 1);
 }
--- a/tools/simulate/cluster.cpp
+++ b/tools/simulate/cluster.cpp
@@ -9,49 +9,50 @@
 namespace nettlestand::tier::simulate {
 namespace {
 
-constexpr Millis kTickMs = 40;
-constexpr Millis kCheckMs = 50;
+constexpr Millis kTickIntervalMs = 40;
+constexpr Millis kCheckIntervalMs = 50;
 constexpr Millis kCatchUpMs = 5700;
-constexpr Millis kConnectionMs = 1500;  // what a cut holds up for longer is lost
-constexpr Millis kCutRetryMs = 60;
-constexpr Millis kSyncMs = 1, kSlowSyncMs = 30;
-constexpr Millis kRestartRetryMs = 300;
-constexpr Millis kLeaseMs = 3700;  // revoke_ms less the margin that nodes keep
-constexpr double kLossyDelay = 0.05;
-constexpr double kLate = 0.15;  // of the messages, while some come late
-constexpr std::uint64_t kMostLateMs = 4000;
-constexpr double kDamaged = 0.3;  // of the pieces of a configuration, while links are lossy
-constexpr std::size_t kMostRunning = 6;
-constexpr int kItemAttempts = 2;
-constexpr std::uint64_t kTurnedAwayPercent = 25, kFailedPercent = 4;  // of the items that are sent
+constexpr Millis kConnectionTimeoutMs = 1500;  // what a cut holds up for longer is lost
+constexpr Millis kCutRetryIntervalMs = 60;
+constexpr Millis kSyncDurationMs = 1, kSlowSyncDurationMs = 30;
+constexpr Millis kRestartRetryDelayMs = 300;
+constexpr Millis kConfigurationLeaseMs = 3700;  // revoke_ms less the margin that nodes keep
+constexpr double kExtraDelayProbability = 0.05;
+constexpr double kReorderProbability = 0.15;  // of the messages, while some come late
+constexpr std::uint64_t kMaxReorderDelayMs = 4000;
+constexpr double kCorruptionProbability = 0.3;  // of the pieces of a configuration, while links are lossy
+constexpr std::size_t kMaxActiveRuns = 6;
+constexpr int kMaxItemAttempts = 2;
+constexpr std::uint64_t kRejectedPercent = 25, kFailedPercent = 4;  // of the items that are sent
 
 const char* const kZones[] = {"a", "b", "c"};
 
 }  // namespace
 
 // A process's end of the links to all others.
-class Cluster::Link : public Messenger {
+class Cluster::SimulatedLink : public Messenger {
  public:
-  Link(Cluster& cluster, std::size_t self) : cluster_(cluster), self_(self) {}
+  SimulatedLink(Cluster& cluster, std::size_t self) : cluster_(cluster), self_(self) {}
   using Messenger::send;
   void send(const std::string& address, std::string_view message, Lane) override {
     const std::size_t to = cluster_.index_of(address);
     if (to == cluster_.size()) return;
     Scheduler& scheduler = cluster_.scheduler_;
     std::string body(message);
-    if (cluster_.lossy_) cluster_.damage_content(body);
+    if (cluster_.lossy_) cluster_.corrupt_configuration(body);
     Millis delay = 1 + static_cast<Millis>(cluster_.random(3));
-    if (cluster_.lossy_ && cluster_.chance(kLossyDelay)) delay += static_cast<Millis>(cluster_.random(400));
-    if (cluster_.late_ && cluster_.chance(kLate)) {
-      delay += static_cast<Millis>(cluster_.random(kMostLateMs));
-      scheduler.after(delay, [&cluster = cluster_, from = self_, to, sent = scheduler.now(),
-                              body = std::move(body)] { cluster.deliver(from, to, sent, body); });
+    if (cluster_.lossy_ && cluster_.chance(kExtraDelayProbability))
+      delay += static_cast<Millis>(cluster_.random(400));
+    if (cluster_.reordering_ && cluster_.chance(kReorderProbability)) {
+      delay += static_cast<Millis>(cluster_.random(kMaxReorderDelayMs));
+      scheduler.schedule_after(delay, [&cluster = cluster_, from = self_, to, sent = scheduler.now(),
+                                       body = std::move(body)] { cluster.deliver(from, to, sent, body); });
       return;
     }
-    Millis& free_at = cluster_.link_free_at_[{self_, to}];
-    free_at = std::max(free_at, scheduler.now() + delay);
-    scheduler.at(free_at, [&cluster = cluster_, from = self_, to, sent = scheduler.now(),
-                           body = std::move(body)] { cluster.deliver(from, to, sent, body); });
+    Millis& idle_at = cluster_.link_idle_at_[{self_, to}];
+    idle_at = std::max(idle_at, scheduler.now() + delay);
+    scheduler.schedule_at(idle_at, [&cluster = cluster_, from = self_, to, sent = scheduler.now(),
+                                    body = std::move(body)] { cluster.deliver(from, to, sent, body); });
   }
   const std::string& own_address() const override { return cluster_.machines_[self_]->address; }
 
@@ -61,38 +62,38 @@
 };
 
 // Writes one after the other, each with its time.
-class Cluster::Queue : public storage::DiskQueue {
+class Cluster::SimulatedDiskQueue : public storage::DiskQueue {
  public:
-  Queue(Cluster& cluster, std::size_t machine, std::function<absl::Status()> sync)
+  SimulatedDiskQueue(Cluster& cluster, std::size_t machine, std::function<absl::Status()> sync)
       : cluster_(cluster),
         machine_(machine),
-        life_(cluster.machines_[machine]->life),
+        generation_(cluster.machines_[machine]->generation),
         sync_(std::move(sync)) {}
 
   void submit(Write write, Done done) override {
     Machine& machine = *cluster_.machines_[machine_];
     const Millis now = cluster_.now();
-    if (cluster_.options_.planted == Planted::kAcknowledgeBeforeSync) {
+    if (cluster_.options_.injected_fault == InjectedFault::kAcknowledgeBeforeSync) {
       const absl::Status status = write();
       write = [] { return absl::OkStatus(); };
-      cluster_.scheduler_.at(now, [this, done, status, alive = std::weak_ptr<bool>(alive_)] {
-        if (alive.lock()) done(cluster_.clock_of(machine_), status);
+      cluster_.scheduler_.schedule_at(now, [this, done, status, alive = std::weak_ptr<bool>(alive_)] {
+        if (alive.lock()) done(cluster_.local_time(machine_), status);
       });
     }
-    waiting_.push_back({std::move(write), std::move(done)});
-    const Millis time = now < machine.disk_slow_until ? kSlowSyncMs : kSyncMs;
-    machine.disk_free_at = std::max({machine.disk_free_at, machine.disk_stalled_until, now}) + time;
-    cluster_.scheduler_.at(machine.disk_free_at, [this, alive = std::weak_ptr<bool>(alive_)] {
-      if (alive.lock()) perform();
+    pending_.push_back({std::move(write), std::move(done)});
+    const Millis time = now < machine.disk_slow_until ? kSlowSyncDurationMs : kSyncDurationMs;
+    machine.disk_idle_at = std::max({machine.disk_idle_at, machine.disk_stalled_until, now}) + time;
+    cluster_.scheduler_.schedule_at(machine.disk_idle_at, [this, alive = std::weak_ptr<bool>(alive_)] {
+      if (alive.lock()) complete_next_write();
     });
   }
   // The process is killed: some of its writes were made and not synced.
-  void leave_unsynced() {
+  void apply_unsynced_writes() {
     SimulatedDisk& disk = *cluster_.machines_[machine_]->disk;
     disk.set_syncs_ignored(true);
-    while (!waiting_.empty() && cluster_.chance(0.7)) {
-      if (!waiting_.front().write().ok()) break;
-      waiting_.pop_front();
+    while (!pending_.empty() && cluster_.chance(0.7)) {
+      if (!pending_.front().write().ok()) break;
+      pending_.pop_front();
     }
     (void)sync_();
     disk.set_syncs_ignored(false);
@@ -103,46 +104,46 @@
     Write write;
     Done done;
   };
-  void perform() {
-    if (waiting_.empty()) return;
-    Request request = std::move(waiting_.front());
-    waiting_.pop_front();
+  void complete_next_write() {
+    if (pending_.empty()) return;
+    Request request = std::move(pending_.front());
+    pending_.pop_front();
     absl::Status status = request.write();
     if (status.ok()) status = sync_();
-    if (cluster_.options_.planted == Planted::kAcknowledgeBeforeSync) return;
-    cluster_.run_in(machine_, life_, [this, done = std::move(request.done), status] {
-      done(cluster_.clock_of(machine_), status);
+    if (cluster_.options_.injected_fault == InjectedFault::kAcknowledgeBeforeSync) return;
+    cluster_.run_in_process(machine_, generation_, [this, done = std::move(request.done), status] {
+      done(cluster_.local_time(machine_), status);
     });
   }
 
   Cluster& cluster_;
   std::size_t machine_;
-  std::uint64_t life_;
+  std::uint64_t generation_;
   std::function<absl::Status()> sync_;
-  std::deque<Request> waiting_;
+  std::deque<Request> pending_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
 // The platform's list, which always shows the same server.
-class Cluster::Listing : public ServerListSource {
+class Cluster::SimulatedServerList : public ServerListSource {
  public:
-  Listing(Cluster& cluster, std::size_t machine, Millis interval, Callback done)
+  SimulatedServerList(Cluster& cluster, std::size_t machine, Millis interval, Callback done)
       : cluster_(cluster), machine_(machine), interval_(interval), done_(std::move(done)) {
     next();
   }
 
  private:
   void next() {
-    const std::uint64_t life = cluster_.machines_[machine_]->life;
-    cluster_.scheduler_.after(interval_, [this, life, alive = std::weak_ptr<bool>(alive_)] {
+    const std::uint64_t generation = cluster_.machines_[machine_]->generation;
+    cluster_.scheduler_.schedule_after(interval_, [this, generation, alive = std::weak_ptr<bool>(alive_)] {
       if (!alive.lock()) return;
-      cluster_.run_in(machine_, life, [this, alive] {
+      cluster_.run_in_process(machine_, generation, [this, alive] {
         if (!alive.lock()) return;
         ListedServer server{};
         server.id = "i-1";
         server.service = "s";
         server.address = "10.9.0.1:80";
-        done_(cluster_.clock_of(machine_), {server});
+        done_(cluster_.local_time(machine_), {server});
       });
       next();
     });
@@ -155,12 +156,12 @@
 };
 
 // Runs items, by the shipped schedule, at servers that take a while, turn some away, fail and break off.
-class Cluster::Runner : public JobRunner, private ItemHost {
+class Cluster::SimulatedItemRunner : public JobRunner, private ItemHost {
  public:
-  Runner(Cluster& cluster, std::size_t machine, const JobTable& table, Hooks hooks)
+  SimulatedItemRunner(Cluster& cluster, std::size_t machine, const JobTable& table, Hooks hooks)
       : cluster_(cluster),
         machine_(machine),
-        life_(cluster.machines_[machine]->life),
+        generation_(cluster.machines_[machine]->generation),
         table_(table),
         hooks_(std::move(hooks)),
         schedule_(table, *this) {}
@@ -174,13 +175,13 @@
   ItemLimits limits_for(Millis, const std::string&) override {
     ItemLimits out;
     out.state = ItemLimits::RouteState::kPresent;
-    out.max_attempts = kItemAttempts;
+    out.max_attempts = kMaxItemAttempts;
     return out;
   }
-  bool can_start() const override { return under_way_ < kMostRunning; }
+  bool can_start() const override { return active_runs_ < kMaxActiveRuns; }
   bool has_capacity(Millis, const std::string&) override { return can_start(); }
   void on_corrupted_item(const JobKey& key, std::uint32_t, StartReason) override {
-    cluster_.history_.fail("an item was to be sent with another body: " + key.id);
+    cluster_.history_.report_violation("an item was to be sent with another body: " + key.id);
   }
   void on_result(Millis now, const JobKey& key, JobResult result) override {
     hooks_.report_result(now, key, std::move(result));
@@ -189,12 +190,12 @@
 
   // A run is sent a moment after it is started: by then it may no longer count.
   void start(Millis, const ItemRun& run) override {
-    ++under_way_;
+    ++active_runs_;
     const JobItem& item = table_.find(run.key)->spec.items[run.item];
-    later(static_cast<Millis>(cluster_.random(3)), [this, run, id = item.id, body = item.body] {
-      if (schedule_.may_send(run.id) && hooks_.may_run(cluster_.clock_of(machine_), run.key)) {
+    schedule_in_process(static_cast<Millis>(cluster_.random(3)), [this, run, id = item.id, body = item.body] {
+      if (schedule_.may_send(run.id) && hooks_.may_run(cluster_.local_time(machine_), run.key)) {
         cluster_.history_.on_item_sent(cluster_.now(), run.key.id, id, body);
-        return later(30 + static_cast<Millis>(cluster_.random(300)), [this, run] { end(run); });
+        return schedule_in_process(30 + static_cast<Millis>(cluster_.random(300)), [this, run] { end(run); });
       }
       RunOutcome refused;
       refused.end = RunEnd::kRejected;
@@ -203,41 +204,42 @@
   }
   void end(const ItemRun& run) {
     RunOutcome outcome;
-    const std::uint64_t drawn = cluster_.random(100);
-    outcome.end = drawn < kTurnedAwayPercent                        ? RunEnd::kRejected
-                  : drawn < kTurnedAwayPercent + kFailedPercent     ? RunEnd::kServerError
-                  : drawn < kTurnedAwayPercent + 2 * kFailedPercent ? RunEnd::kInterrupted
-                                                                    : RunEnd::kCompleted;
+    const std::uint64_t random_percent = cluster_.random(100);
+    outcome.end = random_percent < kRejectedPercent                        ? RunEnd::kRejected
+                  : random_percent < kRejectedPercent + kFailedPercent     ? RunEnd::kServerError
+                  : random_percent < kRejectedPercent + 2 * kFailedPercent ? RunEnd::kInterrupted
+                                                                           : RunEnd::kCompleted;
     const bool has_text = outcome.end == RunEnd::kCompleted || outcome.end == RunEnd::kInterrupted;
     if (has_text) {
       outcome.text = run.partial_text;
-      outcome.text->text += "run " + std::to_string(++cluster_.runs_);
+      outcome.text->text += "run " + std::to_string(++cluster_.run_count_);
       outcome.text->has_event = true;
     }
     finish(run, std::move(outcome));
   }
   void finish(const ItemRun& run, RunOutcome outcome) {
-    --under_way_;
-    const Millis now = cluster_.clock_of(machine_);
+    --active_runs_;
+    const Millis now = cluster_.local_time(machine_);
     schedule_.on_run_ended(now, run.id, std::move(outcome));
     schedule_.pump(now);
   }
-  void later(Millis span, std::function<void()> act) {
-    cluster_.scheduler_.after(span, [this, act = std::move(act), alive = std::weak_ptr<bool>(alive_)] {
-      if (!alive.lock()) return;
-      cluster_.run_in(machine_, life_, [act, alive] {
-        if (alive.lock()) act();
-      });
-    });
+  void schedule_in_process(Millis span, std::function<void()> action) {
+    cluster_.scheduler_.schedule_after(
+        span, [this, action = std::move(action), alive = std::weak_ptr<bool>(alive_)] {
+          if (!alive.lock()) return;
+          cluster_.run_in_process(machine_, generation_, [action, alive] {
+            if (alive.lock()) action();
+          });
+        });
   }
 
   Cluster& cluster_;
   std::size_t machine_;
-  std::uint64_t life_;
+  std::uint64_t generation_;
   const JobTable& table_;
   Hooks hooks_;
   ItemSchedule schedule_;
-  std::size_t under_way_ = 0;
+  std::size_t active_runs_ = 0;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
@@ -255,10 +257,10 @@
   }
   for (auto& machine : machines_) machine->settings.seeds = seeds_;
   for (std::size_t i = 0; i < machines_.size(); ++i) {
-    scheduler_.at(static_cast<Millis>(random(300)), [this, i] { start(i); });
+    scheduler_.schedule_at(static_cast<Millis>(random(300)), [this, i] { start(i); });
   }
-  formed_ = true;
-  scheduler_.at(kCheckMs, [this] { check(); });
+  initial_machines_added_ = true;
+  scheduler_.schedule_at(kCheckIntervalMs, [this] { check_invariants(); });
 }
 
 Cluster::~Cluster() = default;
@@ -273,14 +275,14 @@
                   std::to_string(i);
   const std::string ip = "10." + std::to_string(i % 3 + 1) + ".0." + std::to_string(i + 1);
   machine->address = ip + ":7660";
-  by_address_[machine->address] = i;
+  index_by_address_[machine->address] = i;
   Settings& settings = machine->settings;
   settings.node_name = machine->name;
   settings.ip = ip;
   settings.zone = kZones[i % 3];
   settings.internal_port_range = {7660, 7675};
-  settings.seeds = formed_ ? present_seeds() : seeds_;
-  settings.bootstrap = !formed_;
+  settings.seeds = initial_machines_added_ ? current_seeds() : seeds_;
+  settings.bootstrap = !initial_machines_added_;
   settings.data_dir = kind == MachineKind::kEdge ? "" : "/data";
   settings.fault_tolerance.machines = options_.tolerance;
   settings.bounds.grace_s = 8;
@@ -298,9 +300,9 @@
   machine->disk_identity = random_() | 1;
   machines_.push_back(std::move(machine));
   processes_.emplace_back();
-  seen_sequence_.push_back(0);
-  if (formed_) scheduler_.after(0, [this, i] { start(i); });
-  if (formed_) count_as_lost(i, now());
+  last_sequence_.push_back(0);
+  if (initial_machines_added_) scheduler_.schedule_after(0, [this, i] { start(i); });
+  if (initial_machines_added_) mark_unavailable(i, now());
   return i;
 }
 
@@ -309,8 +311,9 @@
   NodeCore::Disks disks;
   if (!machine.disk) return disks;
   const std::uint64_t identity =
-      options_.planted == Planted::kIdentityAfterWipe ? machine.disk_identity : random_() | 1;
-  machine.disk->set_syncs_ignored(options_.planted == Planted::kNoSyncAtStart && machine.life > 1);
+      options_.injected_fault == InjectedFault::kIdentitySurvivesWipe ? machine.disk_identity : random_() | 1;
+  machine.disk->set_syncs_ignored(options_.injected_fault == InjectedFault::kNoSyncOnStart &&
+                                  machine.generation > 1);
   if (machine.kind == MachineKind::kCore) {
     ControlJournal::Options options;
     options.directory = "/data";
@@ -320,7 +323,8 @@
     if (journal.ok()) {
       ControlDisk disk;
       disk.journal = *std::move(journal);
-      disk.queue = std::make_unique<Queue>(*this, i, [raw = disk.journal.get()] { return raw->sync(); });
+      disk.queue =
+          std::make_unique<SimulatedDiskQueue>(*this, i, [raw = disk.journal.get()] { return raw->sync(); });
       disks.control = std::move(disk);
     }
   } else {
@@ -335,7 +339,8 @@
     auto journal = JobJournal::open(options, identity, *disk.table, now());
     if (journal.ok()) {
       disk.journal = *std::move(journal);
-      disk.queue = std::make_unique<Queue>(*this, i, [raw = disk.journal.get()] { return raw->sync(); });
+      disk.queue =
+          std::make_unique<SimulatedDiskQueue>(*this, i, [raw = disk.journal.get()] { return raw->sync(); });
       disks.store = std::move(disk);
     }
   }
@@ -343,7 +348,7 @@
   return disks;
 }
 
-NodeCore::Identity Cluster::identity_of(std::size_t i) {
+NodeCore::Identity Cluster::make_identity(std::size_t i) {
   NodeCore::Identity out;
   out.is_store = machines_[i]->kind == MachineKind::kStore;
   // The time of day may be off by seconds.
@@ -353,7 +358,7 @@
 }
 
 // What the operator's list shows when a settings file is written anew.
-std::vector<std::string> Cluster::present_seeds() {
+std::vector<std::string> Cluster::current_seeds() {
   std::vector<std::string> out;
   std::vector<std::size_t> nodes = machines_of(MachineKind::kEdge);
   for (const std::size_t core : machines_of(MachineKind::kCore)) nodes.push_back(core);
@@ -368,38 +373,38 @@
 
 void Cluster::start(std::size_t i) {
   Machine& machine = *machines_[i];
-  if (machine.gone || machine.running) return;
-  ++machine.life;
-  if (machine.life > 1) machine.settings.seeds = present_seeds();
+  if (machine.removed || machine.running) return;
+  ++machine.generation;
+  if (machine.generation > 1) machine.settings.seeds = current_seeds();
   machine.frozen_until = 0;
-  machine.thawing.clear();
+  machine.deferred.clear();
   NodeCore::Disks disks = open_disks(i);
   if (machine.disk && !disks.control && !disks.store) {  // the disk refuses it
-    scheduler_.after(kRestartRetryMs, [this, i] { start(i); });
+    scheduler_.schedule_after(kRestartRetryDelayMs, [this, i] { start(i); });
     return;
   }
   machine.running = true;
   Process& process = processes_[i];
-  process.link = std::make_unique<Link>(*this, i);
+  process.messenger = std::make_unique<SimulatedLink>(*this, i);
   ServerListSourceFactory listing = [this, i](Millis interval, ServerListSource::Callback done) {
-    return std::make_unique<Listing>(*this, i, interval, std::move(done));
+    return std::make_unique<SimulatedServerList>(*this, i, interval, std::move(done));
   };
-  process.core = std::make_unique<NodeCore>(*process.link, machine.settings, identity_of(i), std::move(disks),
-                                            std::move(listing), clock_of(i));
+  process.core = std::make_unique<NodeCore>(*process.messenger, machine.settings, make_identity(i),
+                                            std::move(disks), std::move(listing), local_time(i));
   process.core->start([this, i](const JobTable& table, JobRunner::Hooks hooks) {
-    return std::make_unique<Runner>(*this, i, table, std::move(hooks));
+    return std::make_unique<SimulatedItemRunner>(*this, i, table, std::move(hooks));
   });
   NodeCore::Hooks hooks;
   hooks.on_job_reply = [this](JobReply reply) {
     const auto found = job_calls_.find(reply.call);
     if (found == job_calls_.end()) return;
-    const JobDone done = std::move(found->second);
+    const JobCallback done = std::move(found->second);
     job_calls_.erase(found);
     done(reply);
   };
   process.core->set_hooks(std::move(hooks));
-  seen_sequence_[i] = 0;
-  tick(i, machine.life);
+  last_sequence_[i] = 0;
+  tick(i, machine.generation);
 }
 
 void Cluster::stop(std::size_t i, Millis down) {
@@ -407,20 +412,20 @@
   if (!machine.running) return;
   machine.running = false;
   processes_[i].core.reset();
-  processes_[i].link.reset();
-  machine.disk_free_at = 0;
+  processes_[i].messenger.reset();
+  machine.disk_idle_at = 0;
   machine.settings.bootstrap = false;
-  count_as_lost(i, now() + down);
-  scheduler_.after(down, [this, i] { start(i); });
+  mark_unavailable(i, now() + down);
+  scheduler_.schedule_after(down, [this, i] { start(i); });
 }
 
-void Cluster::tick(std::size_t i, std::uint64_t life) {
-  run_in(i, life, [this, i] { processes_[i].core->tick(clock_of(i)); });
-  if (!machines_[i]->running || machines_[i]->life != life) return;
-  scheduler_.after(kTickMs, [this, i, life] { tick(i, life); });
+void Cluster::tick(std::size_t i, std::uint64_t generation) {
+  run_in_process(i, generation, [this, i] { processes_[i].core->tick(local_time(i)); });
+  if (!machines_[i]->running || machines_[i]->generation != generation) return;
+  scheduler_.schedule_after(kTickIntervalMs, [this, i, generation] { tick(i, generation); });
 }
 
-bool Cluster::runs(std::size_t i) const {
+bool Cluster::is_responsive(std::size_t i) const {
   return machines_[i]->running && now() >= machines_[i]->frozen_until;
 }
 
@@ -429,38 +434,39 @@
 std::vector<std::size_t> Cluster::machines_of(MachineKind kind) const {
   std::vector<std::size_t> out;
   for (std::size_t i = 0; i < machines_.size(); ++i) {
-    if (machines_[i]->kind == kind && !machines_[i]->gone) out.push_back(i);
+    if (machines_[i]->kind == kind && !machines_[i]->removed) out.push_back(i);
   }
   return out;
 }
 
 std::size_t Cluster::leader() {
   for (std::size_t i = 0; i < machines_.size(); ++i) {
-    if (!runs(i) || machines_[i]->kind != MachineKind::kCore) continue;
-    if (processes_[i].core->control()->leads(clock_of(i), kConfigGroup)) return i;
+    if (!is_responsive(i) || machines_[i]->kind != MachineKind::kCore) continue;
+    if (processes_[i].core->control()->leads(local_time(i), kConfigGroup)) return i;
   }
   return machines_.size();
 }
 
-Millis Cluster::clock_of(std::size_t i) const {
-  return now() + 1000 - machines_[i]->clock_behind;  // the steady clock starts anywhere
+Millis Cluster::local_time(std::size_t i) const {
+  return now() + 1000 - machines_[i]->clock_lag;  // the steady clock starts anywhere
 }
 
-void Cluster::run_in(std::size_t i, std::uint64_t life, const std::function<void()>& run) {
+void Cluster::run_in_process(std::size_t i, std::uint64_t generation, const std::function<void()>& run) {
   Machine& machine = *machines_[i];
-  if (!machine.running || machine.life != life) return;
+  if (!machine.running || machine.generation != generation) return;
   if (now() >= machine.frozen_until) return run();
-  machine.thawing.push_back([this, i, life, run] { run_in(i, life, run); });
+  machine.deferred.push_back([this, i, generation, run] { run_in_process(i, generation, run); });
 }
 
 std::size_t Cluster::index_of(const std::string& address) const {
-  const auto found = by_address_.find(address);
-  return found == by_address_.end() ? machines_.size() : found->second;
+  const auto found = index_by_address_.find(address);
+  return found == index_by_address_.end() ? machines_.size() : found->second;
 }
 
 // A holder whose memory has failed hands out wrong bytes of a configuration, which may still be one.
-void Cluster::damage_content(std::string& message) {
-  if (message.front() != static_cast<char>(MessageType::kConfigTextReply) || !chance(kDamaged)) return;
+void Cluster::corrupt_configuration(std::string& message) {
+  if (message.front() != static_cast<char>(MessageType::kConfigTextReply) || !chance(kCorruptionProbability))
+    return;
   auto reply = decode<ConfigTextReply>(std::string_view(message).substr(1));
   if (!reply || reply->bytes.empty()) return;
   char& byte = reply->bytes[random(reply->bytes.size())];
@@ -470,164 +476,168 @@
 
 void Cluster::deliver(std::size_t from, std::size_t to, Millis sent, std::string message) {
   if (cuts_.contains({from, to})) {
-    if (now() < sent + kConnectionMs) {
-      scheduler_.after(kCutRetryMs,
-                       [this, from, to, sent, body = std::move(message)] { deliver(from, to, sent, body); });
+    if (now() < sent + kConnectionTimeoutMs) {
+      scheduler_.schedule_after(kCutRetryIntervalMs, [this, from, to, sent, body = std::move(message)] {
+        deliver(from, to, sent, body);
+      });
     }
     return;
   }
-  run_in(to, machines_[to]->life, [this, from, to, body = std::move(message)] {
-    processes_[to].core->on_message(clock_of(to), machines_[from]->address, body);
+  run_in_process(to, machines_[to]->generation, [this, from, to, body = std::move(message)] {
+    processes_[to].core->on_message(local_time(to), machines_[from]->address, body);
   });
 }
 
 // ---------------------------------------------------------------- faults
 
-void Cluster::count_as_lost(std::size_t i, Millis until) {
+void Cluster::mark_unavailable(std::size_t i, Millis until) {
   // Who is catching up may need this machine for it.
   for (auto& other : machines_) {
-    if (now() < other->lost_until) other->lost_until = std::max(other->lost_until, until + kCatchUpMs);
+    if (now() < other->unavailable_until)
+      other->unavailable_until = std::max(other->unavailable_until, until + kCatchUpMs);
   }
-  machines_[i]->lost_until = std::max(machines_[i]->lost_until, until + kCatchUpMs);
+  machines_[i]->unavailable_until = std::max(machines_[i]->unavailable_until, until + kCatchUpMs);
 }
 
-std::size_t Cluster::lost() const {
+std::size_t Cluster::unavailable_count() const {
   return static_cast<std::size_t>(std::count_if(machines_.begin(), machines_.end(), [this](const auto& m) {
-    return m->kind != MachineKind::kEdge && now() < m->lost_until;
+    return m->kind != MachineKind::kEdge && now() < m->unavailable_until;
   }));
 }
 
-bool Cluster::may_lose(std::size_t i) const {
-  const std::size_t others = lost() - (now() < machines_[i]->lost_until ? 1 : 0);
+bool Cluster::can_tolerate_loss(std::size_t i) const {
+  const std::size_t others = unavailable_count() - (now() < machines_[i]->unavailable_until ? 1 : 0);
   return others + 1 <= static_cast<std::size_t>(options_.tolerance);
 }
 
-void Cluster::finish_writes_unsynced(std::size_t i) {
+void Cluster::apply_unsynced_writes(std::size_t i) {
   NodeCore* core = processes_[i].core.get();
   if (core == nullptr || !machines_[i]->disk) return;
   storage::DiskQueue* queue =
       core->control() != nullptr ? core->control()->disk_queue() : core->store()->disk_queue();
-  static_cast<Queue*>(queue)->leave_unsynced();
+  static_cast<SimulatedDiskQueue*>(queue)->apply_unsynced_writes();
 }
 
 // For the log of a world that is played alone.
-void Cluster::tell(const char* what, std::size_t i, Millis span) const {
+void Cluster::log_fault(const char* what, std::size_t i, Millis span) const {
   NETTLESTAND_INFO("fault " << what << " machine=" << machines_[i]->name << " at=" << now()
                             << " for=" << span);
 }
 
 void Cluster::kill(std::size_t i, Millis down) {
-  tell("kill", i, down);
+  log_fault("kill", i, down);
   if (!machines_[i]->running) return;
-  finish_writes_unsynced(i);
+  apply_unsynced_writes(i);
   stop(i, down);
 }
 
 void Cluster::lose_power(std::size_t i, Millis down) {
   kill(i, down);
   if (machines_[i]->disk) machines_[i]->disk->lose_power();
-  count_as_lost(i, now() + down);
+  mark_unavailable(i, now() + down);
 }
 
 void Cluster::wipe(std::size_t i, Millis down) {
-  tell("wipe", i, down);
+  log_fault("wipe", i, down);
   kill(i, down);
   if (machines_[i]->disk) machines_[i]->disk->wipe();
-  count_as_lost(i, now() + down);
+  mark_unavailable(i, now() + down);
 }
 
 void Cluster::freeze(std::size_t i, Millis span) {
   Machine& machine = *machines_[i];
-  if (!runs(i)) return;
-  tell("freeze", i, span);
+  if (!is_responsive(i)) return;
+  log_fault("freeze", i, span);
   machine.frozen_until = now() + span;
-  if (options_.planted == Planted::kStandingClock) machine.clock_behind += span;
-  count_as_lost(i, machine.frozen_until);
-  scheduler_.after(span, [this, i, life = machine.life] {
-    if (machines_[i]->life != life) return;
+  if (options_.injected_fault == InjectedFault::kClockStopsWhileFrozen) machine.clock_lag += span;
+  mark_unavailable(i, machine.frozen_until);
+  scheduler_.schedule_after(span, [this, i, generation = machine.generation] {
+    if (machines_[i]->generation != generation) return;
     std::vector<std::function<void()>> waiting;
-    waiting.swap(machines_[i]->thawing);
+    waiting.swap(machines_[i]->deferred);
     for (const auto& run : waiting) run();
   });
 }
 
 void Cluster::stall_disk(std::size_t i, Millis span) {
   machines_[i]->disk_stalled_until = std::max(machines_[i]->disk_stalled_until, now() + span);
-  count_as_lost(i, now() + span);
+  mark_unavailable(i, now() + span);
 }
 
 void Cluster::slow_disk(std::size_t i, Millis span) {
   machines_[i]->disk_slow_until = std::max(machines_[i]->disk_slow_until, now() + span);
-  count_as_lost(i, now() + span);
+  mark_unavailable(i, now() + span);
 }
 
 void Cluster::set_disk_full(std::size_t i, bool full) {
-  tell(full ? "disk full" : "disk not full", i, 0);
+  log_fault(full ? "disk full" : "disk not full", i, 0);
   if (machines_[i]->disk) machines_[i]->disk->set_full(full);
-  count_as_lost(i, now());
+  mark_unavailable(i, now());
 }
 
-bool Cluster::rot_disk(std::size_t i) { return machines_[i]->disk && machines_[i]->disk->rot(); }
+bool Cluster::corrupt_disk(std::size_t i) {
+  return machines_[i]->disk && machines_[i]->disk->corrupt_synced_byte();
+}
 
 void Cluster::remove(std::size_t i) {
-  tell("remove", i, 0);
+  log_fault("remove", i, 0);
   Machine& machine = *machines_[i];
-  machine.gone = true;
+  machine.removed = true;
   machine.running = false;
   processes_[i].core.reset();
-  processes_[i].link.reset();
-  by_address_.erase(machine.address);
+  processes_[i].messenger.reset();
+  index_by_address_.erase(machine.address);
 }
 
 // ---------------------------------------------------------------- calls
 
-void Cluster::call_operator(std::size_t at, OperatorCall call, OrderDone done) {
-  if (!runs(at)) return;
-  processes_[at].core->operator_relay().start(clock_of(at), std::move(call), std::move(done));
+void Cluster::call_operator(std::size_t at, OperatorCall call, OperatorCallback done) {
+  if (!is_responsive(at)) return;
+  processes_[at].core->operator_relay().start(local_time(at), std::move(call), std::move(done));
 }
 
-bool Cluster::call_store(std::size_t at, JobCall call, JobDone done) {
-  if (!runs(at)) return false;
+bool Cluster::call_store(std::size_t at, JobCall call, JobCallback done) {
+  if (!is_responsive(at)) return false;
   const std::string address =
       primary_address(processes_[at].core->control_client().state().placement(), call.tenant);
   if (address.empty()) return false;
-  call.call = ++job_call_numbers_;
+  call.call = ++last_job_call_;
   job_calls_[call.call] = std::move(done);
-  processes_[at].link->send(address, encode_message(MessageType::kJobCall, call));
+  processes_[at].messenger->send(address, encode_message(MessageType::kJobCall, call));
   return true;
 }
 
 // ---------------------------------------------------------------- checks at any time
 
-void Cluster::check() {
+void Cluster::check_invariants() {
   check_leases();
-  for (std::size_t i = 0; i < machines_.size(); ++i) check_follower(i);
-  scheduler_.after(kCheckMs, [this] { check(); });
+  for (std::size_t i = 0; i < machines_.size(); ++i) check_node_version(i);
+  scheduler_.schedule_after(kCheckIntervalMs, [this] { check_invariants(); });
 }
 
 void Cluster::check_leases() {
   for (GroupId group = 0; group < kGroups; ++group) {
     std::size_t holders = 0;
     for (std::size_t i = 0; i < machines_.size(); ++i) {
-      if (!runs(i) || machines_[i]->kind != MachineKind::kCore) continue;
-      if (processes_[i].core->control()->leads(clock_of(i), group)) ++holders;
+      if (!is_responsive(i) || machines_[i]->kind != MachineKind::kCore) continue;
+      if (processes_[i].core->control()->leads(local_time(i), group)) ++holders;
     }
-    if (holders > 1) history_.fail("two leaders hold the lease of one group");
+    if (holders > 1) history_.report_violation("two leaders hold the lease of one group");
   }
 }
 
 // A node's version never falls in its life, and while it may serve it holds all that was acknowledged a lease
 // ago.
-void Cluster::check_follower(std::size_t i) {
-  if (!runs(i)) return;
+void Cluster::check_node_version(std::size_t i) {
+  if (!is_responsive(i)) return;
   const ControlClient& control_client = processes_[i].core->control_client();
   const std::uint64_t sequence = control_client.state().sequence();
-  if (sequence < seen_sequence_[i]) history_.fail("a node went back to an older version");
-  if (sequence > seen_sequence_[i]) history_.on_version_held(control_client.state().text());
-  seen_sequence_[i] = sequence;
-  if (!control_client.has_config_lease(clock_of(i))) return;
-  if (control_client.state().generation() < history_.acknowledged_at(now() - kLeaseMs))
-    history_.fail("a node serves by a version that is too old");
+  if (sequence < last_sequence_[i]) history_.report_violation("a node went back to an older version");
+  if (sequence > last_sequence_[i]) history_.on_version_applied(control_client.state().text());
+  last_sequence_[i] = sequence;
+  if (!control_client.has_config_lease(local_time(i))) return;
+  if (control_client.state().generation() < history_.newest_acknowledged_at(now() - kConfigurationLeaseMs))
+    history_.report_violation("a node serves by a version that is too old");
 }
 
 }  // namespace nettlestand::tier::simulate
--- a/tools/simulate/cluster.h
+++ b/tools/simulate/cluster.h
@@ -20,12 +20,12 @@
 enum class MachineKind : std::uint8_t { kCore, kEdge, kStore };
 
 // Faults outside the control code's own files, planted to show that the oracle sees them.
-enum class Planted : std::uint8_t {
+enum class InjectedFault : std::uint8_t {
   kNone,
   kAcknowledgeBeforeSync,  // a disk tells that a write is durable before it is
-  kIdentityAfterWipe,      // an emptied disk keeps its identity, and may vote again
-  kNoSyncAtStart,          // what a killed process wrote is shown and not synced
-  kStandingClock           // a node's clock stands still while it is frozen, so that leases last
+  kIdentitySurvivesWipe,   // an emptied disk keeps its identity, and may vote again
+  kNoSyncOnStart,          // what a killed process wrote is shown and not synced
+  kClockStopsWhileFrozen   // a node's clock stands still while it is frozen, so that leases last
 };
 
 struct ClusterOptions {
@@ -34,7 +34,7 @@
   int tolerance = 1;
   bool large_configurations = false;  // some travel in several pieces
   bool small_job_journals = false;    // whose segments have to be given back while their jobs stay
-  Planted planted = Planted::kNone;
+  InjectedFault injected_fault = InjectedFault::kNone;
 };
 
 class Cluster {
@@ -44,14 +44,14 @@
     MachineKind kind = MachineKind::kEdge;
     std::unique_ptr<SimulatedDisk> disk;
     Settings settings{};
-    std::uint64_t life = 0;  // number of its present or last process
-    bool running = false, gone = false;
+    std::uint64_t generation = 0;  // number of its present or last process
+    bool running = false, removed = false;
     Millis frozen_until = 0;
-    Millis lost_until = 0;  // counts as lost up to then
-    Millis disk_free_at = 0, disk_stalled_until = 0, disk_slow_until = 0;
-    std::uint64_t disk_identity = 0;             // for kIdentityAfterWipe
-    Millis clock_behind = 0;                     // for kStandingClock
-    std::vector<std::function<void()>> thawing;  // what came while it was frozen
+    Millis unavailable_until = 0;  // counts as lost up to then
+    Millis disk_idle_at = 0, disk_stalled_until = 0, disk_slow_until = 0;
+    std::uint64_t disk_identity = 0;              // for kIdentitySurvivesWipe
+    Millis clock_lag = 0;                         // for kClockStopsWhileFrozen
+    std::vector<std::function<void()>> deferred;  // what came while it was frozen
   };
 
   Cluster(const ClusterOptions& options, History& history);
@@ -61,7 +61,7 @@
   Millis now() const { return scheduler_.now(); }
   std::size_t size() const { return machines_.size(); }
   const Machine& machine(std::size_t i) const { return *machines_[i]; }
-  bool runs(std::size_t i) const;
+  bool is_responsive(std::size_t i) const;
   // Null while it is down.
   NodeCore* node(std::size_t i);
   std::vector<std::size_t> machines_of(MachineKind kind) const;  // that are not gone
@@ -78,7 +78,7 @@
   void stall_disk(std::size_t i, Millis span);
   void slow_disk(std::size_t i, Millis span);
   void set_disk_full(std::size_t i, bool full);
-  bool rot_disk(std::size_t i);
+  bool corrupt_disk(std::size_t i);
   // Takes a machine away for good.
   void remove(std::size_t i);
   // Adds an empty machine; its index.
@@ -87,48 +87,48 @@
   void heal_cuts() { cuts_.clear(); }
   void set_lossy(bool lossy) { lossy_ = lossy; }
   // Some messages come late, behind newer ones: as of a connection that another one has replaced.
-  void set_late(bool late) { late_ = late; }
+  void set_reordering(bool late) { reordering_ = late; }
   // Writes a fault to the log.
-  void tell(const char* what, std::size_t i, Millis span) const;
-  void count_as_lost(std::size_t i, Millis until);
+  void log_fault(const char* what, std::size_t i, Millis span) const;
+  void mark_unavailable(std::size_t i, Millis until);
   // Machines with a disk that count as lost now.
-  std::size_t lost() const;
+  std::size_t unavailable_count() const;
   // Whether one more of them may be lost for good without going beyond what has to be borne.
-  bool may_lose(std::size_t i) const;
+  bool can_tolerate_loss(std::size_t i) const;
 
   // ---- calls from outside
-  using OrderDone = std::function<void(std::uint32_t status, const std::string& body)>;
-  void call_operator(std::size_t at, OperatorCall call, OrderDone done);
-  using JobDone = std::function<void(const JobReply&)>;
+  using OperatorCallback = std::function<void(std::uint32_t status, const std::string& body)>;
+  void call_operator(std::size_t at, OperatorCall call, OperatorCallback done);
+  using JobCallback = std::function<void(const JobReply&)>;
   // Passes a call on batch jobs to the primary that a node knows of; false where it knows none.
-  bool call_store(std::size_t at, JobCall call, JobDone done);
+  bool call_store(std::size_t at, JobCall call, JobCallback done);
 
  private:
-  class Link;
-  class Queue;
-  class Listing;
-  class Runner;
+  class SimulatedLink;
+  class SimulatedDiskQueue;
+  class SimulatedServerList;
+  class SimulatedItemRunner;
 
   struct Process {
-    std::unique_ptr<Link> link;
+    std::unique_ptr<SimulatedLink> messenger;
     std::unique_ptr<NodeCore> core;
   };
 
   void start(std::size_t i);
-  std::vector<std::string> present_seeds();
+  std::vector<std::string> current_seeds();
   void stop(std::size_t i, Millis down);
-  void tick(std::size_t i, std::uint64_t life);
-  void damage_content(std::string& message);
+  void tick(std::size_t i, std::uint64_t generation);
+  void corrupt_configuration(std::string& message);
   void deliver(std::size_t from, std::size_t to, Millis sent, std::string message);
   // Runs something of a process's life now, or once the machine thaws; never in another life.
-  void run_in(std::size_t i, std::uint64_t life, const std::function<void()>& run);
-  Millis clock_of(std::size_t i) const;
+  void run_in_process(std::size_t i, std::uint64_t generation, const std::function<void()>& run);
+  Millis local_time(std::size_t i) const;
   NodeCore::Disks open_disks(std::size_t i);
-  NodeCore::Identity identity_of(std::size_t i);
-  void finish_writes_unsynced(std::size_t i);
-  void check();
+  NodeCore::Identity make_identity(std::size_t i);
+  void apply_unsynced_writes(std::size_t i);
+  void check_invariants();
   void check_leases();
-  void check_follower(std::size_t i);
+  void check_node_version(std::size_t i);
   std::size_t index_of(const std::string& address) const;
 
   ClusterOptions options_;
@@ -137,14 +137,14 @@
   Scheduler scheduler_;
   std::vector<std::unique_ptr<Machine>> machines_;
   std::vector<Process> processes_;
-  std::map<std::string, std::size_t> by_address_;
+  std::map<std::string, std::size_t> index_by_address_;
   std::set<std::pair<std::size_t, std::size_t>> cuts_;
-  std::map<std::pair<std::size_t, std::size_t>, Millis> link_free_at_;
+  std::map<std::pair<std::size_t, std::size_t>, Millis> link_idle_at_;
   std::vector<std::string> seeds_;
-  std::map<std::uint64_t, JobDone> job_calls_;
-  std::uint64_t job_call_numbers_ = 0, runs_ = 0;
-  std::vector<std::uint64_t> seen_sequence_;  // of each machine's present life
-  bool lossy_ = false, late_ = false, formed_ = false;
+  std::map<std::uint64_t, JobCallback> job_calls_;
+  std::uint64_t last_job_call_ = 0, run_count_ = 0;
+  std::vector<std::uint64_t> last_sequence_;  // of each machine's present life
+  bool lossy_ = false, reordering_ = false, initial_machines_added_ = false;
 };
 
 }  // namespace nettlestand::tier::simulate
--- a/tools/simulate/history.cpp
+++ b/tools/simulate/history.cpp
@@ -5,159 +5,160 @@
 namespace nettlestand::tier::simulate {
 namespace {
 
-constexpr Millis kCancelMs = 3000;  // after the end of a job none of its items reaches a server
+constexpr Millis kEndGraceMs = 3000;  // after the end of a job none of its items reaches a server
 
 }  // namespace
 
-void History::fail(const std::string& what) {
-  if (broken_.empty()) broken_ = what;
+void History::report_violation(const std::string& what) {
+  if (violation_.empty()) violation_ = what;
 }
 
 // ---------------------------------------------------------------- the configuration
 
-void History::on_order_sent(OrderId id, Version base, Version version, const std::string& body) {
-  Order order;
-  order.base = base;
-  order.version = version;
-  order.body = body;
-  orders_.emplace(id, std::move(order));
-  by_body_.emplace(body, id);
+void History::on_change_sent(ChangeId id, Version base, Version version, const std::string& body) {
+  ConfigChange change;
+  change.base = base;
+  change.version = version;
+  change.body = body;
+  changes_.emplace(id, std::move(change));
+  change_by_body_.emplace(body, id);
 }
 
-void History::on_order_acknowledged(Millis now, OrderId id) {
-  Order& order = orders_.at(id);
-  if (order.refused) fail("an order that was refused was acknowledged");
-  const auto [winner, first] = winners_.emplace(order.base, id);
-  if (!first && winner->second != id) fail("two orders on one version were acknowledged");
-  if (order.acknowledged) return;
-  order.acknowledged = true;
-  acknowledged_orders_.insert(id);
-  acknowledged_.push_back({now, std::max(order.version, acknowledged())});
+void History::on_change_acknowledged(Millis now, ChangeId id) {
+  ConfigChange& change = changes_.at(id);
+  if (change.rejected) report_violation("an order that was refused was acknowledged");
+  const auto [winner, first] = acknowledged_by_base_.emplace(change.base, id);
+  if (!first && winner->second != id) report_violation("two orders on one version were acknowledged");
+  if (change.acknowledged) return;
+  change.acknowledged = true;
+  acknowledged_changes_.insert(id);
+  acknowledged_versions_.push_back({now, std::max(change.version, newest_acknowledged())});
 }
 
-void History::on_order_refused(OrderId id) {
-  Order& order = orders_.at(id);
-  if (order.acknowledged) fail("an order that was acknowledged was refused");
-  order.refused = true;
+void History::on_change_rejected(ChangeId id) {
+  ConfigChange& change = changes_.at(id);
+  if (change.acknowledged) report_violation("an order that was acknowledged was refused");
+  change.rejected = true;
 }
 
-const History::Order* History::order_with(const std::string& text) const {
-  const auto found = by_body_.find(text);
-  return found == by_body_.end() ? nullptr : &orders_.at(found->second);
+const History::ConfigChange* History::find_change(const std::string& text) const {
+  const auto found = change_by_body_.find(text);
+  return found == change_by_body_.end() ? nullptr : &changes_.at(found->second);
 }
 
-void History::on_version_held(const std::string& text) {
-  if (order_with(text) == nullptr) fail("a node holds a configuration that nobody sent");
+void History::on_version_applied(const std::string& text) {
+  if (find_change(text) == nullptr) report_violation("a node holds a configuration that nobody sent");
 }
 
 void History::on_read(Millis started, Millis now, const std::string& text) {
-  const Order* order = order_with(text);
-  if (order == nullptr) return fail("a read gave a configuration that nobody sent");
-  if (order->refused) fail("a read gave an order that was refused");
-  if (order->version < acknowledged_at(started))
-    fail("a read was older than what was acknowledged before it");
-  for (const Acknowledged& earlier : reads_) {
-    if (earlier.time < started && earlier.version > order->version)
-      return fail("a read was older than an earlier read");
+  const ConfigChange* change = find_change(text);
+  if (change == nullptr) return report_violation("a read gave a configuration that nobody sent");
+  if (change->rejected) report_violation("a read gave an order that was refused");
+  if (change->version < newest_acknowledged_at(started))
+    report_violation("a read was older than what was acknowledged before it");
+  for (const TimedVersion& earlier : completed_reads_) {
+    if (earlier.time < started && earlier.version > change->version)
+      return report_violation("a read was older than an earlier read");
   }
-  reads_.push_back({now, order->version});
+  completed_reads_.push_back({now, change->version});
 }
 
 void History::check_final(const std::string& text) {
-  const Order* order = order_with(text);
-  if (order == nullptr) return fail("the last read gave a configuration that nobody sent");
-  std::set<Version> chain;
-  while (order != nullptr) {
-    chain.insert(order->version);
-    const Order* before = nullptr;
-    for (const auto& [id, candidate] : orders_) {
-      const bool fits = candidate.version == order->base && !candidate.refused;
-      if (fits && (before == nullptr || candidate.acknowledged)) before = &candidate;
+  const ConfigChange* change = find_change(text);
+  if (change == nullptr) return report_violation("the last read gave a configuration that nobody sent");
+  std::set<Version> predecessors;
+  while (change != nullptr) {
+    predecessors.insert(change->version);
+    const ConfigChange* predecessor = nullptr;
+    for (const auto& [id, candidate] : changes_) {
+      const bool fits = candidate.version == change->base && !candidate.rejected;
+      if (fits && (predecessor == nullptr || candidate.acknowledged)) predecessor = &candidate;
     }
-    order = before;
+    change = predecessor;
   }
-  for (const OrderId id : acknowledged_orders_) {
-    if (!chain.contains(orders_.at(id).version)) fail("an acknowledged order is lost");
+  for (const ChangeId id : acknowledged_changes_) {
+    if (!predecessors.contains(changes_.at(id).version)) report_violation("an acknowledged order is lost");
   }
 }
 
-Version History::acknowledged_at(Millis time) const {
+Version History::newest_acknowledged_at(Millis time) const {
   Version out = 0;
-  for (const Acknowledged& each : acknowledged_) {
-    if (each.time <= time) out = each.version;
+  for (const TimedVersion& entry : acknowledged_versions_) {
+    if (entry.time <= time) out = entry.version;
   }
   return out;
 }
 
 // ---------------------------------------------------------------- batch jobs
 
-void History::on_job_sent(const std::string& job, std::map<std::string, std::string> bodies) {
-  jobs_[job].bodies = std::move(bodies);
+void History::on_job_sent(const std::string& job, std::map<std::string, std::string> item_bodies) {
+  jobs_[job].item_bodies = std::move(item_bodies);
 }
 
 void History::on_job_accepted(const std::string& job) {
   jobs_[job].accepted = true;
-  if (jobs_[job].refused) fail("a job was accepted after all its tries were refused");
+  if (jobs_[job].rejected) report_violation("a job was accepted after all its tries were refused");
 }
 
-void History::on_job_refused(const std::string& job) {
-  jobs_[job].refused = true;
-  if (jobs_[job].started) fail("items ran of a job whose tries were all refused");
+void History::on_job_rejected(const std::string& job) {
+  jobs_[job].rejected = true;
+  if (jobs_[job].started) report_violation("items ran of a job whose tries were all refused");
 }
 
 void History::on_item_sent(Millis now, const std::string& job, const std::string& item,
                            const std::string& body) {
-  JobRecord& record = jobs_[job];
+  JobState& record = jobs_[job];
   record.started = true;
-  if (record.refused) fail("an item ran of a job whose tries were all refused");
-  const auto sent = record.bodies.find(item);
-  if (sent == record.bodies.end() || sent->second != body)
-    fail("an item was sent with another body: " + item);
-  const bool is_ended = record.end_acknowledged > 0 && now > record.end_acknowledged + kCancelMs;
-  if (is_ended) fail("an item was sent long after the end of its job: " + item);
+  if (record.rejected) report_violation("an item ran of a job whose tries were all refused");
+  const auto sent = record.item_bodies.find(item);
+  if (sent == record.item_bodies.end() || sent->second != body)
+    report_violation("an item was sent with another body: " + item);
+  const bool is_ended = record.end_acknowledged > 0 && now > record.end_acknowledged + kEndGraceMs;
+  if (is_ended) report_violation("an item was sent long after the end of its job: " + item);
 }
 
-void History::on_body(const std::string& job, const std::string& item, const std::string& body) {
-  if (jobs_[job].bodies[item] != body) fail("a body has other bytes: " + item);
+void History::on_body_read(const std::string& job, const std::string& item, const std::string& body) {
+  if (jobs_[job].item_bodies[item] != body) report_violation("a body has other bytes: " + item);
 }
 
-void History::on_job_end_asked(const std::string& job) { jobs_[job].end_asked = true; }
+void History::on_job_end_requested(const std::string& job) { jobs_[job].end_requested = true; }
 
 void History::on_job_end_acknowledged(Millis now, const std::string& job) {
   if (jobs_[job].end_acknowledged == 0) jobs_[job].end_acknowledged = now;
 }
 
-void History::on_results(const std::string& job, std::size_t listed_before,
-                         const std::vector<std::string>& items, const std::vector<std::string>& texts) {
-  JobRecord& record = jobs_[job];
-  if (items.size() < listed_before) return fail("a result that was read is gone: " + job);
+void History::on_results(const std::string& job, std::size_t known_results,
+                         const std::vector<std::string>& items,
+                         const std::vector<std::string>& result_texts) {
+  JobState& record = jobs_[job];
+  if (items.size() < known_results) return report_violation("a result that was read is gone: " + job);
   for (std::size_t position = 0; position < items.size(); ++position) {
-    if (position < record.listed.size()) {
-      const bool same =
-          record.listed[position] == items[position] && record.texts[position] == texts[position];
-      if (!same) return fail("a position holds another result: " + job);
+    if (position < record.result_items.size()) {
+      const bool same = record.result_items[position] == items[position] &&
+                        record.result_texts[position] == result_texts[position];
+      if (!same) return report_violation("a position holds another result: " + job);
       continue;
     }
-    if (is_listed(job, items[position])) return fail("an item stands at two positions: " + job);
-    record.listed.push_back(items[position]);
-    record.texts.push_back(texts[position]);
+    if (has_result(job, items[position])) return report_violation("an item stands at two positions: " + job);
+    record.result_items.push_back(items[position]);
+    record.result_texts.push_back(result_texts[position]);
   }
 }
 
 void History::on_job_missing(const std::string& job, const std::string& what) {
-  if (jobs_[job].accepted) fail(what + " is not there: " + job);
+  if (jobs_[job].accepted) report_violation(what + " is not there: " + job);
 }
 
-std::size_t History::listed(const std::string& job) const {
+std::size_t History::result_count(const std::string& job) const {
   const auto found = jobs_.find(job);
-  return found == jobs_.end() ? 0 : found->second.listed.size();
+  return found == jobs_.end() ? 0 : found->second.result_items.size();
 }
 
-bool History::is_listed(const std::string& job, const std::string& item) const {
+bool History::has_result(const std::string& job, const std::string& item) const {
   const auto found = jobs_.find(job);
   if (found == jobs_.end()) return false;
-  return std::find(found->second.listed.begin(), found->second.listed.end(), item) !=
-         found->second.listed.end();
+  return std::find(found->second.result_items.begin(), found->second.result_items.end(), item) !=
+         found->second.result_items.end();
 }
 
 std::vector<std::string> History::accepted_jobs() const {
@@ -168,10 +169,10 @@
   return out;
 }
 
-std::vector<std::string> History::open_jobs() const {
+std::vector<std::string> History::unfinished_jobs() const {
   std::vector<std::string> out;
   for (const auto& [job, record] : jobs_) {
-    if (record.accepted && !record.end_asked && record.listed.size() < record.bodies.size())
+    if (record.accepted && !record.end_requested && record.result_items.size() < record.item_bodies.size())
       out.push_back(job);
   }
   return out;
@@ -179,7 +180,7 @@
 
 std::size_t History::results() const {
   std::size_t sum = 0;
-  for (const auto& [job, record] : jobs_) sum += record.listed.size();
+  for (const auto& [job, record] : jobs_) sum += record.result_items.size();
   return sum;
 }
 
--- a/tools/simulate/main.cpp
+++ b/tools/simulate/main.cpp
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "node/log.h"
-#include "simulate/campaign.h"
+#include "simulate/scenario.h"
 
 using namespace nettlestand::tier;
 using namespace nettlestand::tier::simulate;
@@ -20,40 +20,40 @@
 namespace {
 
 struct Options {
-  long from = 1, worlds = 100, jobs = 1, planted = 0, logged = 0;
-  int coverage = 0, until_broken = 0;
+  long from = 1, worlds = 100, jobs = 1, injected_fault = 0, logged_seed = 0;
+  int coverage = 0, stop_at_first_violation = 0;
 };
 
 struct Totals {
-  std::size_t broken = 0, orders = 0, results = 0;
-  Millis longest_order = 0;
-  std::map<std::string, std::size_t> struck, overlaps, kinds;
-  std::uint64_t first_broken = 0;
+  std::size_t broken_scenarios = 0, acknowledged_changes = 0, results_read = 0;
+  Millis longest_change_ms = 0;
+  std::map<std::string, std::size_t> fault_counts, overlapping_faults, violation_kinds;
+  std::uint64_t first_broken_seed = 0;
 };
 
-void add(Totals& totals, std::uint64_t seed, const Outcome& outcome) {
-  totals.orders += outcome.orders;
-  totals.results += outcome.results;
-  totals.longest_order = std::max(totals.longest_order, outcome.longest_order);
-  for (std::size_t i = 0; i < outcome.struck.size(); ++i) {
-    totals.struck[name_of(static_cast<Fault>(i))] += outcome.struck[i];
+void add_result(Totals& totals, std::uint64_t seed, const ScenarioResult& outcome) {
+  totals.acknowledged_changes += outcome.acknowledged_changes;
+  totals.results_read += outcome.results_read;
+  totals.longest_change_ms = std::max(totals.longest_change_ms, outcome.longest_change_ms);
+  for (std::size_t i = 0; i < outcome.fault_counts.size(); ++i) {
+    totals.fault_counts[fault_name(static_cast<Fault>(i))] += outcome.fault_counts[i];
   }
-  for (const auto& [a, b] : outcome.overlaps) {
+  for (const auto& [a, b] : outcome.overlapping_faults) {
     const auto [low, high] = std::minmax(a, b);
-    ++totals.overlaps[std::string(name_of(low)) + "+" + name_of(high)];
+    ++totals.overlapping_faults[std::string(fault_name(low)) + "+" + fault_name(high)];
   }
-  if (outcome.broken.empty()) return;
-  ++totals.broken;
-  ++totals.kinds[outcome.broken.substr(0, outcome.broken.find(':'))];
-  if (totals.first_broken == 0 || seed < totals.first_broken) totals.first_broken = seed;
-  std::cout << "seed " << seed << ": " << outcome.broken << "\n";
+  if (outcome.violation.empty()) return;
+  ++totals.broken_scenarios;
+  ++totals.violation_kinds[outcome.violation.substr(0, outcome.violation.find(':'))];
+  if (totals.first_broken_seed == 0 || seed < totals.first_broken_seed) totals.first_broken_seed = seed;
+  std::cout << "seed " << seed << ": " << outcome.violation << "\n";
 }
 
-void print_log(const Outcome& outcome) {
-  for (const std::string& line : outcome.log) std::cout << line << "\n";
+void print_log(const ScenarioResult& outcome) {
+  for (const std::string& line : outcome.fault_log) std::cout << line << "\n";
 }
 
-Totals play_all(const Options& options) {
+Totals run_scenarios(const Options& options) {
   Totals totals;
   std::mutex mutex;
   std::atomic<std::uint64_t> next(static_cast<std::uint64_t>(options.from));
@@ -62,11 +62,11 @@
   for (long i = 0; i < options.jobs; ++i) {
     threads.emplace_back([&] {
       for (std::uint64_t seed = next++; seed < end; seed = next++) {
-        const Outcome outcome = play(seed, static_cast<Planted>(options.planted));
+        const ScenarioResult outcome = run_scenario(seed, static_cast<InjectedFault>(options.injected_fault));
         const std::lock_guard lock(mutex);
-        add(totals, seed, outcome);
-        if (options.logged != 0) print_log(outcome);
-        if (options.until_broken != 0 && totals.broken > 0) return;
+        add_result(totals, seed, outcome);
+        if (options.logged_seed != 0) print_log(outcome);
+        if (options.stop_at_first_violation != 0 && totals.broken_scenarios > 0) return;
       }
     });
   }
@@ -75,12 +75,12 @@
 }
 
 void print_coverage(const Totals& totals) {
-  for (const auto& [name, count] : totals.struck) std::cout << "  " << name << " " << count << "\n";
-  std::size_t least = SIZE_MAX;
-  for (const auto& [pair, count] : totals.overlaps) least = std::min(least, count);
-  const auto kinds = static_cast<std::size_t>(Fault::kCount);
-  std::cout << "pairs that overlapped: " << totals.overlaps.size() << " of " << kinds * (kinds + 1) / 2
-            << ", the rarest " << least << " times\n";
+  for (const auto& [name, count] : totals.fault_counts) std::cout << "  " << name << " " << count << "\n";
+  std::size_t rarest = SIZE_MAX;
+  for (const auto& [pair, count] : totals.overlapping_faults) rarest = std::min(rarest, count);
+  const auto fault_kinds = static_cast<std::size_t>(Fault::kCount);
+  std::cout << "pairs that overlapped: " << totals.overlapping_faults.size() << " of "
+            << fault_kinds * (fault_kinds + 1) / 2 << ", the rarest " << rarest << " times\n";
 }
 
 }  // namespace
@@ -91,30 +91,32 @@
       {"from", 0, POPT_ARG_LONG, &options.from, 0, "the first seed", "SEED"},
       {"worlds", 0, POPT_ARG_LONG, &options.worlds, 0, "how many", "N"},
       {"jobs", 0, POPT_ARG_LONG, &options.jobs, 0, "threads, each with worlds of its own", "N"},
-      {"planted", 0, POPT_ARG_LONG, &options.planted, 0, "a planted fault", "NUMBER"},
+      {"planted", 0, POPT_ARG_LONG, &options.injected_fault, 0, "a planted fault", "NUMBER"},
       {"coverage", 0, POPT_ARG_NONE, &options.coverage, 0, "how often each fault struck", nullptr},
-      {"until-broken", 0, POPT_ARG_NONE, &options.until_broken, 0, "stop at the first broken world", nullptr},
-      {"log", 0, POPT_ARG_LONG, &options.logged, 0, "play this seed alone, with the log of its nodes",
+      {"until-broken", 0, POPT_ARG_NONE, &options.stop_at_first_violation, 0,
+       "stop at the first broken world", nullptr},
+      {"log", 0, POPT_ARG_LONG, &options.logged_seed, 0, "play this seed alone, with the log of its nodes",
        "SEED"},
       POPT_AUTOHELP{nullptr, 0, 0, nullptr, 0, nullptr, nullptr}};
   poptContext context =
       poptGetContext("nettlestand-simulate", argc, const_cast<const char**>(argv), table, 0);
-  const bool understood = poptGetNextOpt(context) == -1;
+  const bool valid_arguments = poptGetNextOpt(context) == -1;
   poptFreeContext(context);
-  if (!understood) return 2;
-  start_logging(options.logged != 0 ? "info" : "error");
-  if (options.logged != 0) {
-    options.from = options.logged;
+  if (!valid_arguments) return 2;
+  start_logging(options.logged_seed != 0 ? "info" : "error");
+  if (options.logged_seed != 0) {
+    options.from = options.logged_seed;
     options.worlds = 1;
   }
-  const auto began = std::chrono::steady_clock::now();
-  const Totals totals = play_all(options);
-  const std::chrono::duration<double> took = std::chrono::steady_clock::now() - began;
-  std::cout << options.worlds << " worlds, " << totals.broken << " broken, " << totals.orders
-            << " orders acknowledged, " << totals.results << " results read, longest wait of an order "
-            << totals.longest_order << " ms, " << static_cast<double>(options.worlds) / took.count()
-            << " worlds a second\n";
-  for (const auto& [kind, count] : totals.kinds) std::cout << "  " << count << " x " << kind << "\n";
+  const auto started_at = std::chrono::steady_clock::now();
+  const Totals totals = run_scenarios(options);
+  const std::chrono::duration<double> duration = std::chrono::steady_clock::now() - started_at;
+  std::cout << options.worlds << " worlds, " << totals.broken_scenarios << " broken, "
+            << totals.acknowledged_changes << " orders acknowledged, " << totals.results_read
+            << " results read, longest wait of an order " << totals.longest_change_ms << " ms, "
+            << static_cast<double>(options.worlds) / duration.count() << " worlds a second\n";
+  for (const auto& [kind, count] : totals.violation_kinds)
+    std::cout << "  " << count << " x " << kind << "\n";
   if (options.coverage != 0) print_coverage(totals);
-  return totals.broken == 0 ? 0 : 1;
+  return totals.broken_scenarios == 0 ? 0 : 1;
 }
--- a/tools/simulate/campaign.h
+++ b/tools/simulate/scenario.h
@@ -45,17 +45,17 @@
   kLate,          // messages that come behind newer ones
   kCount
 };
-const char* name_of(Fault fault);
+const char* fault_name(Fault fault);
 
-struct Outcome {
-  std::string broken;  // empty: all promises were kept
-  std::size_t orders = 0, results = 0;
-  Millis longest_order = 0;
-  std::array<std::size_t, static_cast<std::size_t>(Fault::kCount)> struck{};
-  std::vector<std::pair<Fault, Fault>> overlaps;
-  std::vector<std::string> log;  // the faults, with their times
+struct ScenarioResult {
+  std::string violation;  // empty: all promises were kept
+  std::size_t acknowledged_changes = 0, results_read = 0;
+  Millis longest_change_ms = 0;
+  std::array<std::size_t, static_cast<std::size_t>(Fault::kCount)> fault_counts{};
+  std::vector<std::pair<Fault, Fault>> overlapping_faults;
+  std::vector<std::string> fault_log;  // the faults, with their times
 };
 
-Outcome play(std::uint64_t seed, Planted planted = Planted::kNone);
+ScenarioResult run_scenario(std::uint64_t seed, InjectedFault injected_fault = InjectedFault::kNone);
 
 }  // namespace nettlestand::tier::simulate
--- a/tools/simulate/scheduler.h
+++ b/tools/simulate/scheduler.h
@@ -12,17 +12,19 @@
 class Scheduler {
  public:
   Millis now() const { return now_; }
-  void at(Millis time, std::function<void()> run) {
-    events_.push({std::max(time, now_), ++numbers_, std::move(run)});
+  void schedule_at(Millis time, std::function<void()> action) {
+    events_.push({std::max(time, now_), ++last_sequence_, std::move(action)});
+  }
+  void schedule_after(Millis delay, std::function<void()> action) {
+    schedule_at(now_ + delay, std::move(action));
   }
-  void after(Millis span, std::function<void()> run) { at(now_ + span, std::move(run)); }
   // Runs all events up to a time.
   void run_until(Millis end) {
     while (!events_.empty() && events_.top().time <= end) {
       Event event = events_.top();
       events_.pop();
       now_ = event.time;
-      event.run();
+      event.action();
     }
     now_ = end;
   }
@@ -30,14 +32,14 @@
  private:
   struct Event {
     Millis time = 0;
-    std::uint64_t number = 0;
-    std::function<void()> run;
+    std::uint64_t sequence = 0;
+    std::function<void()> action;
     bool operator<(const Event& other) const {
-      return std::pair(time, number) > std::pair(other.time, other.number);
+      return std::pair(time, sequence) > std::pair(other.time, other.sequence);
     }
   };
   Millis now_ = 0;
-  std::uint64_t numbers_ = 0;
+  std::uint64_t last_sequence_ = 0;
   std::priority_queue<Event> events_;
 };
 
--- a/tools/simulate/simulated_disk.cpp
+++ b/tools/simulate/simulated_disk.cpp
@@ -9,10 +9,10 @@
 namespace nettlestand::tier::simulate {
 namespace {
 
-constexpr double kAllLost = 0.2;     // of the losses of power: nothing that was not synced is there
-constexpr double kWriteKept = 0.45;  // of the unsynced writes, at other losses
-constexpr double kWriteTorn = 0.25;
-constexpr double kNameKept = 0.5;
+constexpr double kAllLostProbability = 0.2;  // of the losses of power: nothing that was not synced is there
+constexpr double kWriteKeptProbability = 0.45;  // of the unsynced writes, at other losses
+constexpr double kWriteTornProbability = 0.25;
+constexpr double kNameKeptProbability = 0.5;
 
 }  // namespace
 
@@ -30,7 +30,7 @@
   }
   absl::Status write(std::uint64_t offset, std::string_view bytes) override {
     if (disk_.full_) return absl::ResourceExhaustedError("write: no space");
-    put(content_->cached, offset, bytes);
+    overwrite(content_->cached, offset, bytes);
     content_->unsynced.push_back({offset, std::string(bytes)});
     return absl::OkStatus();
   }
@@ -52,7 +52,7 @@
   std::shared_ptr<Content> content_;
 };
 
-void SimulatedDisk::put(std::string& into, std::uint64_t offset, std::string_view bytes) {
+void SimulatedDisk::overwrite(std::string& into, std::uint64_t offset, std::string_view bytes) {
   if (into.size() < offset + bytes.size()) into.resize(offset + bytes.size(), '\0');
   into.replace(offset, bytes.size(), bytes);
 }
@@ -72,7 +72,7 @@
 absl::Status SimulatedDisk::remove(const std::string& path) {
   const auto found = files_.find(path);
   if (found == files_.end()) return absl::OkStatus();
-  if (found->second->name_is_durable) removed_[path] = found->second;
+  if (found->second->name_is_durable) unsynced_removals_[path] = found->second;
   files_.erase(found);
   return absl::OkStatus();
 }
@@ -80,28 +80,28 @@
 absl::Status SimulatedDisk::sync_directory(const std::string&) {
   if (syncs_ignored_) return absl::OkStatus();
   for (auto& [path, content] : files_) content->name_is_durable = true;
-  removed_.clear();
+  unsynced_removals_.clear();
   return absl::OkStatus();
 }
 
 void SimulatedDisk::lose_power() {
-  const bool all_lost = chance(kAllLost);
-  for (auto& [path, content] : removed_) {
-    if (!files_.contains(path) && chance(kNameKept)) files_[path] = content;
+  const bool all_lost = chance(kAllLostProbability);
+  for (auto& [path, content] : unsynced_removals_) {
+    if (!files_.contains(path) && chance(kNameKeptProbability)) files_[path] = content;
   }
-  removed_.clear();
+  unsynced_removals_.clear();
   for (auto at = files_.begin(); at != files_.end();) {
     Content& content = *at->second;
-    if (!content.name_is_durable && (all_lost || !chance(kNameKept))) {
+    if (!content.name_is_durable && (all_lost || !chance(kNameKeptProbability))) {
       at = files_.erase(at);
       continue;
     }
     for (const Write& write : content.unsynced) {
       if (all_lost) continue;
-      const bool torn = chance(kWriteTorn);
-      if (!torn && !chance(kWriteKept)) continue;
+      const bool torn = chance(kWriteTornProbability);
+      if (!torn && !chance(kWriteKeptProbability)) continue;
       const std::size_t size = torn ? random_() % (write.bytes.size() + 1) : write.bytes.size();
-      put(content.durable, write.offset, std::string_view(write.bytes).substr(0, size));
+      overwrite(content.durable, write.offset, std::string_view(write.bytes).substr(0, size));
     }
     content.unsynced.clear();
     content.cached = content.durable;
@@ -112,31 +112,31 @@
 
 void SimulatedDisk::wipe() {
   files_.clear();
-  removed_.clear();
+  unsynced_removals_.clear();
 }
 
 // Where the newest record of a segment file proves that all before it had been synced; 0: there is none. What
 // stands behind that, damaged, can't be told from the torn end of a write: a limit that the design names.
-std::size_t SimulatedDisk::proven_bytes(const std::string& file) {
+std::size_t SimulatedDisk::proven_synced_bytes(const std::string& file) {
   constexpr std::string_view kRecordMagic = "2REC", kSealMagic = "SEAL";
-  constexpr std::size_t kSyncedAt = 8;
+  constexpr std::size_t kSyncedSizeOffset = 8;
   const std::size_t last = file.rfind(kRecordMagic);
   if (last == std::string::npos || last + storage::kRecordHeaderBytes > file.size()) return 0;
   const std::size_t seal = file.rfind(kSealMagic);
   if (seal != std::string::npos && seal > last) return seal;
   std::uint64_t synced = 0;
-  std::memcpy(&synced, file.data() + last + kSyncedAt, sizeof(synced));
+  std::memcpy(&synced, file.data() + last + kSyncedSizeOffset, sizeof(synced));
   return static_cast<std::size_t>(std::min<std::uint64_t>(synced, last));
 }
 
-bool SimulatedDisk::rot() {
+bool SimulatedDisk::corrupt_synced_byte() {
   std::vector<Content*> candidates;
   for (auto& [path, content] : files_) {
-    if (proven_bytes(content->durable) > 0) candidates.push_back(content.get());
+    if (proven_synced_bytes(content->durable) > 0) candidates.push_back(content.get());
   }
   if (candidates.empty()) return false;
   Content& content = *candidates[random_() % candidates.size()];
-  const std::size_t at = random_() % proven_bytes(content.durable);
+  const std::size_t at = random_() % proven_synced_bytes(content.durable);
   content.durable[at] = static_cast<char>(content.durable[at] ^ 0x40);
   if (at < content.cached.size()) content.cached[at] = content.durable[at];
   return true;
--- a/tools/simulate/simulated_disk.h
+++ b/tools/simulate/simulated_disk.h
@@ -27,7 +27,7 @@
   // The disk is replaced by an empty one.
   void wipe();
   // One byte that is provably synced turns bad; false where there is none.
-  bool rot();
+  bool corrupt_synced_byte();
 
   // Writes fail while the disk is full.
   void set_full(bool full) { full_ = full; }
@@ -46,13 +46,13 @@
     std::uint64_t reserved = 0;
     bool name_is_durable = false;
   };
-  static std::size_t proven_bytes(const std::string& file);
-  static void put(std::string& into, std::uint64_t offset, std::string_view bytes);
+  static std::size_t proven_synced_bytes(const std::string& file);
+  static void overwrite(std::string& into, std::uint64_t offset, std::string_view bytes);
   bool chance(double p) { return static_cast<double>(random_() >> 11) * 0x1.0p-53 < p; }
 
   std::mt19937_64 random_;
   std::map<std::string, std::shared_ptr<Content>> files_;
-  std::map<std::string, std::shared_ptr<Content>> removed_;  // and not yet gone from the disk
+  std::map<std::string, std::shared_ptr<Content>> unsynced_removals_;  // and not yet gone from the disk
   bool full_ = false, syncs_ignored_ = false;
 };
 
--- a/tools/simulate/actors.h
+++ b/tools/simulate/workload.h
@@ -15,47 +15,49 @@
 class Operators {
  public:
   // `large`: some of the configurations travel in several pieces.
-  Operators(Cluster& cluster, History& history, bool large)
-      : cluster_(cluster), history_(history), large_(large) {}
+  Operators(Cluster& cluster, History& history, bool large_configurations)
+      : cluster_(cluster), history_(history), large_configurations_(large_configurations) {}
 
   // Sends a change on top of the newest version that is known; `racing` of them at once.
-  void change(std::size_t racing = 1);
-  void read();
+  void submit_changes(std::size_t count = 1);
+  void read_configuration();
   // Until then some answers are lost on their way.
-  void lose_no_answers() { answers_lost_ = 0; }
+  void stop_losing_replies() { reply_loss_probability_ = 0; }
   // For the end: a change, and whether it was acknowledged.
-  OrderId change_once();
-  bool was_acknowledged(OrderId order) const { return acknowledged_.contains(order); }
-  bool was_refused(OrderId order) const { return orders_.at(order).decided && !was_acknowledged(order); }
+  ChangeId submit_change();
+  bool was_acknowledged(ChangeId change) const { return acknowledged_.contains(change); }
+  bool was_rejected(ChangeId change) const {
+    return changes_.at(change).decided && !was_acknowledged(change);
+  }
   // Asks for a store to be emptied; `done` is told when it may be taken away.
   void retire(std::size_t store, std::function<void()> done);
-  std::size_t longest_wait() const { return static_cast<std::size_t>(longest_wait_); }
+  std::size_t longest_wait_ms() const { return static_cast<std::size_t>(longest_wait_ms_); }
 
  private:
-  struct Order {
+  struct ConfigChange {
     Version base = 0, version = 0;
     std::string body;
-    Millis first_sent = 0, give_up_at = 0;
+    Millis first_sent_at = 0, retry_until = 0;
     std::uint64_t attempt = 0;
     bool decided = false;
   };
-  OrderId make(Version base);
-  void send(OrderId id);
-  void on_answer(OrderId id, std::uint32_t status);
+  ChangeId create_change(Version base);
+  void send(ChangeId id);
+  void on_reply(ChangeId id, std::uint32_t status);
   void poll_retired(std::size_t store, std::function<void()> done);
-  std::size_t any_edge();
-  static OperatorCall call(const std::string& path, Version base, std::string body);
+  std::size_t random_edge();
+  static OperatorCall make_call(const std::string& path, Version base, std::string body);
 
   Cluster& cluster_;
   History& history_;
-  bool large_;
-  std::map<OrderId, Order> orders_;
-  std::set<OrderId> acknowledged_;
-  OrderId ids_ = 0;
-  Version known_ = 0;  // the newest version that was acknowledged or read
+  bool large_configurations_;
+  std::map<ChangeId, ConfigChange> changes_;
+  std::set<ChangeId> acknowledged_;
+  ChangeId last_id_ = 0;
+  Version newest_known_version_ = 0;  // the newest version that was acknowledged or read
   Version last_version_ = 1;
-  Millis longest_wait_ = 0;
-  double answers_lost_ = 0.15;
+  Millis longest_wait_ms_ = 0;
+  double reply_loss_probability_ = 0.15;
 };
 
 // Clients that submit jobs, read them from any node, ask for bodies, and end some of them.
@@ -66,22 +68,22 @@
       : cluster_(cluster), history_(history), large_bodies_(large_bodies) {}
 
   void submit();
-  void read_some();
+  void read_random_job();
   // Reads a job from its start.
   void read(const std::string& job);
-  void end_some();
+  void end_random_job();
 
  private:
   struct Submission {
     JobSpec spec{};
-    std::size_t tries = 0;
-    bool answered = false, may_be_kept = false;
+    std::size_t attempts = 0;
+    bool decided = false, may_be_stored = false;
   };
-  void try_submit(const std::string& job);
+  void send_submission(const std::string& job);
   void on_submit_reply(const std::string& job, const JobReply& reply);
-  void on_page(const std::string& job, std::size_t listed_before, const std::string& page);
-  void ask_body(const std::string& job, const std::string& item);
-  std::size_t any_edge();
+  void on_result_page(const std::string& job, std::size_t known_results, const std::string& page);
+  void read_item_body(const std::string& job, const std::string& item);
+  std::size_t random_edge();
   std::string random_job();
   static std::string tenant_of(const std::string& job);
 
@@ -89,7 +91,7 @@
   History& history_;
   bool large_bodies_;
   std::map<std::string, Submission> submissions_;
-  std::uint64_t ids_ = 0;
+  std::uint64_t last_id_ = 0;
 };
 
 }  // namespace nettlestand::tier::simulate
--- a/tools/soak/clients.cpp
+++ b/tools/soak/clients.cpp
@@ -9,17 +9,17 @@
 namespace nettlestand::tier::soak {
 namespace {
 
-constexpr Millis kConnectMs = 1000;
+constexpr Millis kConnectTimeoutMs = 1000;
 constexpr Millis kDeadlineMs = 4000;
-constexpr Millis kClientPatienceMs = 5500;  // beyond its deadline a client hears the last word all the same
-constexpr Millis kCallMs = 4000;
-constexpr Millis kReadEveryMs = 150;
-constexpr std::uint64_t kThinkMs = 12;
-constexpr std::size_t kLargeBody = 180U << 10;
-constexpr std::size_t kChunk = 7000;
-constexpr std::size_t kSubmitTries = 6;
-constexpr std::size_t kMostOpenJobs = 6;
-constexpr int kOk = 200, kAccepted = 202, kNotFound = 404, kTooMany = 429, kUnavailable = 503;
+constexpr Millis kClientTimeoutMs = 5500;  // beyond its deadline a client hears the last word all the same
+constexpr Millis kCallTimeoutMs = 4000;
+constexpr Millis kReadIntervalMs = 150;
+constexpr std::uint64_t kMaxThinkTimeMs = 12;
+constexpr std::size_t kLargeBodyBytes = 180U << 10;
+constexpr std::size_t kChunkBytes = 7000;
+constexpr std::size_t kMaxSubmitAttempts = 6;
+constexpr std::size_t kMaxUnfinishedJobs = 6;
+constexpr int kOk = 200, kAccepted = 202, kNotFound = 404, kTooManyRequests = 429, kServiceUnavailable = 503;
 
 // Bytes that belong to one request alone.
 std::string body_of(const std::string& id, std::size_t size) {
@@ -39,40 +39,40 @@
       continue;
     }
     request_once();
-    std::this_thread::sleep_for(std::chrono::milliseconds(below(kThinkMs)));
+    std::this_thread::sleep_for(std::chrono::milliseconds(random_below(kMaxThinkTimeMs)));
   }
 }
 
 // As the platform does, only nodes that say they are ready get new connections.
 bool LiveClient::connect() {
-  node_ = below(context_.world.edges());
+  node_ = random_below(context_.world.edges());
   if (!context_.world.ready(node_)) return false;
-  return connection_.open(context_.world.front_address(node_), kConnectMs);
+  return connection_.open(context_.world.front_address(node_), kConnectTimeoutMs);
 }
 
 LiveRequest LiveClient::next_request() {
   static constexpr const char* kRoutes[] = {"once", "resume", "again"};
   LiveRequest out;
-  const std::size_t route = below(3);
-  out.id = "live-" + std::to_string(number_) + "-" + std::to_string(++sent_);
+  const std::size_t route = random_below(3);
+  out.id = "live-" + std::to_string(number_) + "-" + std::to_string(++last_request_number_);
   out.target = std::string("/") + kRoutes[route] + "/x?of=" + out.id;
-  out.body = body_of(out.id, below(20) == 0 ? kLargeBody : below(2000));
+  out.body = body_of(out.id, random_below(20) == 0 ? kLargeBodyBytes : random_below(2000));
   out.tenant = kTenant;
-  out.repeatable = route != 0;
+  out.idempotent = route != 0;
   out.node = node_;
   return out;
 }
 
-std::string LiveClient::bytes_of(const LiveRequest& request, bool chunked) const {
+std::string LiveClient::encode_request(const LiveRequest& request, bool chunked) const {
   std::string out = "POST " + request.target + " HTTP/1.1\r\nHost: " + kHost +
-                    "\r\nX-Api-Key: " + kLastingKey + "\r\nX-Request-Id: " + request.id +
+                    "\r\nX-Api-Key: " + kPermanentKey + "\r\nX-Request-Id: " + request.id +
                     "\r\nX-Deadline-Ms: " + std::to_string(kDeadlineMs) + "\r\n";
   if (!chunked) {
     return out + "Content-Length: " + std::to_string(request.body.size()) + "\r\n\r\n" + request.body;
   }
   out += "Transfer-Encoding: chunked\r\n\r\n";
-  for (std::size_t at = 0; at < request.body.size(); at += kChunk) {
-    const std::string chunk = request.body.substr(at, kChunk);
+  for (std::size_t at = 0; at < request.body.size(); at += kChunkBytes) {
+    const std::string chunk = request.body.substr(at, kChunkBytes);
     char size[16];
     std::snprintf(size, sizeof(size), "%zx\r\n", chunk.size());
     out.append(size).append(chunk).append("\r\n");
@@ -82,25 +82,25 @@
 
 void LiveClient::request_once() {
   LiveRequest request = next_request();
-  const std::string bytes = bytes_of(request, below(4) == 0);
+  const std::string bytes = encode_request(request, random_below(4) == 0);
   request.sent_at = steady_now();
-  context_.ledger.on_sent(request);
+  context_.oracle.on_sent(request);
   // Some leave in the middle of their answer, or of their own request.
-  const bool leaves = below(50) == 0;
+  const bool disconnects = random_below(50) == 0;
   const standins::HttpResult answer =
-      connection_.exchange(bytes, leaves ? 1 + static_cast<Millis>(below(20)) : kClientPatienceMs);
-  Outcome outcome;
+      connection_.exchange(bytes, disconnects ? 1 + static_cast<Millis>(random_below(20)) : kClientTimeoutMs);
+  RequestOutcome outcome;
   outcome.status = answer.status;
-  outcome.complete = answer.complete;
-  outcome.whole_sent = answer.whole_sent && !leaves;
+  outcome.response_complete = answer.complete;
+  outcome.request_sent = answer.whole_sent && !disconnects;
   outcome.ended_at = steady_now();
-  context_.ledger.on_outcome(request.id, outcome);
+  context_.oracle.on_outcome(request.id, outcome);
   if (answer.status != kOk || !answer.complete) return;
   const auto signature = answer.headers.find("x-response-signature");
   const bool own = signature != answer.headers.end() && signature->second == "signature of " + request.id;
-  if (!own) context_.ledger.fail("MIXED: an answer without its signature: " + request.id);
+  if (!own) context_.oracle.report_violation("MIXED: an answer without its signature: " + request.id);
   if (answer.body != standins::Engine::whole_stream())
-    context_.ledger.fail("ORDER: a complete answer is not whole: " + request.id);
+    context_.oracle.report_violation("ORDER: a complete answer is not whole: " + request.id);
 }
 
 // ---------------------------------------------------------------- jobs
@@ -108,98 +108,100 @@
 standins::HttpResult JobClient::call(const std::string& method, const std::string& target,
                                      const std::string& id, const std::string& body) {
   standins::KeptConnection connection;  // a new one for each call
-  const std::size_t node = below(context_.world.edges());
+  const std::size_t node = random_below(context_.world.edges());
   standins::HttpResult none;
-  if (!context_.world.ready(node) || !connection.open(context_.world.front_address(node), kConnectMs))
+  if (!context_.world.ready(node) || !connection.open(context_.world.front_address(node), kConnectTimeoutMs))
     return none;
   return connection.exchange(method + " " + target + " HTTP/1.1\r\nHost: " + kHost +
-                                 "\r\nX-Api-Key: " + kLastingKey + "\r\nX-Request-Id: " + id +
+                                 "\r\nX-Api-Key: " + kPermanentKey + "\r\nX-Request-Id: " + id +
                                  "\r\nX-Wait-Ms: 200\r\nContent-Length: " + std::to_string(body.size()) +
                                  "\r\n\r\n" + body,
-                             kCallMs);
+                             kCallTimeoutMs);
 }
 
 void JobClient::run() {
   while (!context_.stopping) {
-    const std::vector<SubmittedJob> open = context_.ledger.open_jobs();
-    if (open.size() < kMostOpenJobs && below(3) == 0) submit();
-    const std::vector<SubmittedJob> accepted = context_.ledger.accepted_jobs();
-    if (!accepted.empty()) read(accepted[below(accepted.size())]);
-    if (!open.empty()) read(open[below(open.size())]);
-    if (!open.empty() && below(4) == 0) ask_body(open[below(open.size())]);
-    if (!open.empty() && below(8) == 0) end(open[below(open.size())]);
-    std::this_thread::sleep_for(std::chrono::milliseconds(kReadEveryMs));
+    const std::vector<SubmittedJob> unfinished = context_.oracle.unfinished_jobs();
+    if (unfinished.size() < kMaxUnfinishedJobs && random_below(3) == 0) submit();
+    const std::vector<SubmittedJob> accepted = context_.oracle.accepted_jobs();
+    if (!accepted.empty()) read(accepted[random_below(accepted.size())]);
+    if (!unfinished.empty()) read(unfinished[random_below(unfinished.size())]);
+    if (!unfinished.empty() && random_below(4) == 0)
+      read_item_body(unfinished[random_below(unfinished.size())]);
+    if (!unfinished.empty() && random_below(8) == 0) end(unfinished[random_below(unfinished.size())]);
+    std::this_thread::sleep_for(std::chrono::milliseconds(kReadIntervalMs));
   }
 }
 
 void JobClient::submit() {
   SubmittedJob job;
-  job.id = "job-" + std::to_string(number_) + "-" + std::to_string(++jobs_);
+  job.id = "job-" + std::to_string(number_) + "-" + std::to_string(++last_job_number_);
   job.tenant = kTenant;
-  const std::size_t items = 5 + below(40);
+  const std::size_t items = 5 + random_below(40);
   std::string body = "{\"requests\":[";
   for (std::size_t i = 0; i < items; ++i) {
     const std::string item = job.id + "-" + std::to_string(i);
-    const std::string bytes = body_of(item, below(3000));
+    const std::string bytes = body_of(item, random_below(3000));
     job.bodies.emplace(item, bytes);
     body += std::string(i > 0 ? "," : "") + "{\"id\":\"" + item +
             "\",\"path\":\"/jobs/x\",\"headers\":{},\"body\":\"" + absl::Base64Escape(bytes) +
             "\",\"tokens\":10}";
   }
   body += "]}";
-  context_.ledger.on_job(job);
-  bool refused = true;
-  for (std::size_t tries = 0; tries < kSubmitTries; ++tries) {
+  context_.oracle.on_job(job);
+  bool rejected = true;
+  for (std::size_t attempt = 0; attempt < kMaxSubmitAttempts; ++attempt) {
     const standins::HttpResult answer = call("POST", "/jobs/x", job.id, body);
-    if (answer.status == kAccepted) return context_.ledger.on_job_answer(job.id, true, false);
-    refused = refused && (answer.status == kTooMany || answer.status == kUnavailable);
+    if (answer.status == kAccepted) return context_.oracle.on_job_submitted(job.id, true, false);
+    rejected = rejected && (answer.status == kTooManyRequests || answer.status == kServiceUnavailable);
   }
-  context_.ledger.on_job_answer(job.id, false, refused);
+  context_.oracle.on_job_submitted(job.id, false, rejected);
 }
 
 void JobClient::read(const SubmittedJob& job) {
   const standins::HttpResult answer =
       call("GET", "/nettlestand/lots/" + job.id + "?start_after=0", "read", "");
   if (!answer.complete) return;
-  if (answer.status == kNotFound) return context_.ledger.on_job_missing(job.id);
+  if (answer.status == kNotFound) return context_.oracle.on_job_missing(job.id);
   if (answer.status != kOk) return;
   rapidjson::Document page;
   page.Parse(answer.body.c_str());
-  if (page.HasParseError()) return context_.ledger.fail("MIXED: a page that can't be read: " + job.id);
+  if (page.HasParseError())
+    return context_.oracle.report_violation("MIXED: a page that can't be read: " + job.id);
   std::vector<std::string> items, texts;
   for (const auto& result : page["results"].GetArray()) {
     items.emplace_back(result["id"].GetString());
     texts.emplace_back(result["text"].GetString());
   }
-  context_.ledger.on_page(job.id, items, texts);
+  context_.oracle.on_result_page(job.id, items, texts);
 }
 
-void JobClient::ask_body(const SubmittedJob& job) {
+void JobClient::read_item_body(const SubmittedJob& job) {
   auto item = job.bodies.begin();
-  std::advance(item, static_cast<std::ptrdiff_t>(below(job.bodies.size())));
+  std::advance(item, static_cast<std::ptrdiff_t>(random_below(job.bodies.size())));
   const standins::HttpResult answer =
       call("GET", "/nettlestand/items/" + job.id + "?id=" + item->first, "body", "");
   if (answer.complete && answer.status == kOk && answer.body != item->second)
-    context_.ledger.fail("MIXED: a body with other bytes: " + item->first);
+    context_.oracle.report_violation("MIXED: a body with other bytes: " + item->first);
 }
 
 void JobClient::end(const SubmittedJob& job) {
-  context_.ledger.on_job_end_asked(job.id);
+  context_.oracle.on_job_end_requested(job.id);
   for (int i = 0; i < 2; ++i) {
     const standins::HttpResult answer = call("DELETE", "/nettlestand/lots/" + job.id, "end", "");
-    if (answer.complete && answer.status == kNotFound) context_.ledger.on_job_missing(job.id);
+    if (answer.complete && answer.status == kNotFound) context_.oracle.on_job_missing(job.id);
   }
 }
 
-bool JobClient::finish(Millis patience) {
-  const Millis until = steady_now() + patience;
+bool JobClient::finish(Millis timeout) {
+  const Millis deadline = steady_now() + timeout;
   for (;;) {
-    const std::vector<SubmittedJob> open = context_.ledger.open_jobs();
-    if (open.empty()) break;
-    if (steady_now() >= until) return false;
-    for (const SubmittedJob& job : open) read(job);
+    const std::vector<SubmittedJob> unfinished = context_.oracle.unfinished_jobs();
+    if (unfinished.empty()) break;
+    if (steady_now() >= deadline) return false;
+    for (const SubmittedJob& job : unfinished) read(job);
   }
-  for (const SubmittedJob& job : context_.ledger.accepted_jobs()) read(job);
+  for (const SubmittedJob& job : context_.oracle.accepted_jobs()) read(job);
   return true;
 }
 
--- a/tools/soak/clients.h
+++ b/tools/soak/clients.h
@@ -7,7 +7,7 @@
 #include <random>
 #include <string>
 
-#include "soak/ledger.h"
+#include "soak/oracle.h"
 #include "standins/tier/tier_world.h"
 
 namespace nettlestand::tier::soak {
@@ -15,13 +15,13 @@
 constexpr const char* kTenant = "t";
 constexpr const char* kHost = "h.example";
 // Keys of the one tenant. The first is never taken away.
-constexpr const char* kLastingKey = "k-lasting";
-constexpr const char* kPassingKey = "k-passing";
+constexpr const char* kPermanentKey = "k-lasting";
+constexpr const char* kTemporaryKey = "k-passing";
 
 // What all clients share.
 struct ClientContext {
   const standins::TierWorld& world;
-  Ledger& ledger;
+  Oracle& oracle;
   const std::atomic<bool>& stopping;
 };
 
@@ -36,12 +36,12 @@
   bool connect();
   void request_once();
   LiveRequest next_request();
-  std::string bytes_of(const LiveRequest& request, bool chunked) const;
-  std::uint64_t below(std::uint64_t bound) { return random_() % bound; }
+  std::string encode_request(const LiveRequest& request, bool chunked) const;
+  std::uint64_t random_below(std::uint64_t bound) { return random_() % bound; }
 
   ClientContext context_;
   std::mt19937_64 random_;
-  std::uint64_t number_, sent_ = 0;
+  std::uint64_t number_, last_request_number_ = 0;
   std::size_t node_ = 0;
   standins::KeptConnection connection_;
 };
@@ -53,20 +53,20 @@
       : context_(context), random_(seed), number_(number) {}
   void run();
   // Reads all open jobs until they are done; false where some are not by then.
-  bool finish(Millis patience);
+  bool finish(Millis timeout);
 
  private:
   void submit();
   void read(const SubmittedJob& job);
-  void ask_body(const SubmittedJob& job);
+  void read_item_body(const SubmittedJob& job);
   void end(const SubmittedJob& job);
   standins::HttpResult call(const std::string& method, const std::string& target, const std::string& id,
                             const std::string& body);
-  std::uint64_t below(std::uint64_t bound) { return random_() % bound; }
+  std::uint64_t random_below(std::uint64_t bound) { return random_() % bound; }
 
   ClientContext context_;
   std::mt19937_64 random_;
-  std::uint64_t number_, jobs_ = 0;
+  std::uint64_t number_, last_job_number_ = 0;
 };
 
 }  // namespace nettlestand::tier::soak
--- a/tools/soak/disturbances.h
+++ b/tools/soak/fault_injector.h
@@ -10,7 +10,7 @@
 #include <random>
 #include <string>
 
-#include "soak/ledger.h"
+#include "soak/oracle.h"
 #include "standins/tier/tier_world.h"
 
 namespace nettlestand::tier::soak {
@@ -20,9 +20,9 @@
   kAll       // kills, processes that stand still, servers that are full, fail and break off too
 };
 
-class Disturbances {
+class FaultInjector {
  public:
-  Disturbances(standins::TierWorld& world, Ledger& ledger, Profile profile, std::uint64_t seed);
+  FaultInjector(standins::TierWorld& world, Oracle& oracle, Profile profile, std::uint64_t seed);
 
   // Strikes until `end`, then brings all processes and servers back.
   void run(Millis end);
@@ -32,29 +32,29 @@
   std::size_t signals() const { return signals_; }
 
  private:
-  void strike();
-  void strike_unplanned();
+  void inject();
+  void inject_unplanned();
   using Schedule = std::multimap<Millis, std::function<void()>>;
-  static void act_on_due(Schedule& schedule);
-  void watch_processes();
+  static void run_due(Schedule& schedule);
+  void check_processes();
   void terminate(std::size_t node);
   void reload(std::size_t node);
-  void terminate_series();
+  void terminate_in_series();
   void kill(std::size_t node, Millis down);
-  void stand_still(std::size_t node, Millis time);
+  void pause(std::size_t node, Millis duration);
   void drain_server();
-  void set_engine(standins::EngineMode mode, Millis time);
-  void restart_later(std::size_t node, Millis at);
-  std::size_t any_node() { return below(world_.nodes()); }
-  std::uint64_t below(std::uint64_t bound) { return random_() % bound; }
+  void set_engine_mode(standins::EngineMode mode, Millis duration);
+  void schedule_restart(std::size_t node, Millis at);
+  std::size_t random_node() { return random_below(world_.nodes()); }
+  std::uint64_t random_below(std::uint64_t bound) { return random_() % bound; }
 
   standins::TierWorld& world_;
-  Ledger& ledger_;
+  Oracle& oracle_;
   Profile profile_;
   std::mt19937_64 random_;
-  Schedule strikes_;                      // what is still to come of series
-  Schedule returns_;                      // what ends a trouble
-  std::map<std::size_t, Millis> ending_;  // nodes that were told to end, since when
+  Schedule scheduled_faults_;                  // what is still to come of series
+  Schedule scheduled_recoveries_;              // what ends a trouble
+  std::map<std::size_t, Millis> terminating_;  // nodes that were told to end, since when
   std::size_t signals_ = 0;
 };
 
--- a/tools/soak/main.cpp
+++ b/tools/soak/main.cpp
@@ -29,13 +29,13 @@
 }
 
 void print(std::uint64_t seed, const SoakReport& report) {
-  const Ledger::Totals& totals = report.totals;
+  const Oracle::Totals& totals = report.totals;
   std::cout << "seed " << seed << (profile_of(seed) == Profile::kPlanned ? " planned" : " all") << ": "
-            << totals.requests << " requests, " << totals.served << " served, " << totals.refused
+            << totals.requests << " requests, " << totals.served << " served, " << totals.rejected
             << " refused, " << totals.unanswered << " unanswered, " << totals.jobs << " jobs, "
             << totals.results << " results, " << report.signals << " signals, " << report.changes
-            << " changes, " << report.broken.size() << " lines of what was broken" << std::endl;
-  for (const std::string& line : report.broken) std::cout << "  " << line << std::endl;
+            << " changes, " << report.violations.size() << " lines of what was broken" << std::endl;
+  for (const std::string& line : report.violations) std::cout << "  " << line << std::endl;
 }
 
 }  // namespace
@@ -54,15 +54,15 @@
       {"clients", 0, POPT_ARG_LONG, &options.clients, 0, "of live requests", "N"},
       POPT_AUTOHELP{nullptr, 0, 0, nullptr, 0, nullptr, nullptr}};
   poptContext context = poptGetContext("nettlestand-soak", argc, const_cast<const char**>(argv), table, 0);
-  const bool understood = poptGetNextOpt(context) == -1;
+  const bool valid_arguments = poptGetNextOpt(context) == -1;
   poptFreeContext(context);
-  if (!understood) return 2;
-  std::size_t broken = 0;
+  if (!valid_arguments) return 2;
+  std::size_t failed_seeds = 0;
   for (long seed = options.from; seed < options.from + options.seeds; ++seed) {
-    const SoakReport report = play_soak(soak_options(options, static_cast<std::uint64_t>(seed)));
+    const SoakReport report = run_soak(soak_options(options, static_cast<std::uint64_t>(seed)));
     print(static_cast<std::uint64_t>(seed), report);
-    broken += report.broken.empty() ? 0 : 1;
+    failed_seeds += report.violations.empty() ? 0 : 1;
   }
-  std::cout << options.seeds << " seeds, " << broken << " broken" << std::endl;
-  return broken == 0 ? 0 : 1;
+  std::cout << options.seeds << " seeds, " << failed_seeds << " broken" << std::endl;
+  return failed_seeds == 0 ? 0 : 1;
 }
--- a/tools/soak/operators.h
+++ b/tools/soak/operators.h
@@ -7,36 +7,36 @@
 #include <random>
 #include <string>
 
-#include "soak/ledger.h"
+#include "soak/oracle.h"
 #include "standins/tier/tier_world.h"
 
 namespace nettlestand::tier::soak {
 
 class Operator {
  public:
-  Operator(const standins::TierWorld& world, Ledger& ledger, const std::atomic<bool>& stopping,
+  Operator(const standins::TierWorld& world, Oracle& oracle, const std::atomic<bool>& stopping,
            std::uint64_t seed)
-      : world_(world), ledger_(ledger), stopping_(stopping), random_(seed) {}
+      : world_(world), oracle_(oracle), stopping_(stopping), random_(seed) {}
 
   // Sends the first configuration; false where it was not taken in time.
-  bool begin();
+  bool submit_initial_configuration();
   // Changes it until the soak stops.
   void run();
   // One more change and a read, once all is calm.
-  void finish();
+  void check_final_configuration();
   std::size_t changes() const { return changes_; }
 
  private:
-  bool change(Millis patience, bool until_stopped);
-  std::string configuration() const;
-  std::size_t any_edge() { return random_() % world_.edges(); }
+  bool submit_change(Millis timeout, bool abort_when_stopping);
+  std::string configuration_json() const;
+  std::size_t random_edge() { return random_() % world_.edges(); }
 
   const standins::TierWorld& world_;
-  Ledger& ledger_;
+  Oracle& oracle_;
   const std::atomic<bool>& stopping_;
   std::mt19937_64 random_;
   std::uint64_t version_ = 0;
-  bool has_passing_key_ = true;
+  bool has_temporary_key_ = true;
   std::size_t changes_ = 0;
 };
 
--- /dev/null
+++ b/tools/soak/oracle.cpp
@@ -0,0 +1,202 @@
+#include "soak/oracle.h"
+
+#include <algorithm>
+#include <set>
+
+namespace nettlestand::tier::soak {
+namespace {
+
+constexpr Millis kRecoveryMarginMs = 3000;  // after trouble a node is held to its promises again
+constexpr Millis kConnectionCloseMarginMs =
+    200;                                  // a request that crosses the close of its connection is not owed
+constexpr Millis kResponseOwedMs = 3000;  // of a request's four seconds: later its time may be up
+constexpr std::size_t kMaxViolations = 20;
+constexpr int kTooManyRequests = 429, kServiceUnavailable = 503, kRequestTimeout = 408,
+              kMisdirectedRequest = 421, kUnauthorized = 401;
+
+// A status that promises that the request has not run and will not.
+bool promises_no_run(int status) {
+  return status == kTooManyRequests || status == kServiceUnavailable || status == kRequestTimeout ||
+         status == kMisdirectedRequest;
+}
+
+}  // namespace
+
+void Oracle::add_violation(const std::string& what) {
+  if (violations_.size() < kMaxViolations) violations_.push_back(what);
+}
+
+void Oracle::report_violation(const std::string& what) {
+  const std::lock_guard lock(mutex_);
+  add_violation(what);
+}
+
+std::vector<std::string> Oracle::violations() const {
+  const std::lock_guard lock(mutex_);
+  return violations_;
+}
+
+void Oracle::on_sent(const LiveRequest& request) {
+  const std::lock_guard lock(mutex_);
+  requests_.emplace(request.id, request);
+}
+
+void Oracle::on_outcome(const std::string& id, const RequestOutcome& outcome) {
+  const std::lock_guard lock(mutex_);
+  requests_.at(id).outcome = outcome;
+}
+
+void Oracle::on_node_fault(std::size_t node, Millis from, Millis until) {
+  const std::lock_guard lock(mutex_);
+  fault_intervals_[node].push_back({from, until});
+}
+
+void Oracle::on_global_fault(Millis from, Millis until) {
+  const std::lock_guard lock(mutex_);
+  global_fault_intervals_.push_back({from, until});
+}
+
+// ---------------------------------------------------------------- jobs
+
+void Oracle::on_job(const SubmittedJob& job) {
+  const std::lock_guard lock(mutex_);
+  jobs_.emplace(job.id, job);
+}
+
+void Oracle::on_job_submitted(const std::string& job, bool accepted, bool rejected) {
+  const std::lock_guard lock(mutex_);
+  jobs_.at(job).accepted = accepted;
+  jobs_.at(job).rejected = rejected;
+}
+
+void Oracle::on_job_end_requested(const std::string& job) {
+  const std::lock_guard lock(mutex_);
+  jobs_.at(job).end_requested = true;
+}
+
+void Oracle::on_result_page(const std::string& job, const std::vector<std::string>& items,
+                            const std::vector<std::string>& texts) {
+  const std::lock_guard lock(mutex_);
+  SubmittedJob& record = jobs_.at(job);
+  for (std::size_t i = 0; i < items.size(); ++i) {
+    if (!record.bodies.contains(items[i])) add_violation("MIXED: an item of another job: " + items[i]);
+    if (texts[i] != expected_result_)
+      add_violation("MIXED: a result is not the item's whole text: " + items[i]);
+    if (i < record.results.size()) {
+      if (record.results[i] != items[i]) add_violation("TWICE: a position holds another result: " + job);
+      continue;
+    }
+    const bool is_duplicate =
+        std::find(record.results.begin(), record.results.end(), items[i]) != record.results.end();
+    if (is_duplicate) add_violation("TWICE: an item stands at two positions: " + items[i]);
+    record.results.push_back(items[i]);
+  }
+}
+
+void Oracle::on_job_missing(const std::string& job) {
+  const std::lock_guard lock(mutex_);
+  if (jobs_.at(job).accepted) add_violation("LOST: an accepted job is not there: " + job);
+}
+
+std::vector<SubmittedJob> Oracle::accepted_jobs() const {
+  const std::lock_guard lock(mutex_);
+  std::vector<SubmittedJob> out;
+  for (const auto& [id, job] : jobs_) {
+    if (job.accepted) out.push_back(job);
+  }
+  return out;
+}
+
+std::vector<SubmittedJob> Oracle::unfinished_jobs() const {
+  std::vector<SubmittedJob> out = accepted_jobs();
+  std::erase_if(out, [](const SubmittedJob& job) {
+    return job.end_requested || job.results.size() == job.bodies.size();
+  });
+  return out;
+}
+
+// ---------------------------------------------------------------- the end
+
+bool Oracle::overlaps_fault(const LiveRequest& request) const {
+  const auto overlaps = [&request](const FaultInterval& interval) {
+    return interval.from <= request.outcome.ended_at && request.sent_at <= interval.until + kRecoveryMarginMs;
+  };
+  if (std::any_of(global_fault_intervals_.begin(), global_fault_intervals_.end(), overlaps)) return true;
+  const auto node_intervals = fault_intervals_.find(request.node);
+  return node_intervals != fault_intervals_.end() &&
+         std::any_of(node_intervals->second.begin(), node_intervals->second.end(), overlaps);
+}
+
+// Only planned work around it, and a request ended without a whole answer.
+void Oracle::check_response_owed(const LiveRequest& request, bool was_forwarded) {
+  const RequestOutcome& outcome = request.outcome;
+  if (outcome.response_complete || !outcome.request_sent || overlaps_fault(request)) return;
+  const Millis duration_ms = outcome.ended_at - request.sent_at;
+  if (duration_ms > kResponseOwedMs) return;
+  if (!was_forwarded && duration_ms <= kConnectionCloseMarginMs) return;
+  add_violation("LOST: no whole answer after " + std::to_string(duration_ms) + " ms at node " +
+                std::to_string(request.node) + (was_forwarded ? ", passed on: " : ", read: ") + request.id);
+}
+
+void Oracle::check_live(const std::vector<standins::SeenRequest>& runs) {
+  std::map<std::string, std::size_t> counts;
+  for (const standins::SeenRequest& run : runs) {
+    const auto found = requests_.find(run.id);
+    if (found == requests_.end()) continue;
+    const LiveRequest& request = found->second;
+    ++counts[run.id];
+    if (run.body != request.body) add_violation("UNASKED: another body: " + run.id);
+    if (run.target != request.target) add_violation("UNASKED: another path or query: " + run.id);
+    if (run.tenant != request.tenant) add_violation("UNASKED: another tenant: " + run.id);
+    if (!run.api_key.empty()) add_violation("UNASKED: the key was passed on: " + run.id);
+  }
+  for (const auto& [id, request] : requests_) {
+    const std::size_t count = counts[id];
+    if (!request.idempotent && count > 1) add_violation("TWICE: " + id);
+    if (count > 0 && promises_no_run(request.outcome.status)) add_violation("REFUSED, and it ran: " + id);
+    check_response_owed(request, count > 0);
+  }
+}
+
+void Oracle::check_items(const std::vector<standins::SeenRequest>& runs) {
+  std::map<std::string, const SubmittedJob*> owners;
+  for (const auto& [id, job] : jobs_) {
+    for (const auto& [item, body] : job.bodies) owners.emplace(item, &job);
+  }
+  for (const standins::SeenRequest& run : runs) {
+    if (requests_.contains(run.id)) continue;
+    const auto owner = owners.find(run.id);
+    if (owner == owners.end()) {
+      add_violation("UNASKED: nobody sent " + run.id);
+      continue;
+    }
+    const SubmittedJob& job = *owner->second;
+    if (run.body != job.bodies.at(run.id)) add_violation("UNASKED: another body: item " + run.id);
+    if (run.tenant != job.tenant) add_violation("UNASKED: another tenant: item " + run.id);
+    if (job.rejected) add_violation("REFUSED, and an item ran: " + run.id);
+  }
+}
+
+void Oracle::check(const std::vector<standins::SeenRequest>& runs) {
+  const std::lock_guard lock(mutex_);
+  check_live(runs);
+  check_items(runs);
+}
+
+Oracle::Totals Oracle::totals() const {
+  const std::lock_guard lock(mutex_);
+  Totals out;
+  out.requests = requests_.size();
+  out.jobs = jobs_.size();
+  for (const auto& [id, request] : requests_) {
+    const RequestOutcome& outcome = request.outcome;
+    if (!outcome.response_complete) ++out.unanswered;
+    if (outcome.response_complete && outcome.status == 200) ++out.served;
+    if (promises_no_run(outcome.status)) ++out.rejected;
+    if (outcome.status == kUnauthorized) ++out.unauthorized;
+  }
+  for (const auto& [id, job] : jobs_) out.results += job.results.size();
+  return out;
+}
+
+}  // namespace nettlestand::tier::soak
--- a/tools/soak/soak.cpp
+++ b/tools/soak/soak.cpp
@@ -10,9 +10,9 @@
 namespace nettlestand::tier::soak {
 namespace {
 
-constexpr int kReadyMs = 60000;
-constexpr Millis kFinishMs = 40000;
-constexpr int kEventPauseMs = 2;
+constexpr int kReadyTimeoutMs = 60000;
+constexpr Millis kJobsTimeoutMs = 40000;
+constexpr int kEventIntervalMs = 2;
 constexpr Millis kMillisPerSecond = 1000;
 
 standins::WorldOptions world_options(const SoakOptions& options) {
@@ -27,7 +27,7 @@
 }
 
 bool all_ready(const standins::TierWorld& world) {
-  return standins::until(kReadyMs, [&world] {
+  return standins::until(kReadyTimeoutMs, [&world] {
     for (std::size_t node = 0; node < world.edges(); ++node) {
       if (!world.ready(node)) return false;
     }
@@ -35,7 +35,7 @@
   });
 }
 
-std::vector<standins::SeenRequest> runs_of(standins::TierWorld& world) {
+std::vector<standins::SeenRequest> recorded_runs(standins::TierWorld& world) {
   std::vector<standins::SeenRequest> out;
   for (std::size_t i = 0; i < world.engines(); ++i) {
     const std::vector<standins::SeenRequest> seen = world.engine(i).seen();
@@ -44,7 +44,7 @@
   return out;
 }
 
-std::string whole_text() {
+std::string expected_result() {
   std::string out;
   for (int i = 1; i <= standins::Engine::kUsualEvents; ++i) {
     out += (i > 1 ? "\n" : "") + std::string("piece ") + std::to_string(i);
@@ -56,45 +56,47 @@
 
 Profile profile_of(std::uint64_t seed) { return seed % 2 == 0 ? Profile::kPlanned : Profile::kAll; }
 
-SoakReport play_soak(const SoakOptions& options) {
+SoakReport run_soak(const SoakOptions& options) {
   standins::TierWorld world(world_options(options));
-  for (std::size_t i = 0; i < world.engines(); ++i) world.engine(i).set_pause_ms(kEventPauseMs);
-  Ledger ledger;
-  ledger.set_whole_text(whole_text());
-  Disturbances disturbances(world, ledger, profile_of(options.seed), options.seed);
+  for (std::size_t i = 0; i < world.engines(); ++i) world.engine(i).set_pause_ms(kEventIntervalMs);
+  Oracle oracle;
+  oracle.set_expected_result(expected_result());
+  FaultInjector fault_injector(world, oracle, profile_of(options.seed), options.seed);
   SoakReport report;
   std::atomic<bool> stopping{false};
-  Operator changes(world, ledger, stopping, options.seed);
-  if (!changes.begin() || !all_ready(world)) {
-    report.broken.push_back("the tier did not start; logs: " + world.keep_logs());
+  Operator config_operator(world, oracle, stopping, options.seed);
+  if (!config_operator.submit_initial_configuration() || !all_ready(world)) {
+    report.violations.push_back("the tier did not start; logs: " + world.keep_logs());
     return report;
   }
-  const ClientContext context{world, ledger, stopping};
+  const ClientContext context{world, oracle, stopping};
   std::vector<std::thread> threads;
-  threads.emplace_back([&changes] { changes.run(); });
-  std::uint64_t number = 0;
-  for (std::size_t i = 0; i < options.clients; ++i, ++number) {
-    threads.emplace_back([=] { LiveClient(context, number, options.seed * 1000 + number).run(); });
+  threads.emplace_back([&config_operator] { config_operator.run(); });
+  std::uint64_t client_number = 0;
+  for (std::size_t i = 0; i < options.clients; ++i, ++client_number) {
+    threads.emplace_back(
+        [=] { LiveClient(context, client_number, options.seed * 1000 + client_number).run(); });
   }
-  for (std::size_t i = 0; i < options.job_clients; ++i, ++number) {
-    threads.emplace_back([=] { JobClient(context, number, options.seed * 1000 + number).run(); });
+  for (std::size_t i = 0; i < options.job_clients; ++i, ++client_number) {
+    threads.emplace_back(
+        [=] { JobClient(context, client_number, options.seed * 1000 + client_number).run(); });
   }
-  disturbances.run(steady_now() + options.seconds * kMillisPerSecond);
+  fault_injector.run(steady_now() + options.seconds * kMillisPerSecond);
   stopping = true;
   for (std::thread& thread : threads) thread.join();
-  changes.finish();
-  if (!JobClient(context, number, options.seed).finish(kFinishMs)) {
-    const std::vector<SubmittedJob> open = ledger.open_jobs();
-    if (!open.empty()) ledger.fail("LOST: a job is never done: " + open.front().id);
+  config_operator.check_final_configuration();
+  if (!JobClient(context, client_number, options.seed).finish(kJobsTimeoutMs)) {
+    const std::vector<SubmittedJob> unfinished = oracle.unfinished_jobs();
+    if (!unfinished.empty()) oracle.report_violation("LOST: a job is never done: " + unfinished.front().id);
   }
-  const std::vector<standins::SeenRequest> runs = runs_of(world);
-  ledger.check(runs);
-  report.broken = ledger.broken();
-  report.totals = ledger.totals();
-  report.signals = disturbances.signals();
-  report.changes = changes.changes();
+  const std::vector<standins::SeenRequest> runs = recorded_runs(world);
+  oracle.check(runs);
+  report.violations = oracle.violations();
+  report.totals = oracle.totals();
+  report.signals = fault_injector.signals();
+  report.changes = config_operator.changes();
   report.runs = runs.size();
-  if (!report.broken.empty()) report.broken.push_back("logs: " + world.keep_logs());
+  if (!report.violations.empty()) report.violations.push_back("logs: " + world.keep_logs());
   return report;
 }
 
--- a/tools/soak/soak.h
+++ b/tools/soak/soak.h
@@ -7,8 +7,8 @@
 #include <string>
 #include <vector>
 
-#include "soak/disturbances.h"
-#include "soak/ledger.h"
+#include "soak/fault_injector.h"
+#include "soak/oracle.h"
 
 namespace nettlestand::tier::soak {
 
@@ -20,13 +20,13 @@
 };
 
 struct SoakReport {
-  std::vector<std::string> broken;
-  Ledger::Totals totals;
+  std::vector<std::string> violations;
+  Oracle::Totals totals;
   std::size_t signals = 0, changes = 0, runs = 0;
 };
 
 // Even seeds play planned work alone, odd ones all kinds of trouble.
 Profile profile_of(std::uint64_t seed);
-SoakReport play_soak(const SoakOptions& options);
+SoakReport run_soak(const SoakOptions& options);
 
 }  // namespace nettlestand::tier::soak
