--- a/daemon/node.cpp
+++ b/daemon/node.cpp
@@ -177,16 +177,16 @@
 
 void Node::look() {
   const double since = now() - drain_began_;
-  if (!plan_.accepts(since)) {
+  if (!plan_.accepts_connections(since)) {
     if (accepting_) listener_.stop_accepting();
     accepting_ = false;
   }
-  if (plan_.finishing(since)) listener_.close_idle_connections();
-  if (plan_.last_answers(since)) {
+  if (plan_.closes_connections(since)) listener_.close_idle_connections();
+  if (plan_.expires_open_requests(since)) {
     listener_.stop_reading();
     engine_.expire_all();
   }
-  if (plan_.over(since, listener_.connections() > 0)) {
+  if (plan_.is_finished(since, listener_.connections() > 0)) {
     if (peers_) peers_->leave();
     control_.reset();
     log_({LogLevel::kInfo, "node", "drained", "drained", {{"after_ms", std::int64_t(since * 1000)}}});
--- a/gateway/convert.h
+++ b/gateway/convert.h
@@ -15,7 +15,7 @@
 namespace nettlestand {
 
 // Options, checked.
-struct Checked {
+struct ValidatedOptions {
   EngineOptions engine;
   std::vector<std::string> classes, tenants;  // their names
   std::optional<boost::asio::ip::tcp::endpoint> discovery;
@@ -23,19 +23,19 @@
   std::optional<peers::ServiceOptions> peers;
   std::optional<duties::ClientServiceOptions> duties;
 };
-Error check(const Options& options, Checked& out);
+Error validate(const Options& options, ValidatedOptions& out);
 
 // A whole list, numbered `seq`.
-Error servers_of(const std::vector<ServerOptions>& servers, const std::vector<std::string>& zones,
-                 std::size_t most, std::uint64_t seq, ServerList& out);
+Error to_server_list(const std::vector<ServerOptions>& servers, const std::vector<std::string>& zones,
+                     std::size_t max_servers, std::uint64_t seq, ServerList& out);
 
 // A request as it came at `came_at`, with its id filled in, and the token of its duty, where it has one.
 // Throws RequestRejection.
-Call call_of(Request&& request, const RequestValidator& request_validator,
+Call to_call(Request&& request, const RequestValidator& request_validator,
              const std::vector<std::string>& classes, const quinceusher::Settings& settings,
              ByteBudget& budget, double received_at, std::uint64_t token = 0);
 
-Error error_of(const RequestRejection& bad);
-Response response_of(Reply&& reply);
+Error to_error(const RequestRejection& rejection);
+Response to_response(Reply&& reply);
 
 }  // namespace nettlestand
--- a/gateway/gateway.cpp
+++ b/gateway/gateway.cpp
@@ -11,7 +11,7 @@
 namespace nettlestand {
 namespace {
 
-class Category final : public std::error_category {
+class GatewayErrorCategory final : public std::error_category {
  public:
   const char* name() const noexcept override { return "nettlestand"; }
   std::string message(int code) const override {
@@ -24,13 +24,13 @@
         return "unknown tenant";
       case Errc::kBadRequest:
         return "the request can't be used";
-      case Errc::kIdIsOpen:
+      case Errc::kRequestIdInUse:
         return "a request with this id is open";
       case Errc::kBodyTooLong:
         return "the body is too long";
       case Errc::kStopping:
         return "the gateway is stopping";
-      case Errc::kNotHeld:
+      case Errc::kDutyNotHeld:
         return "the duty is not held";
       case Errc::kFull:
         return "the gateway has no room";
@@ -39,12 +39,12 @@
   }
 };
 
-std::unique_ptr<Gateway> make(boost::asio::io_context* loop, Options&& options, Error& error) {
-  Checked checked;
-  error = check(options, checked);
+std::unique_ptr<Gateway> open_gateway(boost::asio::io_context* loop, Options&& options, Error& error) {
+  ValidatedOptions validated;
+  error = validate(options, validated);
   if (error) return nullptr;
   try {
-    auto impl = std::make_shared<Gateway::Impl>(std::move(options), std::move(checked), loop);
+    auto impl = std::make_shared<Gateway::Impl>(std::move(options), std::move(validated), loop);
     impl->start();
     return std::make_unique<Gateway>(std::move(impl));
   } catch (const std::bad_alloc&) {
@@ -58,7 +58,7 @@
 }  // namespace
 
 const std::error_category& gateway_category() noexcept {
-  static const Category category;
+  static const GatewayErrorCategory category;
   return category;
 }
 
@@ -73,7 +73,7 @@
     case Outcome::kCancelled:
       return 499;
     case Outcome::kInvalid:
-      return error.code == Errc::kIdIsOpen ? 409 : error.code == Errc::kBodyTooLong ? 413 : 400;
+      return error.code == Errc::kRequestIdInUse ? 409 : error.code == Errc::kBodyTooLong ? 413 : 400;
     case Outcome::kFailed:
     case Outcome::kShutDown:
       break;
@@ -85,10 +85,10 @@
 Gateway::~Gateway() { impl_->close(); }
 
 std::unique_ptr<Gateway> Gateway::open(Options options, Error& error) {
-  return make(nullptr, std::move(options), error);
+  return open_gateway(nullptr, std::move(options), error);
 }
 std::unique_ptr<Gateway> open_on_loop(boost::asio::io_context& loop, Options options, Error& error, int) {
-  return make(&loop, std::move(options), error);
+  return open_gateway(&loop, std::move(options), error);
 }
 
 Ticket Gateway::submit(Request request, Completion done) {
@@ -99,12 +99,14 @@
 }
 bool Gateway::cancel(Ticket ticket) { return impl_->cancel(ticket); }
 void Gateway::stop(UniqueFunction<void()> done) { impl_->stop(std::move(done)); }
-void Gateway::answer_all() { impl_->answer_all(); }
+void Gateway::expire_all() { impl_->expire_all(); }
 bool Gateway::ready() const { return impl_->ready(); }
 std::size_t Gateway::open_requests() const { return impl_->open_requests(); }
 Error Gateway::set_servers(const std::vector<ServerOptions>& servers) { return impl_->set_servers(servers); }
 std::uint64_t Gateway::duty_token(const std::string& duty) const { return impl_->duty_token(duty); }
-void Gateway::duty_failed(const std::string& duty) { impl_->duty_failed(duty); }
-Error Gateway::move_discovery(const std::string& address) { return impl_->move_discovery(address); }
+void Gateway::report_duty_failure(const std::string& duty) { impl_->report_duty_failure(duty); }
+Error Gateway::set_discovery_address(const std::string& address) {
+  return impl_->set_discovery_address(address);
+}
 
 }  // namespace nettlestand
--- a/gateway/http.cpp
+++ b/gateway/http.cpp
@@ -11,15 +11,16 @@
 namespace nettlestand {
 namespace {
 
-std::string_view view(boost::beast::string_view text) { return {text.data(), text.size()}; }
+std::string_view to_string_view(boost::beast::string_view text) { return {text.data(), text.size()}; }
 
-FinalResponse plain(const HttpAnswer& answer) {
-  return {static_cast<unsigned>(answer.status), 0, answer.body, answer.content_type, {}};
+FinalResponse to_final_response(const HttpResponse& response) {
+  return {static_cast<unsigned>(response.status), 0, response.body, response.content_type, {}};
 }
 
-HttpAnswer public_of(FinalResponse&& answer, bool close) {
-  return {static_cast<int>(answer.status), answer.retry_after > 0 ? retry_after_text(answer.retry_after) : "",
-          std::move(answer.content_type), std::move(answer.body), close};
+HttpResponse to_http_response(FinalResponse&& response, bool close) {
+  return {static_cast<int>(response.status),
+          response.retry_after > 0 ? retry_after_text(response.retry_after) : "",
+          std::move(response.content_type), std::move(response.body), close};
 }
 
 }  // namespace
@@ -29,14 +30,14 @@
 HttpCall& HttpCall::operator=(HttpCall&&) noexcept = default;
 HttpCall::~HttpCall() = default;
 
-std::string HttpAnswer::bytes() const {
-  std::string out = response_head(plain(*this), close);
+std::string HttpResponse::serialize() const {
+  std::string out = response_head(to_final_response(*this), close);
   if (!retry_after.empty()) out.insert(out.size() - 2, "Retry-After: " + retry_after + "\r\n");
   return out + body;
 }
 
-HttpAnswer http_answer(Response response) {
-  HttpAnswer out;
+HttpResponse http_response(Response response) {
+  HttpResponse out;
   out.status = response.status();
   out.close = response.outcome == Outcome::kInvalid;
   if (response.retry_after.count() > 0) {
@@ -52,12 +53,12 @@
 }
 
 struct HttpReader::Impl {
-  Impl(Gateway::Impl& gateway, std::size_t other)
-      : gateway(gateway), reader(gateway.request_validator(), gateway.budget(), other) {}
+  Impl(Gateway::Impl& gateway, std::size_t other_body_limit)
+      : gateway(gateway), reader(gateway.request_validator(), gateway.budget(), other_body_limit) {}
   Gateway::Impl& gateway;
   RequestReader reader;
-  RequestRejection bad{400, nullptr};
-  bool begun = false;
+  RequestRejection rejection{400, nullptr};
+  bool has_begun = false;
   double received_at = 0;
 };
 
@@ -65,11 +66,11 @@
     : impl_(std::make_unique<Impl>(gateway.impl(), other_body_limit)) {}
 HttpReader::~HttpReader() = default;
 
-HttpReader::Step HttpReader::read(std::string& in) {
-  if (!std::exchange(impl_->begun, true)) impl_->received_at = now();
-  switch (impl_->reader.read(in)) {
+HttpReader::Step HttpReader::read(std::string& input) {
+  if (!std::exchange(impl_->has_begun, true)) impl_->received_at = now();
+  switch (impl_->reader.read(input)) {
     case RequestReader::Step::kNeedMore:
-      return Step::kMore;
+      return Step::kNeedMore;
     case RequestReader::Step::kHead:
       return Step::kHead;
     case RequestReader::Step::kRequest:
@@ -77,53 +78,56 @@
     case RequestReader::Step::kRejected:
       break;
   }
-  impl_->bad = impl_->reader.rejection();
-  return Step::kTurnedAway;
+  impl_->rejection = impl_->reader.rejection();
+  return Step::kRejected;
 }
 
 bool HttpReader::for_gateway() const { return impl_->reader.is_call(); }
 bool HttpReader::expects_continue() const { return impl_->reader.expects_continue(); }
 bool HttpReader::keep_alive() const { return impl_->reader.keep_alive(); }
-std::string_view HttpReader::method() const { return view(impl_->reader.request().method_string()); }
-std::string_view HttpReader::target() const { return view(impl_->reader.request().target()); }
+std::string_view HttpReader::method() const {
+  return to_string_view(impl_->reader.request().method_string());
+}
+std::string_view HttpReader::target() const { return to_string_view(impl_->reader.request().target()); }
 std::string_view HttpReader::path() const { return impl_->reader.path(); }
 std::string_view HttpReader::body() const { return impl_->reader.request().body(); }
 
 std::vector<HttpReader::Field> HttpReader::fields() const {
   std::vector<Field> out;
   for (const auto& field : impl_->reader.request()) {
-    out.push_back({view(field.name_string()), view(field.value())});
+    out.push_back({to_string_view(field.name_string()), to_string_view(field.value())});
   }
   return out;
 }
 
-bool HttpReader::call(HttpCall& out) {
+bool HttpReader::take_call(HttpCall& out) {
   try {
     out.impl = std::make_unique<HttpCall::Impl>();
     out.impl->call = impl_->reader.take_call(impl_->received_at);
     return true;
-  } catch (const RequestRejection& bad) {
-    impl_->bad = bad;
+  } catch (const RequestRejection& rejection) {
+    impl_->rejection = rejection;
     return false;
   }
 }
 
-HttpAnswer HttpReader::verdict() const {
-  return public_of(response_to(impl_->bad, impl_->gateway.engine()), true);
+HttpResponse HttpReader::rejection_response() const {
+  return to_http_response(response_to(impl_->rejection, impl_->gateway.engine()), true);
 }
 
-bool HttpReader::upgrades() const {
+bool HttpReader::is_upgrade() const {
   return impl_->reader.request().count(boost::beast::http::field::upgrade) > 0;
 }
 
-std::string HttpReader::rewritten(std::string_view lines, std::string_view without) const {
+std::string HttpReader::normalized_request(std::string_view extra_headers,
+                                           std::string_view excluded_header) const {
   using boost::beast::http::field;
   const auto& request = impl_->reader.request();
-  const bool upgrade = upgrades();
+  const bool upgrade = is_upgrade();
   std::string out;
   out.append(method()).append(" ").append(target()).append(" HTTP/1.1\r\n");
-  for (const auto& line : request) {
-    switch (line.name()) {
+  for (const auto& header : request) {
+    switch (header.name()) {
       case field::content_length:
       case field::transfer_encoding:
       case field::trailer:
@@ -136,11 +140,15 @@
       default:
         break;
     }
-    if (boost::beast::iequals(line.name_string(), boost::beast::string_view(without.data(), without.size())))
+    if (boost::beast::iequals(header.name_string(),
+                              boost::beast::string_view(excluded_header.data(), excluded_header.size())))
       continue;
-    out.append(view(line.name_string())).append(": ").append(view(line.value())).append("\r\n");
+    out.append(to_string_view(header.name_string()))
+        .append(": ")
+        .append(to_string_view(header.value()))
+        .append("\r\n");
   }
-  out.append(lines);
+  out.append(extra_headers);
   if (!keep_alive() && !upgrade) out += "Connection: close\r\n";
   const std::string& body = request.body();
   if (!body.empty() || request.method() == boost::beast::http::verb::post ||
@@ -150,9 +158,9 @@
   return out.append("\r\n").append(body);
 }
 
-void HttpReader::forget() {
+void HttpReader::reset() {
   impl_->reader.reset();
-  impl_->begun = false;
+  impl_->has_begun = false;
 }
 
 }  // namespace nettlestand
--- a/gateway/impl.h
+++ b/gateway/impl.h
@@ -31,8 +31,8 @@
 namespace nettlestand {
 
 struct GatewayLoggers {
-  std::function<void(std::string_view)> lines;
-  std::function<void(const LogEvent&)> events;
+  std::function<void(std::string_view)> on_line;
+  std::function<void(const LogEvent&)> on_event;
 };
 
 struct HttpCall::Impl {
@@ -44,7 +44,7 @@
 class Gateway::Impl : public std::enable_shared_from_this<Impl> {
  public:
   // Without a loop it has one, and a thread, of its own.
-  Impl(Options options, Checked checked, boost::asio::io_context* loop);
+  Impl(Options options, ValidatedOptions validated, boost::asio::io_context* loop);
 
   void start();
   // Posts what is owed as shut down, and the rest of the end to the loop.
@@ -54,13 +54,13 @@
   Ticket submit(HttpCall&& call, Completion&& done);
   bool cancel(Ticket ticket);
   void stop(UniqueFunction<void()> done);
-  void answer_all();
+  void expire_all();
   bool ready() const { return engine_.ready(); }
   std::size_t open_requests() const;
   Error set_servers(const std::vector<ServerOptions>& servers);
-  Error move_discovery(const std::string& address);
+  Error set_discovery_address(const std::string& address);
   std::uint64_t duty_token(const std::string& duty) const;
-  void duty_failed(const std::string& duty);
+  void report_duty_failure(const std::string& duty);
 
   const RequestValidator& request_validator() const { return request_validator_; }
   ByteBudget& budget() { return budget_; }
@@ -71,7 +71,7 @@
   struct Pending final : Caller {
     void answered(Reply&& reply) override { owner->answered(*this, std::move(reply)); }
     // Cancelled on another thread, and the loop has not come to that yet.
-    bool left() const override { return !owner->owes(ticket); }
+    bool left() const override { return !owner->is_pending(ticket); }
     Impl* owner = nullptr;  // outlives it: the engine, which holds it, is the owner's
     Ticket ticket = 0;
     Call call;                 // until the engine has it
@@ -80,12 +80,12 @@
   };
 
   // Puts it into the table, or posts why not. 0: not.
-  std::shared_ptr<Pending> enter(Completion& done, Ticket& ticket);
-  Ticket take_up(const std::shared_ptr<Pending>& pending);
+  std::shared_ptr<Pending> register_request(Completion& done, Ticket& ticket);
+  Ticket submit_to_engine(const std::shared_ptr<Pending>& pending);
   void answered(Pending& pending, Reply&& reply);
   // Takes it out of the table; false where somebody else has.
-  bool take_out(Ticket ticket, std::shared_ptr<Pending>* out = nullptr);
-  bool owes(Ticket ticket) const;
+  bool remove_pending(Ticket ticket, std::shared_ptr<Pending>* out = nullptr);
+  bool is_pending(Ticket ticket) const;
   bool finish(Ticket ticket, Response&& response);
   void complete(Completion done, Response&& response);
   void post_task(UniqueFunction<void()> task);
@@ -93,16 +93,16 @@
   void on_loop(F f);
   Response refusal(Errc code, const char* text) const;
   void end_if_drained();
-  void shut();
-  void hold_duties();
+  void shut_down();
+  void track_duties();
   void log(const LogEvent& event) const noexcept;
 
   const Options options_;
-  const std::shared_ptr<const GatewayLoggers> logger_;
-  const Checked checked_;
-  std::unique_ptr<boost::asio::io_context> own_;
+  const std::shared_ptr<const GatewayLoggers> loggers_;
+  const ValidatedOptions validated_;
+  std::unique_ptr<boost::asio::io_context> own_loop_;
   boost::asio::io_context& loop_;
-  std::optional<boost::asio::executor_work_guard<boost::asio::io_context::executor_type>> work_;
+  std::optional<boost::asio::executor_work_guard<boost::asio::io_context::executor_type>> work_guard_;
   std::thread thread_;
   const RequestValidator request_validator_;
   ByteBudget budget_;
@@ -112,21 +112,21 @@
   Engine engine_;
   std::optional<peers::Service> peers_;
   std::optional<duties::ClientService> duties_;
-  boost::asio::steady_timer last_answers_;
-  bool shut_ = false, draining_ = false;  // loop's thread only
-  UniqueFunction<void()> stopped_;        // loop's thread only
-  const std::uint64_t id_base_;
-  std::atomic<std::uint64_t> list_seq_{0};
+  boost::asio::steady_timer drain_timer_;
+  bool is_shut_down_ = false, draining_ = false;  // loop's thread only
+  UniqueFunction<void()> on_stopped_;             // loop's thread only
+  const std::uint64_t request_id_seed_;
+  std::atomic<std::uint64_t> server_list_sequence_{0};
 
   mutable std::mutex mutex_;  // guards what follows
-  std::unordered_map<Ticket, std::shared_ptr<Pending>> table_;
+  std::unordered_map<Ticket, std::shared_ptr<Pending>> pending_;
   Ticket last_ticket_ = 0;
   bool stopping_ = false;
-  struct Held {
+  struct HeldDuty {
     std::uint64_t token = 0;
     double until = 0;  // s on now()'s clock
   };
-  std::unordered_map<std::string, Held> held_;  // duties, as the loop last knew
+  std::unordered_map<std::string, HeldDuty> held_duties_;  // duties, as the loop last knew
 };
 
 }  // namespace nettlestand
--- a/include/nettlestand/asio.h
+++ b/include/nettlestand/asio.h
@@ -42,16 +42,20 @@
 
 // For Options::executor: completions are posted to this executor of Asio's.
 template <class AsioExecutor>
-std::shared_ptr<Executor> executor_of(AsioExecutor executor) {
-  struct Posts final : Executor {
-    explicit Posts(AsioExecutor to) : to(std::move(to)) {}
+std::shared_ptr<Executor> make_executor(AsioExecutor executor) {
+  struct PostingExecutor final : Executor {
+    explicit PostingExecutor(AsioExecutor asio_executor) : target(std::move(asio_executor)) {}
     void post(UniqueFunction<void()> task) override {
-      boost::asio::post(to,
+      boost::asio::post(target,
                         [task = std::make_shared<UniqueFunction<void()>>(std::move(task))] { (*task)(); });
     }
-    AsioExecutor to;
+    AsioExecutor target;
   };
-  return std::make_shared<Posts>(std::move(executor));
+  return std::make_shared<PostingExecutor>(std::move(executor));
+}
+template <class AsioExecutor>
+[[deprecated("use make_executor()")]] std::shared_ptr<Executor> executor_of(AsioExecutor executor) {
+  return make_executor(std::move(executor));
 }
 
 // submit() with a completion token, such as boost::asio::use_future; a handler runs on its associated
@@ -63,9 +67,9 @@
         auto executor = boost::asio::get_associated_executor(handler, loop.get_executor());
         gateway.submit(std::move(request),
                        [executor, handler = std::move(handler)](Response response) mutable {
-                         auto held = std::make_shared<std::pair<decltype(handler), Response>>(
+                         auto state = std::make_shared<std::pair<decltype(handler), Response>>(
                              std::move(handler), std::move(response));
-                         boost::asio::post(executor, [held] { held->first(std::move(held->second)); });
+                         boost::asio::post(executor, [state] { state->first(std::move(state->second)); });
                        });
       },
       token, std::move(request));
--- a/include/nettlestand/function.h
+++ b/include/nettlestand/function.h
@@ -17,25 +17,25 @@
   UniqueFunction(std::nullptr_t) {}
   template <class F, class = std::enable_if_t<!std::is_same_v<std::decay_t<F>, UniqueFunction> &&
                                               std::is_invocable_v<std::decay_t<F>&, Arguments...>>>
-  UniqueFunction(F&& f) : held_(std::make_unique<Holds<std::decay_t<F>>>(std::forward<F>(f))) {}
+  UniqueFunction(F&& f) : callable_(std::make_unique<CallableOf<std::decay_t<F>>>(std::forward<F>(f))) {}
 
-  explicit operator bool() const { return held_ != nullptr; }
+  explicit operator bool() const { return callable_ != nullptr; }
   // Only where it holds something.
-  void operator()(Arguments... arguments) { held_->call(std::forward<Arguments>(arguments)...); }
+  void operator()(Arguments... arguments) { callable_->invoke(std::forward<Arguments>(arguments)...); }
 
  private:
-  struct Held {
-    virtual ~Held() = default;
-    virtual void call(Arguments... arguments) = 0;
+  struct Callable {
+    virtual ~Callable() = default;
+    virtual void invoke(Arguments... arguments) = 0;
   };
   template <class F>
-  struct Holds final : Held {
+  struct CallableOf final : Callable {
     template <class G>
-    explicit Holds(G&& g) : f(std::forward<G>(g)) {}
-    void call(Arguments... arguments) override { f(std::forward<Arguments>(arguments)...); }
+    explicit CallableOf(G&& g) : f(std::forward<G>(g)) {}
+    void invoke(Arguments... arguments) override { f(std::forward<Arguments>(arguments)...); }
     F f;
   };
-  std::unique_ptr<Held> held_;
+  std::unique_ptr<Callable> callable_;
 };
 
 }  // namespace nettlestand
--- a/include/nettlestand/gateway.h
+++ b/include/nettlestand/gateway.h
@@ -20,12 +20,14 @@
   kBadOption = 1,  // Options that can't be used; the text names the field
   kUnknownClass,   // of a request
   kUnknownTenant,
-  kBadRequest,   // anything else about a request that can't be used; the text says what
-  kIdIsOpen,     // a request with this id is open, or has attempts out
-  kBodyTooLong,  // over 64 KiB
-  kStopping,     // the gateway takes nothing more
-  kFull,         // max_open, or no memory to spare
-  kNotHeld       // the request's duty is not this gateway's (any more)
+  kBadRequest,      // anything else about a request that can't be used; the text says what
+  kRequestIdInUse,  // a request with this id is open, or has attempts out
+  kBodyTooLong,     // over 64 KiB
+  kStopping,        // the gateway takes nothing more
+  kFull,            // max_open, or no memory to spare
+  kDutyNotHeld,     // the request's duty is not this gateway's (any more)
+  kIdIsOpen [[deprecated("use kRequestIdInUse")]] = kRequestIdInUse,
+  kNotHeld [[deprecated("use kDutyNotHeld")]] = kDutyNotHeld
 };
 NETTLESTAND_API const std::error_category& gateway_category() noexcept;
 inline std::error_code make_error_code(Errc code) { return {static_cast<int>(code), gateway_category()}; }
@@ -112,7 +114,7 @@
   void stop(UniqueFunction<void()> done = nullptr);
 
   // Answers everything that is open now, as for deadlines that have come.
-  void answer_all();
+  void expire_all();
 
   // Whether requests can be served: there is a server to send to, and discovery, where there is one, has been
   // heard or asked.
@@ -124,12 +126,20 @@
   // moment before each effect; the token goes with the effect to where it takes place.
   std::uint64_t duty_token(const std::string& duty) const;
   // It can't be done here: somebody else is to try. Asked for again after a pause that grows.
-  void duty_failed(const std::string& duty);
+  void report_duty_failure(const std::string& duty);
 
   // Replaces all servers, as a list from discovery would. Those that it lacks drain.
   Error set_servers(const std::vector<ServerOptions>& servers);
   // Asks discovery at another address from now on; until that has spoken, the old one still counts.
-  Error move_discovery(const std::string& address);
+  Error set_discovery_address(const std::string& address);
+
+  [[deprecated("use expire_all()")]] void answer_all() { expire_all(); }
+  [[deprecated("use report_duty_failure()")]] void duty_failed(const std::string& duty) {
+    report_duty_failure(duty);
+  }
+  [[deprecated("use set_discovery_address()")]] Error move_discovery(const std::string& address) {
+    return set_discovery_address(address);
+  }
 
   class Impl;
   explicit Gateway(std::shared_ptr<Impl> impl);  // the library's own
--- a/include/nettlestand/http.h
+++ b/include/nettlestand/http.h
@@ -6,6 +6,7 @@
 #include <memory>
 #include <string>
 #include <string_view>
+#include <utility>
 #include <vector>
 
 #include "nettlestand/export.h"
@@ -26,27 +27,35 @@
 };
 
 // What a client is told.
-struct HttpAnswer {
+struct HttpResponse {
   int status = 500;
   std::string retry_after;  // the header's value; empty: none
   std::string content_type, body;
   bool close = false;  // the connection ends with it
 
   // Status line, headers and body.
-  NETTLESTAND_API std::string bytes() const;
+  NETTLESTAND_API std::string serialize() const;
+  [[deprecated("use serialize()")]] std::string bytes() const { return serialize(); }
 };
 
 // The answer to a request, from what its completion got.
-NETTLESTAND_API HttpAnswer http_answer(Response response);
+NETTLESTAND_API HttpResponse http_response(Response response);
+
+using HttpAnswer [[deprecated("use HttpResponse")]] = HttpResponse;
+[[deprecated("use http_response()")]] inline HttpResponse http_answer(Response response) {
+  return http_response(std::move(response));
+}
 
 // Reads one connection's requests. Not for two threads at once. The gateway must outlive it.
 class NETTLESTAND_API HttpReader {
  public:
   enum class Step {
-    kMore,       // all that was there is taken; more is needed
-    kHead,       // a sound head has come; read() goes on with its body
-    kRequest,    // a whole request is there
-    kTurnedAway  // the client gets verdict(), and nothing that follows it on this connection can be read
+    kNeedMore,  // all that was there is taken; more is needed
+    kHead,      // a sound head has come; read() goes on with its body
+    kRequest,   // a whole request is there
+    kRejected,  // the client gets verdict(), and nothing that follows it on this connection can be read
+    kMore [[deprecated("use kNeedMore")]] = kNeedMore,
+    kTurnedAway [[deprecated("use kRejected")]] = kRejected
   };
 
   // `other_body_limit`: bytes of the body of a request that is not for /api. Heads are of 8 KiB at most.
@@ -57,7 +66,7 @@
 
   // Takes from the front of `in` what belongs to the request at hand. After kRequest: forget() before the
   // next.
-  Step read(std::string& in);
+  Step read(std::string& input);
 
   // From kHead on.
   bool for_gateway() const;       // its path is /api
@@ -73,18 +82,27 @@
   // At kRequest; empty once call() has taken it.
   std::string_view body() const;
   // At kRequest, where for_gateway(): once. False, and verdict() says why, where it can't be used.
-  bool call(HttpCall& out);
+  bool take_call(HttpCall& out);
   // At kTurnedAway, or where call() was false.
-  HttpAnswer verdict() const;
+  HttpResponse rejection_response() const;
   // At kRequest: the request as another server may read it, without a doubt where it ends: framed by a
   // length, without what belongs to one connection but an upgrade. `lines`: further header lines, each with
   // its line end; a client's own header of the name `without` is left out. Its body is empty once call() has
   // taken it.
-  std::string rewritten(std::string_view lines, std::string_view without) const;
+  std::string normalized_request(std::string_view extra_headers, std::string_view excluded_header) const;
   // Whether it asks for another protocol on its connection.
-  bool upgrades() const;
+  bool is_upgrade() const;
+
+  void reset();
 
-  void forget();
+  [[deprecated("use take_call()")]] bool call(HttpCall& out) { return take_call(out); }
+  [[deprecated("use rejection_response()")]] HttpResponse verdict() const { return rejection_response(); }
+  [[deprecated("use normalized_request()")]] std::string rewritten(std::string_view lines,
+                                                                   std::string_view without) const {
+    return normalized_request(lines, without);
+  }
+  [[deprecated("use is_upgrade()")]] bool upgrades() const { return is_upgrade(); }
+  [[deprecated("use reset()")]] void forget() { reset(); }
 
  private:
   struct Impl;
--- a/include/nettlestand/middleware/httplib.h
+++ b/include/nettlestand/middleware/httplib.h
@@ -41,17 +41,17 @@
   explicit Server(Gateway& gateway, std::size_t other_body_limit = 64 * 1024)
       : gateway_(gateway),
         other_body_limit_(other_body_limit),
-        ending_(::eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK)) {}
-  ~Server() override { ::close(ending_); }
+        drain_event_(::eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK)) {}
+  ~Server() override { ::close(drain_event_); }
 
   // As those of httplib, but for its accept queue of five: more than that at once would be left to come
   // again, after a second or never.
   bool bind_to_port(const std::string& host, int port, int socket_flags = 0) {
-    return ::httplib::Server::bind_to_port(host, port, socket_flags) && widen();
+    return ::httplib::Server::bind_to_port(host, port, socket_flags) && enlarge_accept_queue();
   }
   int bind_to_any_port(const std::string& host, int socket_flags = 0) {
     const int port = ::httplib::Server::bind_to_any_port(host, socket_flags);
-    return port >= 0 && widen() ? port : -1;
+    return port >= 0 && enlarge_accept_queue() ? port : -1;
   }
   bool listen(const std::string& host, int port, int socket_flags = 0) {
     return bind_to_port(host, port, socket_flags) && listen_after_bind();
@@ -59,56 +59,62 @@
 
   // Answers from now on end their connections, and what is idle is closed, as in the daemon's drain. Any
   // thread.
-  void finish() {
-    finishing_ = true;
+  void drain() {
+    draining_ = true;
     const std::uint64_t one = 1;
-    [[maybe_unused]] const ssize_t told = ::write(ending_, &one, sizeof one);
+    [[maybe_unused]] const ssize_t written = ::write(drain_event_, &one, sizeof one);
   }
+  [[deprecated("use drain()")]] void finish() { drain(); }
   std::size_t connections() const { return connections_; }
 
  private:
-  static constexpr std::size_t kEarlyLimit = 8 * 1024;  // bytes kept of a next request while one is answered
-  static constexpr std::size_t kEndingLimit = 256 * 1024;  // bytes thrown away after the last answer
-  static constexpr int kAcceptQueue = 4096;                // connections
+  static constexpr std::size_t kMaxPipelinedBytes =
+      8 * 1024;  // bytes kept of a next request while one is answered
+  static constexpr std::size_t kMaxDiscardedBytes = 256 * 1024;  // bytes thrown away after the last answer
+  static constexpr int kAcceptQueueLength = 4096;                // connections
 
-  bool widen() { return ::listen(svr_sock_, kAcceptQueue) == 0; }
+  bool enlarge_accept_queue() { return ::listen(svr_sock_, kAcceptQueueLength) == 0; }
 
   // Waits for one answer: its completion makes a descriptor readable.
-  struct Waiting {
-    Waiting() : ready(::eventfd(0, EFD_CLOEXEC)) {}
-    ~Waiting() { ::close(ready); }
+  struct PendingResponse {
+    PendingResponse() : ready(::eventfd(0, EFD_CLOEXEC)) {}
+    ~PendingResponse() { ::close(ready); }
     const int ready;
     Response response;
   };
 
   // What httplib reads is a request that has come whole; what it writes goes to the client.
-  class Whole : public ::httplib::Stream {
+  class BufferedRequestStream : public ::httplib::Stream {
    public:
-    Whole(socket_t socket, std::string text) : socket_(socket), text_(std::move(text)) {}
-    bool is_readable() const override { return at_ < text_.size(); }
+    BufferedRequestStream(socket_t socket, std::string text) : socket_(socket), text_(std::move(text)) {}
+    bool is_readable() const override { return position_ < text_.size(); }
     bool is_writable() const override { return true; }
-    ssize_t read(char* to, std::size_t size) override {
-      const std::size_t part = std::min(size, text_.size() - at_);
-      std::memcpy(to, text_.data() + at_, part);
-      at_ += part;
-      return static_cast<ssize_t>(part);
+    ssize_t read(char* target, std::size_t size) override {
+      const std::size_t count = std::min(size, text_.size() - position_);
+      std::memcpy(target, text_.data() + position_, count);
+      position_ += count;
+      return static_cast<ssize_t>(count);
     }
-    ssize_t write(const char* from, std::size_t size) override {
-      return ::send(socket_, from, size, MSG_NOSIGNAL);
+    ssize_t write(const char* source, std::size_t size) override {
+      return ::send(socket_, source, size, MSG_NOSIGNAL);
+    }
+    void get_remote_ip_and_port(std::string& ip, int& port) const override {
+      read_endpoint(::getpeername, ip, port);
+    }
+    void get_local_ip_and_port(std::string& ip, int& port) const override {
+      read_endpoint(::getsockname, ip, port);
     }
-    void get_remote_ip_and_port(std::string& ip, int& port) const override { name(::getpeername, ip, port); }
-    void get_local_ip_and_port(std::string& ip, int& port) const override { name(::getsockname, ip, port); }
     socket_t socket() const override { return socket_; }
 
    private:
-    template <class Which>
-    void name(Which which, std::string& ip, int& port) const {
-      sockaddr_storage at{};
-      socklen_t size = sizeof at;
-      if (which(socket_, reinterpret_cast<sockaddr*>(&at), &size) != 0) return;
+    template <class GetName>
+    void read_endpoint(GetName get_name, std::string& ip, int& port) const {
+      sockaddr_storage address{};
+      socklen_t size = sizeof address;
+      if (get_name(socket_, reinterpret_cast<sockaddr*>(&address), &size) != 0) return;
       std::array<char, NI_MAXHOST> host{};
       std::array<char, NI_MAXSERV> service{};
-      if (::getnameinfo(reinterpret_cast<sockaddr*>(&at), size, host.data(), host.size(), service.data(),
+      if (::getnameinfo(reinterpret_cast<sockaddr*>(&address), size, host.data(), host.size(), service.data(),
                         service.size(), NI_NUMERICHOST | NI_NUMERICSERV) != 0) {
         return;
       }
@@ -118,18 +124,18 @@
 
     const socket_t socket_;
     const std::string text_;
-    std::size_t at_ = 0;
+    std::size_t position_ = 0;
   };
 
   // One connection, from the pool's thread that has it.
   bool process_and_close_socket(socket_t socket) override {
     ++connections_;
-    const int on = 1;
-    ::setsockopt(socket, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-    const timeval patience{write_timeout_sec_, static_cast<suseconds_t>(write_timeout_usec_)};
-    ::setsockopt(socket, SOL_SOCKET, SO_SNDTIMEO, &patience, sizeof patience);
+    const int enabled = 1;
+    ::setsockopt(socket, IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
+    const timeval send_timeout{write_timeout_sec_, static_cast<suseconds_t>(write_timeout_usec_)};
+    ::setsockopt(socket, SOL_SOCKET, SO_SNDTIMEO, &send_timeout, sizeof send_timeout);
     try {
-      serve(socket);
+      serve_connection(socket);
     } catch (const std::exception&) {  // memory, most likely: it ends this connection alone
     }
     ::close(socket);
@@ -137,97 +143,98 @@
     return true;
   }
 
-  void serve(socket_t socket) {
+  void serve_connection(socket_t socket) {
     HttpReader reader(gateway_, other_body_limit_);
-    std::string in;
-    while (next(socket, reader, in)) {
+    std::string input;
+    while (read_request(socket, reader, input)) {
       if (reader.for_gateway()) {
         HttpCall call;
-        if (!reader.call(call)) return end(socket, reader.verdict());
-        reader.forget();
-        if (!answer(socket, std::move(call), reader.keep_alive(), in)) return;
+        if (!reader.take_call(call)) return send_rejection(socket, reader.rejection_response());
+        reader.reset();
+        if (!submit_and_respond(socket, std::move(call), reader.keep_alive(), input)) return;
       } else {
-        Whole whole(socket, reader.rewritten({}, {}));
-        const bool close = !reader.keep_alive() || finishing_;
+        BufferedRequestStream stream(socket, reader.normalized_request({}, {}));
+        const bool close = !reader.keep_alive() || draining_;
         bool closed = close;
-        reader.forget();
-        if (!process_request(whole, close, closed, nullptr) || closed) return linger(socket);
+        reader.reset();
+        if (!process_request(stream, close, closed, nullptr) || closed) return linger(socket);
       }
     }
   }
 
   // Reads a whole request. False where the connection is over.
-  bool next(socket_t socket, HttpReader& reader, std::string& in) {
-    bool begun = false;
-    auto since = std::chrono::steady_clock::now();
+  bool read_request(socket_t socket, HttpReader& reader, std::string& input) {
+    bool request_begun = false;
+    auto started_at = std::chrono::steady_clock::now();
     while (true) {
-      if (!in.empty()) {
-        begun = true;
-        HttpReader::Step step = reader.read(in);
+      if (!input.empty()) {
+        request_begun = true;
+        HttpReader::Step step = reader.read(input);
         if (step == HttpReader::Step::kHead) {
           if (reader.expects_continue() && !send_all(socket, "HTTP/1.1 100 Continue\r\n\r\n")) return false;
-          step = reader.read(in);
+          step = reader.read(input);
         }
         if (step == HttpReader::Step::kRequest) return true;
-        if (step == HttpReader::Step::kTurnedAway) {
-          end(socket, reader.verdict());
+        if (step == HttpReader::Step::kRejected) {
+          send_rejection(socket, reader.rejection_response());
           return false;
         }
       }
-      const auto limit = std::chrono::seconds(begun ? read_timeout_sec_ : keep_alive_timeout_sec_);
-      const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(
-          since + limit - std::chrono::steady_clock::now());
+      const auto timeout = std::chrono::seconds(request_begun ? read_timeout_sec_ : keep_alive_timeout_sec_);
+      const auto remaining = std::chrono::duration_cast<std::chrono::milliseconds>(
+          started_at + timeout - std::chrono::steady_clock::now());
       // The end of the server wakes those that wait for nothing but a next request.
-      std::array<pollfd, 2> both{{{socket, POLLIN, 0}, {begun ? -1 : ending_, POLLIN, 0}}};
-      const int count =
-          ::poll(both.data(), both.size(), static_cast<int>(std::max<std::int64_t>(0, left.count())));
+      std::array<pollfd, 2> descriptors{
+          {{socket, POLLIN, 0}, {request_begun ? -1 : drain_event_, POLLIN, 0}}};
+      const int count = ::poll(descriptors.data(), descriptors.size(),
+                               static_cast<int>(std::max<std::int64_t>(0, remaining.count())));
       if (count < 0) continue;
-      if (both[0].revents == 0) return false;  // its time is up, or the server ends
-      if (!receive(socket, in)) return false;
-      if (!begun) since = std::chrono::steady_clock::now();
+      if (descriptors[0].revents == 0) return false;  // its time is up, or the server ends
+      if (!receive(socket, input)) return false;
+      if (!request_begun) started_at = std::chrono::steady_clock::now();
     }
   }
 
-  static bool receive(socket_t socket, std::string& in) {
-    std::array<char, 16 * 1024> bytes;
-    const ssize_t got = ::recv(socket, bytes.data(), bytes.size(), MSG_DONTWAIT);
-    if (got < 0 && (errno == EAGAIN || errno == EINTR)) return true;
-    if (got <= 0) return false;
-    in.append(bytes.data(), static_cast<std::size_t>(got));
+  static bool receive(socket_t socket, std::string& input) {
+    std::array<char, 16 * 1024> buffer;
+    const ssize_t received = ::recv(socket, buffer.data(), buffer.size(), MSG_DONTWAIT);
+    if (received < 0 && (errno == EAGAIN || errno == EINTR)) return true;
+    if (received <= 0) return false;
+    input.append(buffer.data(), static_cast<std::size_t>(received));
     return true;
   }
 
   // Submits a request, and answers it unless its client leaves first. False where the connection is over.
-  bool answer(socket_t socket, HttpCall call, bool keep_alive, std::string& in) {
-    const auto waiting = std::make_shared<Waiting>();
-    const Ticket ticket = gateway_.submit(std::move(call), [waiting](Response response) {
-      waiting->response = std::move(response);
+  bool submit_and_respond(socket_t socket, HttpCall call, bool keep_alive, std::string& input) {
+    const auto pending = std::make_shared<PendingResponse>();
+    const Ticket ticket = gateway_.submit(std::move(call), [pending](Response response) {
+      pending->response = std::move(response);
       const std::uint64_t one = 1;
-      [[maybe_unused]] const ssize_t told = ::write(waiting->ready, &one, sizeof one);
+      [[maybe_unused]] const ssize_t written = ::write(pending->ready, &one, sizeof one);
     });
     while (true) {
-      const short wanted = in.size() < kEarlyLimit ? POLLIN : 0;
-      std::array<pollfd, 2> both{
-          {{waiting->ready, POLLIN, 0}, {socket, static_cast<short>(wanted | POLLRDHUP), 0}}};
-      if (::poll(both.data(), both.size(), -1) < 0) continue;
-      if (both[0].revents != 0) break;
-      const bool left = (both[1].revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
-      if (left || ((both[1].revents & POLLIN) != 0 && !receive(socket, in))) {
+      const short events = input.size() < kMaxPipelinedBytes ? POLLIN : 0;
+      std::array<pollfd, 2> descriptors{
+          {{pending->ready, POLLIN, 0}, {socket, static_cast<short>(events | POLLRDHUP), 0}}};
+      if (::poll(descriptors.data(), descriptors.size(), -1) < 0) continue;
+      if (descriptors[0].revents != 0) break;
+      const bool client_gone = (descriptors[1].revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
+      if (client_gone || ((descriptors[1].revents & POLLIN) != 0 && !receive(socket, input))) {
         gateway_.cancel(ticket);  // nobody waits for its answer any more
         return false;
       }
     }
     std::uint64_t ignored = 0;
-    [[maybe_unused]] const ssize_t got = ::read(waiting->ready, &ignored, sizeof ignored);
-    HttpAnswer told = http_answer(std::move(waiting->response));
-    told.close = told.close || !keep_alive || finishing_;
-    if (!send_all(socket, told.bytes())) return false;
-    if (told.close) linger(socket);
-    return !told.close;
+    [[maybe_unused]] const ssize_t received = ::read(pending->ready, &ignored, sizeof ignored);
+    HttpResponse client_response = http_response(std::move(pending->response));
+    client_response.close = client_response.close || !keep_alive || draining_;
+    if (!send_all(socket, client_response.serialize())) return false;
+    if (client_response.close) linger(socket);
+    return !client_response.close;
   }
 
-  void end(socket_t socket, const HttpAnswer& verdict) {
-    if (send_all(socket, verdict.bytes())) linger(socket);
+  void send_rejection(socket_t socket, const HttpResponse& response) {
+    if (send_all(socket, response.serialize())) linger(socket);
   }
 
   static bool send_all(socket_t socket, std::string_view text) {
@@ -244,24 +251,24 @@
   // what still comes is thrown away for a while.
   static void linger(socket_t socket) {
     ::shutdown(socket, SHUT_WR);
-    std::array<char, 16 * 1024> bytes;
-    std::size_t thrown_away = 0;
-    const auto until = std::chrono::steady_clock::now() + std::chrono::seconds(1);
-    while (thrown_away < kEndingLimit) {
-      const auto left =
-          std::chrono::duration_cast<std::chrono::milliseconds>(until - std::chrono::steady_clock::now());
-      pollfd p{socket, POLLIN, 0};
-      if (left.count() <= 0 || ::poll(&p, 1, static_cast<int>(left.count())) <= 0) return;
-      const ssize_t got = ::recv(socket, bytes.data(), bytes.size(), 0);
-      if (got <= 0) return;
-      thrown_away += static_cast<std::size_t>(got);
+    std::array<char, 16 * 1024> buffer;
+    std::size_t discarded = 0;
+    const auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(1);
+    while (discarded < kMaxDiscardedBytes) {
+      const auto remaining =
+          std::chrono::duration_cast<std::chrono::milliseconds>(deadline - std::chrono::steady_clock::now());
+      pollfd descriptor{socket, POLLIN, 0};
+      if (remaining.count() <= 0 || ::poll(&descriptor, 1, static_cast<int>(remaining.count())) <= 0) return;
+      const ssize_t received = ::recv(socket, buffer.data(), buffer.size(), 0);
+      if (received <= 0) return;
+      discarded += static_cast<std::size_t>(received);
     }
   }
 
   Gateway& gateway_;
   const std::size_t other_body_limit_;
-  const int ending_;  // readable once the server ends
-  std::atomic<bool> finishing_ = false;
+  const int drain_event_;  // readable once the server ends
+  std::atomic<bool> draining_ = false;
   std::atomic<std::size_t> connections_ = 0;
 };
 
--- a/include/nettlestand/middleware/restinio.h
+++ b/include/nettlestand/middleware/restinio.h
@@ -51,86 +51,92 @@
 
 // The header by which a request that RESTinio has parsed finds what was read of it. Never taken from a
 // client.
-inline constexpr const char* kToken = "Nettlestand-Token";
+inline constexpr const char* kRequestTokenHeader = "Nettlestand-Token";
+[[deprecated("use kRequestTokenHeader")]] inline constexpr const char* kToken = kRequestTokenHeader;
 
-class Guard;
+class ClientConnection;
 
 // What all connections of one server share. Lives on the thread of the server's io_context. The gateway must
 // outlive the server.
-class Door {
+class GatewayBinding {
  public:
   // `other_body_limit`: bytes of a body that is for another route.
-  explicit Door(Gateway& gateway, std::size_t other_body_limit = 64 * 1024)
+  explicit GatewayBinding(Gateway& gateway, std::size_t other_body_limit = 64 * 1024)
       : gateway_(gateway), other_body_limit_(other_body_limit) {}
 
   // Answers from now on end their connections, and what is idle is closed, as in the daemon's drain.
-  inline void finish();
-  std::size_t connections() const { return guards_.size(); }
+  inline void drain();
+  [[deprecated("use drain()")]] void finish() { drain(); }
+  std::size_t connections() const { return connections_.size(); }
 
  private:
-  friend class Guard;
+  friend class ClientConnection;
   template <class Request>
-  friend ::restinio::request_handling_status_t serve(const std::shared_ptr<Door>& door,
+  friend ::restinio::request_handling_status_t serve(const std::shared_ptr<GatewayBinding>& binding,
                                                      const Request& request);
 
   Gateway& gateway_;
   const std::size_t other_body_limit_;
-  bool finishing_ = false;
+  bool draining_ = false;
   std::uint64_t last_token_ = 0;
-  std::unordered_map<std::uint64_t, std::weak_ptr<Guard>> waiting_;  // by token
-  std::unordered_set<Guard*> guards_;                                // of open connections
-  std::array<char, 16 * 1024> scratch_{};
+  std::unordered_map<std::uint64_t, std::weak_ptr<ClientConnection>> pending_;  // by token
+  std::unordered_set<ClientConnection*> connections_;                           // of open connections
+  std::array<char, 16 * 1024> read_buffer_{};
 };
 
 // One connection, as seen from below RESTinio.
-class Guard : public std::enable_shared_from_this<Guard> {
+class ClientConnection : public std::enable_shared_from_this<ClientConnection> {
  public:
-  using Read = UniqueFunction<void(error_code, std::size_t)>;
+  using ReadHandler = UniqueFunction<void(error_code, std::size_t)>;
+  using Read [[deprecated("use ReadHandler")]] = ReadHandler;
 
-  Guard(asio::io_context& loop, std::shared_ptr<Door> door)
-      : door_(std::move(door)),
+  ClientConnection(asio::io_context& loop, std::shared_ptr<GatewayBinding> binding)
+      : binding_(std::move(binding)),
         socket_(loop),
         linger_(loop),
-        reader_(door_->gateway_, door_->other_body_limit_) {}
-  ~Guard() { door_->guards_.erase(this); }
-  Guard(const Guard&) = delete;
-  Guard& operator=(const Guard&) = delete;
+        reader_(binding_->gateway_, binding_->other_body_limit_) {}
+  ~ClientConnection() { binding_->connections_.erase(this); }
+  ClientConnection(const ClientConnection&) = delete;
+  ClientConnection& operator=(const ClientConnection&) = delete;
 
   tcp::socket& socket() { return socket_; }
   const tcp::socket& socket() const { return socket_; }
   bool is_open() const { return open_ && socket_.is_open(); }
 
   // RESTinio begins to read: the connection is there.
-  void begin() {
+  void start() {
     open_ = true;
-    door_->guards_.insert(this);
+    binding_->connections_.insert(this);
     error_code ignored;
     socket_.set_option(tcp::no_delay(true), ignored);
     socket_.non_blocking(true, ignored);
     wait_readable();
   }
 
-  void read(asio::mutable_buffer into, Read done) {
-    into_ = into;
-    wanted_ = std::move(done);
-    out_.empty() && !left_ ? parse() : give();  // what has come behind the last request is read now
+  [[deprecated("use start()")]] void begin() { start(); }
+
+  void read(asio::mutable_buffer target, ReadHandler done) {
+    read_target_ = target;
+    read_handler_ = std::move(done);
+    to_restinio_.empty() && !client_gone_ ? parse()
+                                          : deliver();  // what has come behind the last request is read now
   }
 
   // RESTinio wants no more of the read that is out.
   void cancel() {
-    if (wanted_) post_read(asio::error::operation_aborted, 0);
+    if (read_handler_) post_read(asio::error::operation_aborted, 0);
   }
 
   // Guards the answer: closing over unread bytes resets the connection and may take the answer with it. So
   // what still comes is thrown away for a while.
   void close() {
     if (!std::exchange(open_, false)) return;
-    abandon();
+    cancel_request();
     cancel();
-    door_->guards_.erase(this);
+    binding_->connections_.erase(this);
     error_code failed;
-    if (!left_) socket_.shutdown(tcp::socket::shutdown_send, failed);
-    if (left_ || failed) {
+    if (!client_gone_) socket_.shutdown(tcp::socket::shutdown_send, failed);
+    if (client_gone_ || failed) {
       socket_.close(failed);
       return;
     }
@@ -144,115 +150,118 @@
 
   // Closes it unless something is being read, waits or is being answered.
   void close_if_idle() {
-    if (holding_ || foreign_ || begun_ || deaf_ || raw_ || !in_.empty() || !out_.empty()) return;
+    if (awaiting_response_ || other_route_pending_ || request_begun_ || discarding_ || passthrough_ ||
+        !received_.empty() || !to_restinio_.empty())
+      return;
     char byte = 0;
     // What has come and is not read yet is a request that this machine has taken.
     if (::recv(socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT) > 0) return;
-    left_ = true;
-    give();
+    client_gone_ = true;
+    deliver();
   }
 
   // What RESTinio writes goes out as it is.
   template <class Buffers, class Handler>
   void write(const Buffers& buffers, Handler&& handler) {
-    foreign_ = false;
+    other_route_pending_ = false;
     socket_.async_write_some(buffers, std::forward<Handler>(handler));
   }
 
  private:
   template <class Request>
-  friend ::restinio::request_handling_status_t serve(const std::shared_ptr<Door>& door,
+  friend ::restinio::request_handling_status_t serve(const std::shared_ptr<GatewayBinding>& binding,
                                                      const Request& request);
 
-  static constexpr std::size_t kEarlyLimit = 8 * 1024;     // bytes kept of a next request
-  static constexpr std::size_t kEndingLimit = 256 * 1024;  // bytes thrown away after the last answer
+  static constexpr std::size_t kMaxPipelinedBytes = 8 * 1024;    // bytes kept of a next request
+  static constexpr std::size_t kMaxDiscardedBytes = 256 * 1024;  // bytes thrown away after the last answer
 
   // One wait is out at any time, also while a request waits for its answer: only so is it noticed that a
   // client leaves.
   void wait_readable() {
-    if (waiting_ || left_ || !socket_.is_open()) return;
-    waiting_ = true;
+    if (wait_active_ || client_gone_ || !socket_.is_open()) return;
+    wait_active_ = true;
     socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](const error_code& error) {
-      self->waiting_ = false;
+      self->wait_active_ = false;
       if (!self->socket_.is_open()) return;
-      self->readable(error);
+      self->on_readable(error);
     });
   }
 
-  void readable(const error_code& failed) {
-    const bool busy = holding_ || !out_.empty();
-    if (open_ && busy && in_.size() >= kEarlyLimit) return;
+  void on_readable(const error_code& failed) {
+    const bool busy = awaiting_response_ || !to_restinio_.empty();
+    if (open_ && busy && received_.size() >= kMaxPipelinedBytes) return;
     error_code error = failed;
-    const std::size_t got = failed ? 0 : socket_.read_some(asio::buffer(door_->scratch_), error);
+    const std::size_t received = failed ? 0 : socket_.read_some(asio::buffer(binding_->read_buffer_), error);
     if (error == asio::error::would_block) return wait_readable();
-    if (error) return client_left();
-    if (!open_ || deaf_) {
-      if ((thrown_away_ += got) > kEndingLimit) {
+    if (error) return on_client_gone();
+    if (!open_ || discarding_) {
+      if ((discarded_ += received) > kMaxDiscardedBytes) {
         error_code ignored;
         socket_.close(ignored);
         return;
       }
       return wait_readable();
     }
-    in_.append(door_->scratch_.data(), got);
+    received_.append(binding_->read_buffer_.data(), received);
     wait_readable();
     parse();
   }
 
-  void client_left() {
-    left_ = true;
+  void on_client_gone() {
+    client_gone_ = true;
     linger_.cancel();
     if (!open_) {
       error_code ignored;
       socket_.close(ignored);
       return;
     }
-    abandon();
-    out_.clear();
-    give();
+    cancel_request();
+    to_restinio_.clear();
+    deliver();
   }
 
   // Whoever waits for the gateway's answer is gone.
-  void abandon() {
-    if (ticket_ != 0) door_->gateway_.cancel(std::exchange(ticket_, 0));
+  void cancel_request() {
+    if (ticket_ != 0) binding_->gateway_.cancel(std::exchange(ticket_, 0));
   }
 
   void parse() {
-    if (raw_) {
-      out_.append(in_);
-      in_.clear();
-      return give();
+    if (passthrough_) {
+      to_restinio_.append(received_);
+      received_.clear();
+      return deliver();
     }
-    while (open_ && !left_ && !holding_ && !deaf_ && out_.empty() && !in_.empty()) {
-      begun_ = true;
-      switch (reader_.read(in_)) {
-        case HttpReader::Step::kMore:
+    while (open_ && !client_gone_ && !awaiting_response_ && !discarding_ && to_restinio_.empty() &&
+           !received_.empty()) {
+      request_begun_ = true;
+      switch (reader_.read(received_)) {
+        case HttpReader::Step::kNeedMore:
           return;
         case HttpReader::Step::kHead:
-          if (reader_.expects_continue() && !foreign_) {
+          if (reader_.expects_continue() && !other_route_pending_) {
             static constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
             error_code ignored;
             socket_.write_some(asio::buffer(kContinue.data(), kContinue.size()), ignored);
           }
-          if (in_.empty()) in_.shrink_to_fit();
-          if (!whole_without_more()) continue;
+          if (received_.empty()) received_.shrink_to_fit();
+          if (!is_complete_without_body()) continue;
           [[fallthrough]];
         case HttpReader::Step::kRequest:
-          whole();
+          on_request();
           break;
-        case HttpReader::Step::kTurnedAway:
-          turn_away(reader_.verdict());
+        case HttpReader::Step::kRejected:
+          reject(reader_.rejection_response());
           break;
       }
     }
-    give();
+    deliver();
   }
 
   // Whether a request whose head has just come has no body: nothing more need come for it.
-  bool whole_without_more() {
-    std::string none;
-    if (!in_.empty()) return false;
-    switch (reader_.read(none)) {
+  bool is_complete_without_body() {
+    std::string empty_input;
+    if (!received_.empty()) return false;
+    switch (reader_.read(empty_input)) {
       case HttpReader::Step::kRequest:
         return true;
       default:
@@ -260,20 +269,20 @@
     }
   }
 
-  void whole() {
-    begun_ = false;
+  void on_request() {
+    request_begun_ = false;
     if (reader_.for_gateway()) {
       HttpCall call;
-      if (!reader_.call(call)) return turn_away(reader_.verdict());
+      if (!reader_.take_call(call)) return reject(reader_.rejection_response());
       call_ = std::move(call);
-      verdict_ = {};
-      to_chain(true);
+      rejection_ = {};
+      pass_to_restinio(true);
     } else {
-      if (!known_method()) return turn_away({501, "", "text/plain", "unknown method\n", true});
-      foreign_ = true;
-      to_chain(false);
+      if (!known_method()) return reject({501, "", "text/plain", "unknown method\n", true});
+      other_route_pending_ = true;
+      pass_to_restinio(false);
     }
-    reader_.forget();
+    reader_.reset();
   }
 
   // RESTinio's parser knows a list of methods, and closes on others without a word.
@@ -286,80 +295,86 @@
     return false;
   }
 
-  void turn_away(HttpAnswer answer) {
-    verdict_ = std::move(answer);
-    deaf_ = true;
-    holding_ = true;
-    begun_ = false;
-    in_.clear();
-    in_.shrink_to_fit();
-    out_ = "POST /api HTTP/1.1\r\n" + token() + "Connection: close\r\nContent-Length: 0\r\n\r\n";
+  void reject(HttpResponse response) {
+    rejection_ = std::move(response);
+    discarding_ = true;
+    awaiting_response_ = true;
+    request_begun_ = false;
+    received_.clear();
+    received_.shrink_to_fit();
+    to_restinio_ =
+        "POST /api HTTP/1.1\r\n" + make_token_header() + "Connection: close\r\nContent-Length: 0\r\n\r\n";
   }
 
-  std::string token() {
-    token_ = ++door_->last_token_;
-    door_->waiting_[token_] = weak_from_this();
-    return std::string(kToken) + ": " + std::to_string(token_) + "\r\n";
+  std::string make_token_header() {
+    token_ = ++binding_->last_token_;
+    binding_->pending_[token_] = weak_from_this();
+    return std::string(kRequestTokenHeader) + ": " + std::to_string(token_) + "\r\n";
   }
 
   // The request as RESTinio is to see it. The body of one for the gateway stays here.
-  void to_chain(bool ours) {
-    holding_ = ours;
-    raw_ = !ours && reader_.upgrades();  // what follows may be another protocol
-    out_ = reader_.rewritten(ours ? token() : std::string(), kToken);
-    if (raw_) out_.append(std::exchange(in_, {}));
+  void pass_to_restinio(bool for_gateway) {
+    awaiting_response_ = for_gateway;
+    passthrough_ = !for_gateway && reader_.is_upgrade();  // what follows may be another protocol
+    to_restinio_ =
+        reader_.normalized_request(for_gateway ? make_token_header() : std::string(), kRequestTokenHeader);
+    if (passthrough_) to_restinio_.append(std::exchange(received_, {}));
   }
 
   // Gives RESTinio what is there for it.
-  void give() {
-    if (!wanted_ || !open_) return;
-    if (!out_.empty()) {
-      const std::size_t size = std::min(out_.size(), into_.size());
-      std::memcpy(into_.data(), out_.data(), size);
-      out_.erase(0, size);
+  void deliver() {
+    if (!read_handler_ || !open_) return;
+    if (!to_restinio_.empty()) {
+      const std::size_t size = std::min(to_restinio_.size(), read_target_.size());
+      std::memcpy(read_target_.data(), to_restinio_.data(), size);
+      to_restinio_.erase(0, size);
       return post_read({}, size);
     }
-    if (left_) post_read(asio::error::eof, 0);
+    if (client_gone_) post_read(asio::error::eof, 0);
   }
 
   void post_read(const error_code& error, std::size_t size) {
     asio::post(socket_.get_executor(),
-               [self = shared_from_this(), done = std::make_shared<Read>(std::exchange(wanted_, nullptr)),
-                error, size] { (*done)(error, size); });
+               [self = shared_from_this(),
+                done = std::make_shared<ReadHandler>(std::exchange(read_handler_, nullptr)), error,
+                size] { (*done)(error, size); });
   }
 
   // The answer to what this connection was held for has been written.
-  void answered() {
-    holding_ = false;
+  void on_response_written() {
+    awaiting_response_ = false;
     ticket_ = 0;
     if (!open_) return;
     wait_readable();
     parse();
   }
 
-  const std::shared_ptr<Door> door_;
+  const std::shared_ptr<GatewayBinding> binding_;
   tcp::socket socket_;
   asio::steady_timer linger_;
   HttpReader reader_;
-  std::string in_, out_;  // from the client, not yet read; for RESTinio, not yet given
-  asio::mutable_buffer into_;
-  Read wanted_;
+  std::string received_, to_restinio_;  // from the client, not yet read; for RESTinio, not yet given
+  asio::mutable_buffer read_target_;
+  ReadHandler read_handler_;
   HttpCall call_;
-  HttpAnswer verdict_;
+  HttpResponse rejection_;
   std::uint64_t token_ = 0;
   Ticket ticket_ = 0;
-  std::size_t thrown_away_ = 0;
+  std::size_t discarded_ = 0;
   // holding: a request for the gateway waits for its answer to be written; foreign: so does, perhaps, one for
   // another route; begun: a part of a request is there; deaf: nothing more is read; raw: all goes to RESTinio
   // as it is
-  bool open_ = false, waiting_ = false, left_ = false, holding_ = false, foreign_ = false, begun_ = false,
-       deaf_ = false, raw_ = false;
+  bool open_ = false, wait_active_ = false, client_gone_ = false, awaiting_response_ = false,
+       other_route_pending_ = false, request_begun_ = false, discarding_ = false, passthrough_ = false;
 };
 
-inline void Door::finish() {
-  finishing_ = true;
-  const auto all = guards_;
-  for (Guard* guard : all) guard->close_if_idle();
+using Door [[deprecated("use GatewayBinding")]] = GatewayBinding;
+using Guard [[deprecated("use ClientConnection")]] = ClientConnection;
+
+inline void GatewayBinding::drain() {
+  draining_ = true;
+  const auto open_connections = connections_;
+  for (ClientConnection* connection : open_connections) connection->close_if_idle();
 }
 
 // For traits_t::stream_socket_t.
@@ -367,54 +382,56 @@
  public:
   using executor_type = tcp::socket::executor_type;
 
-  Socket(asio::io_context& loop, const std::shared_ptr<Door>& door)
-      : guard_(std::make_shared<Guard>(loop, door)) {}
+  Socket(asio::io_context& loop, const std::shared_ptr<GatewayBinding>& binding)
+      : connection_(std::make_shared<ClientConnection>(loop, binding)) {}
   Socket(const Socket&) = delete;
   Socket& operator=(const Socket&) = delete;
   Socket(Socket&&) = default;
   Socket& operator=(Socket&& other) noexcept {
-    if (guard_) guard_->close();
-    guard_ = std::move(other.guard_);
+    if (connection_) connection_->close();
+    connection_ = std::move(other.connection_);
     return *this;
   }
   ~Socket() {
-    if (guard_) guard_->close();
+    if (connection_) connection_->close();
   }
 
-  Guard& guard() const { return *guard_; }
-  tcp::socket& lowest_layer() { return guard_->socket(); }
-  const tcp::socket& lowest_layer() const { return guard_->socket(); }
-  executor_type get_executor() { return guard_->socket().get_executor(); }
-  tcp::endpoint remote_endpoint() const { return guard_->socket().remote_endpoint(); }
-  bool is_open() const { return guard_ && guard_->is_open(); }
+  ClientConnection& connection() const { return *connection_; }
+  [[deprecated("use connection()")]] ClientConnection& guard() const { return connection(); }
+  tcp::socket& lowest_layer() { return connection_->socket(); }
+  const tcp::socket& lowest_layer() const { return connection_->socket(); }
+  executor_type get_executor() { return connection_->socket().get_executor(); }
+  tcp::endpoint remote_endpoint() const { return connection_->socket().remote_endpoint(); }
+  bool is_open() const { return connection_ && connection_->is_open(); }
   void cancel(error_code& error) {
     error = {};
-    guard_->cancel();
+    connection_->cancel();
   }
   void shutdown(tcp::socket::shutdown_type, error_code& error) { error = {}; }  // close() does it in its way
-  void close() { guard_->close(); }
+  void close() { connection_->close(); }
 
   template <class Buffers, class Handler>
   void async_read_some(const Buffers& buffers, Handler&& handler) {
     auto executor = asio::get_associated_executor(handler, get_executor());
-    guard_->read(*asio::buffer_sequence_begin(buffers), [executor, handler = std::forward<Handler>(handler)](
-                                                            error_code error, std::size_t size) mutable {
-      asio::dispatch(executor,
-                     [handler = std::move(handler), error, size]() mutable { handler(error, size); });
-    });
+    connection_->read(
+        *asio::buffer_sequence_begin(buffers),
+        [executor, handler = std::forward<Handler>(handler)](error_code error, std::size_t size) mutable {
+          asio::dispatch(executor,
+                         [handler = std::move(handler), error, size]() mutable { handler(error, size); });
+        });
   }
   template <class Buffers, class Handler>
   void async_write_some(const Buffers& buffers, Handler&& handler) {
-    guard_->write(buffers, std::forward<Handler>(handler));
+    connection_->write(buffers, std::forward<Handler>(handler));
   }
 
  private:
-  std::shared_ptr<Guard> guard_;
+  std::shared_ptr<ClientConnection> connection_;
 };
 
 template <class Connection, class Start, class Failed>
 void prepare_connection_and_start_read(Socket& socket, Connection&, Start start, Failed) {
-  socket.guard().begin();
+  socket.connection().start();
   start();
 }
 
@@ -423,40 +440,46 @@
 }
 
 template <class Request>
-::restinio::request_handling_status_t serve(const std::shared_ptr<Door>& door, const Request& request) {
-  const auto told = request->header().opt_value_of(kToken);
-  if (!told) return ::restinio::request_not_handled();
-  const auto it =
-      door->waiting_.find(std::strtoull(std::string(told->data(), told->size()).c_str(), nullptr, 10));
-  if (it == door->waiting_.end()) return ::restinio::request_not_handled();
-  const std::shared_ptr<Guard> guard = it->second.lock();
-  door->waiting_.erase(it);
-  if (!guard) return ::restinio::request_not_handled();
-  const auto answer = [door, guard, request](HttpAnswer told_client) {
+::restinio::request_handling_status_t serve(const std::shared_ptr<GatewayBinding>& binding,
+                                            const Request& request) {
+  const auto token_header = request->header().opt_value_of(kRequestTokenHeader);
+  if (!token_header) return ::restinio::request_not_handled();
+  const auto it = binding->pending_.find(
+      std::strtoull(std::string(token_header->data(), token_header->size()).c_str(), nullptr, 10));
+  if (it == binding->pending_.end()) return ::restinio::request_not_handled();
+  const std::shared_ptr<ClientConnection> connection = it->second.lock();
+  binding->pending_.erase(it);
+  if (!connection) return ::restinio::request_not_handled();
+  const auto respond = [binding, connection, request](HttpResponse client_response) {
     auto response = request->create_response(::restinio::http_status_line_t{
-        ::restinio::http_status_code_t{static_cast<std::uint16_t>(told_client.status)},
-        ::http_status_str(static_cast<http_status>(told_client.status))});
-    if (!told_client.content_type.empty()) response.append_header("Content-Type", told_client.content_type);
-    if (!told_client.retry_after.empty()) response.append_header("Retry-After", told_client.retry_after);
-    if (told_client.close || door->finishing_) response.connection_close();
-    response.set_body(std::move(told_client.body));
-    response.done([guard](const auto&) { guard->answered(); });
+        ::restinio::http_status_code_t{static_cast<std::uint16_t>(client_response.status)},
+        ::http_status_str(static_cast<http_status>(client_response.status))});
+    if (!client_response.content_type.empty())
+      response.append_header("Content-Type", client_response.content_type);
+    if (!client_response.retry_after.empty())
+      response.append_header("Retry-After", client_response.retry_after);
+    if (client_response.close || binding->draining_) response.connection_close();
+    response.set_body(std::move(client_response.body));
+    response.done([connection](const auto&) { connection->on_response_written(); });
   };
-  if (guard->deaf_) {
-    answer(std::move(guard->verdict_));
+  if (connection->discarding_) {
+    respond(std::move(connection->rejection_));
     return ::restinio::request_accepted();
   }
-  guard->ticket_ = door->gateway_.submit(std::move(guard->call_), [answer, guard](Response response) mutable {
-    auto executor = guard->socket().get_executor();
-    auto told_client = std::make_shared<HttpAnswer>(http_answer(std::move(response)));
-    asio::dispatch(executor, [answer = std::move(answer), told_client] { answer(std::move(*told_client)); });
-  });
+  connection->ticket_ = binding->gateway_.submit(
+      std::move(connection->call_), [respond, connection](Response response) mutable {
+        auto executor = connection->socket().get_executor();
+        auto client_response = std::make_shared<HttpResponse>(http_response(std::move(response)));
+        asio::dispatch(executor, [respond = std::move(respond), client_response] {
+          respond(std::move(*client_response));
+        });
+      });
   return ::restinio::request_accepted();
 }
 
 // The handler to put first in a chain.
-inline auto handler(std::shared_ptr<Door> door) {
-  return [door = std::move(door)](const auto& request) { return serve(door, request); };
+inline auto handler(std::shared_ptr<GatewayBinding> binding) {
+  return [binding = std::move(binding)](const auto& request) { return serve(binding, request); };
 }
 
 }  // namespace nettlestand::restinio
@@ -473,20 +496,33 @@
   socket_type_dependent_settings_t() = default;
   socket_type_dependent_settings_t(socket_type_dependent_settings_t&&) = default;
 
-  Settings& door(std::shared_ptr<nettlestand::restinio::Door> door) & {
-    door_ = std::move(door);
+  Settings& gateway_binding(std::shared_ptr<nettlestand::restinio::GatewayBinding> binding) & {
+    binding_ = std::move(binding);
     return static_cast<Settings&>(*this);
   }
-  Settings&& door(std::shared_ptr<nettlestand::restinio::Door> door) && {
-    return std::move(this->door(std::move(door)));
+  Settings&& gateway_binding(std::shared_ptr<nettlestand::restinio::GatewayBinding> binding) && {
+    return std::move(this->gateway_binding(std::move(binding)));
+  }
+  const std::shared_ptr<nettlestand::restinio::GatewayBinding>& gateway_binding() const {
+    if (!binding_) throw exception_t{"nettlestand: the server's settings name no door"};
+    return binding_;
+  }
+
+  [[deprecated("use gateway_binding()")]] Settings& door(
+      std::shared_ptr<nettlestand::restinio::GatewayBinding> binding) & {
+    return this->gateway_binding(std::move(binding));
+  }
+  [[deprecated("use gateway_binding()")]] Settings&& door(
+      std::shared_ptr<nettlestand::restinio::GatewayBinding> binding) && {
+    return std::move(this->gateway_binding(std::move(binding)));
   }
-  const std::shared_ptr<nettlestand::restinio::Door>& door() const {
-    if (!door_) throw exception_t{"nettlestand: the server's settings name no door"};
-    return door_;
+  [[deprecated("use gateway_binding()")]] const std::shared_ptr<nettlestand::restinio::GatewayBinding>& door()
+      const {
+    return gateway_binding();
   }
 
  private:
-  std::shared_ptr<nettlestand::restinio::Door> door_;
+  std::shared_ptr<nettlestand::restinio::GatewayBinding> binding_;
 };
 
 namespace impl {
@@ -495,20 +531,22 @@
 class socket_supplier_t<nettlestand::restinio::Socket> {
  protected:
   template <class Settings>
-  socket_supplier_t(Settings& settings, asio_ns::io_context& loop) : loop_(loop), door_(settings.door()) {
-    for (std::size_t i = 0; i < settings.concurrent_accepts_count(); ++i) sockets_.emplace_back(loop_, door_);
+  socket_supplier_t(Settings& settings, asio_ns::io_context& loop)
+      : loop_(loop), binding_(settings.gateway_binding()) {
+    for (std::size_t i = 0; i < settings.concurrent_accepts_count(); ++i)
+      sockets_.emplace_back(loop_, binding_);
   }
   virtual ~socket_supplier_t() = default;
 
   nettlestand::restinio::Socket& socket(std::size_t i) { return sockets_.at(i); }
   nettlestand::restinio::Socket move_socket(std::size_t i) {
-    return std::exchange(sockets_.at(i), nettlestand::restinio::Socket(loop_, door_));
+    return std::exchange(sockets_.at(i), nettlestand::restinio::Socket(loop_, binding_));
   }
   std::size_t concurrent_accept_sockets_count() const { return sockets_.size(); }
 
  private:
   asio_ns::io_context& loop_;
-  std::shared_ptr<nettlestand::restinio::Door> door_;
+  std::shared_ptr<nettlestand::restinio::GatewayBinding> binding_;
   std::vector<nettlestand::restinio::Socket> sockets_;
 };
 
--- a/tests/duties/gateway_test.cpp
+++ b/tests/duties/gateway_test.cpp
@@ -116,14 +116,14 @@
   EXPECT_EQ(submit_and_wait(*first_gateway, "nightly").outcome, Outcome::kServed);
   const Response refused = submit_and_wait(*second_gateway, "nightly");
   EXPECT_EQ(refused.outcome, Outcome::kRefused);
-  EXPECT_EQ(refused.error.code, make_error_code(Errc::kNotHeld));
+  EXPECT_EQ(refused.error.code, make_error_code(Errc::kDutyNotHeld));
   EXPECT_EQ(second_gateway->duty_token("nightly"), 0U);
   std::size_t with_token = 0;
   for (const auto& attempt : recorder.attempts()) with_token += attempt.fencing_token == token ? 1 : 0;
   EXPECT_EQ(with_token, 1U)
       << "the server must see the token, and no request of the gateway that does not hold the duty";
 
-  first_gateway->duty_failed("nightly");
+  first_gateway->report_duty_failure("nightly");
   ASSERT_TRUE(second_changes.wait([](const auto& c) { return !c.empty() && c[0].gained; }));
   EXPECT_GT(second_changes.changes[0].token, token);
   EXPECT_EQ(first_gateway->duty_token("nightly"), 0U);
--- a/tests/forms/httplib_service.cpp
+++ b/tests/forms/httplib_service.cpp
@@ -51,10 +51,10 @@
     }
     if (!draining) continue;
     const double since = ns::now() - began;
-    if (!plan.accepts(since) && std::exchange(accepting, false)) server.stop();
-    if (plan.finishing(since)) server.finish();
-    if (plan.last_answers(since)) gateway->answer_all();
-    if (plan.over(since, server.connections() > 0)) break;
+    if (!plan.accepts_connections(since) && std::exchange(accepting, false)) server.stop();
+    if (plan.closes_connections(since)) server.drain();
+    if (plan.expires_open_requests(since)) gateway->expire_all();
+    if (plan.is_finished(since, server.connections() > 0)) break;
   }
   nt::log_line("drained");
   std::_Exit(0);  // what is still open ends with the process
--- a/tests/forms/restinio_service.cpp
+++ b/tests/forms/restinio_service.cpp
@@ -23,14 +23,14 @@
  public:
   explicit Service(const ns::Config& config)
       : plan_(nt::plan_of(config)), gateway_(open(config)), look_(loop_) {
-    door_ = std::make_shared<ns::restinio::Door>(*gateway_);
+    binding_ = std::make_shared<ns::restinio::GatewayBinding>(*gateway_);
     // Not more than the daemon takes on, so that descriptors are left for servers.
     server_ = std::make_unique<restinio::http_server_t<Traits>>(
         restinio::external_io_context(loop_),
         restinio::server_settings_t<Traits>{}
             .address(config.listen.address().to_string())
             .port(config.listen.port())
-            .door(door_)
+            .gateway_binding(binding_)
             .acceptor_options_setter(
                 [](auto& options) { options.set_option(asio::ip::tcp::acceptor::reuse_address(true)); })
             .acceptor_post_bind_hook([this](asio::ip::tcp::acceptor& acceptor) {
@@ -39,7 +39,7 @@
             .max_pipelined_requests(2)
             .read_next_http_message_timelimit(std::chrono::seconds(20))
             .handle_request_timeout(std::chrono::seconds(700))
-            .request_handler(ns::restinio::handler(door_),
+            .request_handler(ns::restinio::handler(binding_),
                              [this](const restinio::request_handle_t& request) { return own(request); }));
   }
 
@@ -95,10 +95,10 @@
 
   void look() {
     const double since = ns::now() - began_;
-    if (!plan_.accepts(since) && std::exchange(accepting_, false)) server_->close_sync();
-    if (plan_.finishing(since)) door_->finish();
-    if (plan_.last_answers(since)) gateway_->answer_all();
-    if (plan_.over(since, door_->connections() > 0)) {
+    if (!plan_.accepts_connections(since) && std::exchange(accepting_, false)) server_->close_sync();
+    if (plan_.closes_connections(since)) binding_->drain();
+    if (plan_.expires_open_requests(since)) gateway_->expire_all();
+    if (plan_.is_finished(since, binding_->connections() > 0)) {
       log_line("drained");
       return loop_.stop();
     }
@@ -111,7 +111,7 @@
   asio::io_context loop_{1};
   const ns::DrainPlan plan_;
   std::unique_ptr<ns::Gateway> gateway_;
-  std::shared_ptr<ns::restinio::Door> door_;
+  std::shared_ptr<ns::restinio::GatewayBinding> binding_;
   std::unique_ptr<restinio::http_server_t<Traits>> server_;
   asio::signal_set signals_{loop_, SIGTERM, SIGINT}, reload_{loop_, SIGHUP};
   asio::steady_timer look_;
--- a/tests/forms/service.h
+++ b/tests/forms/service.h
@@ -30,7 +30,7 @@
 // After SIGHUP: a configuration that can't be used changes nothing.
 inline void reload(Gateway& gateway) {
   try {
-    if (const Error moved = gateway.move_discovery(text_of(*load().discovery)))
+    if (const Error moved = gateway.set_discovery_address(text_of(*load().discovery)))
       throw std::runtime_error(moved.text);
   } catch (const std::exception& problem) {
     log_line(std::string("the configuration stays as it was: ") + problem.what());
--- a/tests/library/application.h
+++ b/tests/library/application.h
@@ -55,9 +55,9 @@
 }
 
 // What completions got, in the order in which they came. For any thread.
-class Answers {
+class ResponseCollector {
  public:
-  Completion next(int name = 0) {
+  Completion completion(int name = 0) {
     return [this, name](Response response) {
       const std::lock_guard lock(mutex_);
       ++counts_[name];
@@ -75,7 +75,7 @@
     }
     return all_;
   }
-  Response one() { return wait(1).front().second; }
+  Response wait_one() { return wait(1).front().second; }
   std::size_t count() {
     const std::lock_guard lock(mutex_);
     return all_.size();
@@ -94,13 +94,13 @@
 };
 
 // Runs nothing until run() is called.
-class HeldExecutor final : public Executor {
+class ManualExecutor final : public Executor {
  public:
   void post(UniqueFunction<void()> task) override {
     const std::lock_guard lock(mutex_);
     tasks_.push_back(std::move(task));
   }
-  std::size_t waiting() {
+  std::size_t pending_tasks() {
     const std::lock_guard lock(mutex_);
     return tasks_.size();
   }
@@ -136,7 +136,7 @@
   return out;
 }
 
-inline bool has(const std::string& text, const std::string& part) {
+inline bool contains(const std::string& text, const std::string& part) {
   return text.find(part) != std::string::npos;
 }
 inline std::string ok(const std::string& body = "answer") {
--- a/tests/library/gateway_test.cpp
+++ b/tests/library/gateway_test.cpp
@@ -18,49 +18,49 @@
   TcpListener peer;
   const auto gateway = open(options({peer.port()}));
   until([&] { return gateway->ready(); });
-  Answers answers;
+  ResponseCollector answers;
   Request asked = request("mark");
   asked.target = "/api?x=1";
   asked.cookie = "user=u";
   asked.content_type = "text/odd";
   asked.timeout = std::chrono::milliseconds(900);
-  EXPECT_NE(gateway->submit(std::move(asked), answers.next()), 0U);
-  TcpConnection wire = peer.accept();
-  const std::string got = wire.message();
+  EXPECT_NE(gateway->submit(std::move(asked), answers.completion()), 0U);
+  TcpConnection connection = peer.accept();
+  const std::string got = connection.message();
   EXPECT_EQ(got.rfind("POST /api?x=1 HTTP/1.1\r\n", 0), 0U) << got;
   for (const char* part : {"Host: service.internal\r\n", "Idempotency-Key: k1\r\n", "Cookie: user=u\r\n",
                            "Content-Type: text/odd\r\n", "Request-Class: mark\r\n", "\r\n\r\nquestion"}) {
-    EXPECT_TRUE(has(got, part)) << got;
+    EXPECT_TRUE(contains(got, part)) << got;
   }
   const int passed_on = std::stoi(got.substr(got.find("Request-Timeout-Ms: ") + 20));
   EXPECT_LT(passed_on, 900);
   EXPECT_GT(passed_on, 300);
-  wire.send(ok("the answer"));
-  const Response response = answers.one();
+  connection.send(ok("the answer"));
+  const Response response = answers.wait_one();
   EXPECT_EQ(response.outcome, Outcome::kServed);
   EXPECT_EQ(response.status(), 200);
   EXPECT_EQ(response.body, "the answer");
   EXPECT_EQ(response.content_type, "text/plain");
   EXPECT_EQ(gateway->open_requests(), 0U);
-  gateway->submit(request("look"), answers.next());
-  EXPECT_EQ(wire.message().rfind("GET /api HTTP/1.1\r\n", 0), 0U) << "the connection is kept";
-  wire.send(ok());
+  gateway->submit(request("look"), answers.completion());
+  EXPECT_EQ(connection.message().rfind("GET /api HTTP/1.1\r\n", 0), 0U) << "the connection is kept";
+  connection.send(ok());
   EXPECT_EQ(answers.wait(2)[1].second.outcome, Outcome::kServed);
 }
 
 // Two gateways of one application and one of another: they find each other, and hear of an end.
 TEST(Gateway, KnowsOfOthersWhereItIsToldTo) {
   TcpListener peer;
-  struct Told {
+  struct EventRecorder {
     std::mutex mutex;
     std::vector<std::string> events;  // with the member, and the count of copies
-    bool has(const std::string& what) {
+    bool contains(const std::string& what) {
       const std::lock_guard lock(mutex);
       return std::find(events.begin(), events.end(), what) != events.end();
     }
     std::string address;
   };
-  std::array<Told, 3> told;
+  std::array<EventRecorder, 3> recorders;
   const auto opened = [&](std::size_t i, const std::string& join) {
     Options o = options({peer.port()});
     o.peers = 3;
@@ -70,7 +70,7 @@
     m.listen = "127.0.0.1:0";
     m.keys = {std::string(64, 'c')};
     if (!join.empty()) m.join = {join};
-    o.event_logger = [&to = told[i]](const LogEvent& event) {
+    o.event_logger = [&to = recorders[i]](const LogEvent& event) {
       if (event.component != "peers") return;
       const std::lock_guard lock(to.mutex);
       std::string text(event.event);
@@ -84,20 +84,21 @@
     return open(o);
   };
   auto first = opened(0, "");
-  until([&] { return told[0].has("started"); });
+  until([&] { return recorders[0].contains("started"); });
   std::string at;
   {
-    const std::lock_guard lock(told[0].mutex);
-    at = told[0].address;
+    const std::lock_guard lock(recorders[0].mutex);
+    at = recorders[0].address;
   }
   auto second = opened(1, at);
   auto third = opened(2, at);
   until([&] {
-    return told[1].has("member_alive g2") && told[2].has("member_alive g1") && told[0].has("member_alive g2");
+    return recorders[1].contains("member_alive g2") && recorders[2].contains("member_alive g1") &&
+           recorders[0].contains("member_alive g2");
   });
   third.reset();
-  until([&] { return told[0].has("member_left g2") && told[1].has("member_left g2"); });
-  until([&] { return told[1].has("copies 2"); });
+  until([&] { return recorders[0].contains("member_left g2") && recorders[1].contains("member_left g2"); });
+  until([&] { return recorders[1].contains("copies 2"); });
 }
 
 TEST(Gateway, TurnsAwayMembershipThatCannotBe) {
@@ -127,27 +128,27 @@
   TcpListener peer, gone;
   gone.close();
   const auto gateway = open(options({peer.port()}));
-  Answers answers;
-  gateway->submit(request("close"), answers.next());
-  TcpConnection wire = peer.accept();
-  wire.message();
-  wire.reset();
-  Response got = answers.one();
+  ResponseCollector answers;
+  gateway->submit(request("close"), answers.completion());
+  TcpConnection connection = peer.accept();
+  connection.message();
+  connection.reset();
+  Response got = answers.wait_one();
   EXPECT_EQ(got.outcome, Outcome::kFailed) << "it may have run";
   EXPECT_EQ(got.status(), 502);
-  Request hurried = request("close");
-  hurried.timeout = std::chrono::milliseconds(300);
-  gateway->submit(std::move(hurried), answers.next());
-  wire = peer.accept();
-  wire.message();
+  Request short_request = request("close");
+  short_request.timeout = std::chrono::milliseconds(300);
+  gateway->submit(std::move(short_request), answers.completion());
+  connection = peer.accept();
+  connection.message();
   got = answers.wait(2)[1].second;
   EXPECT_TRUE(got.status() == 504 || got.status() == 502) << got.status();
-  EXPECT_TRUE(wire.ended()) << "the attempt is given up";
+  EXPECT_TRUE(connection.ended()) << "the attempt is given up";
 
   const auto elsewhere = open(options({gone.port()}));
-  Answers refused;
-  elsewhere->submit(request("close"), refused.next());
-  got = refused.one();
+  ResponseCollector refused;
+  elsewhere->submit(request("close"), refused.completion());
+  got = refused.wait_one();
   EXPECT_EQ(got.outcome, Outcome::kRefused) << "it has not run";
   EXPECT_EQ(got.status(), 503);
   EXPECT_FALSE(got.error);
@@ -155,53 +156,53 @@
 
 TEST(Gateway, TellsOfAnIdThatIsOpenAndOfAFullHouse) {
   TcpListener peer;
-  Options narrow = options({peer.port()});
-  narrow.max_open = 2;
-  const auto gateway = open(narrow);
-  Answers first, second, third, fourth;
+  Options limited = options({peer.port()});
+  limited.max_open = 2;
+  const auto gateway = open(limited);
+  ResponseCollector first, second, third, fourth;
   Request one = request("close");
   one.id = "same";
-  gateway->submit(one, first.next());
-  TcpConnection wire = peer.accept();
-  wire.message();
-  gateway->submit(one, second.next());
-  Response got = second.one();
-  EXPECT_EQ(got.error.code, Errc::kIdIsOpen);
+  gateway->submit(one, first.completion());
+  TcpConnection connection = peer.accept();
+  connection.message();
+  gateway->submit(one, second.completion());
+  Response got = second.wait_one();
+  EXPECT_EQ(got.error.code, Errc::kRequestIdInUse);
   EXPECT_EQ(got.status(), 409);
-  gateway->submit(request("close"), third.next());
+  gateway->submit(request("close"), third.completion());
   TcpConnection other = peer.accept();
   other.message();
-  gateway->submit(request("close"), fourth.next());
-  got = fourth.one();
+  gateway->submit(request("close"), fourth.completion());
+  got = fourth.wait_one();
   EXPECT_EQ(got.outcome, Outcome::kRefused);
   EXPECT_EQ(got.error.code, Errc::kFull);
   EXPECT_EQ(got.status(), 503);
   EXPECT_GT(got.retry_after.count(), 0);
-  wire.send(ok());
+  connection.send(ok());
   other.send(ok());
-  EXPECT_EQ(first.one().outcome, Outcome::kServed);
-  EXPECT_EQ(third.one().outcome, Outcome::kServed);
+  EXPECT_EQ(first.wait_one().outcome, Outcome::kServed);
+  EXPECT_EQ(third.wait_one().outcome, Outcome::kServed);
 }
 
 TEST(Gateway, CompletionsRunWhereTheApplicationSays) {
   TcpListener peer;
-  const auto held = std::make_shared<HeldExecutor>();
-  Options with = options({peer.port()});
-  with.executor = held;
-  const auto gateway = open(with);
-  Answers answers;
-  gateway->submit(request("close"), answers.next());
-  TcpConnection wire = peer.accept();
-  wire.message();
-  wire.send(ok());
-  until([&] { return held->waiting() == 1; });
+  const auto executor = std::make_shared<ManualExecutor>();
+  Options custom = options({peer.port()});
+  custom.executor = executor;
+  const auto gateway = open(custom);
+  ResponseCollector answers;
+  gateway->submit(request("close"), answers.completion());
+  TcpConnection connection = peer.accept();
+  connection.message();
+  connection.send(ok());
+  until([&] { return executor->pending_tasks() == 1; });
   EXPECT_EQ(answers.count(), 0U);
-  held->run();
+  executor->run();
   EXPECT_EQ(answers.count(), 1U);
-  EXPECT_EQ(gateway->submit(request("unknown"), answers.next()), 2U);
+  EXPECT_EQ(gateway->submit(request("unknown"), answers.completion()), 2U);
   EXPECT_EQ(answers.count(), 1U) << "never inside submit()";
-  EXPECT_EQ(held->waiting(), 1U);
-  held->run();
+  EXPECT_EQ(executor->pending_tasks(), 1U);
+  executor->run();
   EXPECT_EQ(answers.count(), 2U);
 }
 
@@ -210,13 +211,13 @@
   asio::io_context loop, other;
   auto keep = asio::make_work_guard(loop);
   std::thread thread([&] { loop.run(); });
-  Options with = options({peer.port()});
-  with.executor = executor_of(other.get_executor());
-  auto gateway = open_on(loop, with);
+  Options custom = options({peer.port()});
+  custom.executor = make_executor(other.get_executor());
+  auto gateway = open_on(loop, custom);
   std::future<Response> future = async_submit(*gateway, loop, request("close"), asio::use_future);
-  TcpConnection wire = peer.accept();
-  wire.message();
-  wire.send(ok("by a future"));
+  TcpConnection connection = peer.accept();
+  connection.message();
+  connection.send(ok("by a future"));
   until([&] {
     other.restart();
     return other.run_one() > 0;
@@ -231,30 +232,30 @@
 TEST(Gateway, FollowsItsServers) {
   TcpListener a, b;
   const auto gateway = open(options({a.port()}));
-  Answers answers;
-  gateway->submit(request("close"), answers.next());
-  TcpConnection wire = a.accept();
-  wire.message();
-  wire.send(ok());
+  ResponseCollector answers;
+  gateway->submit(request("close"), answers.completion());
+  TcpConnection connection = a.accept();
+  connection.message();
+  connection.send(ok());
   answers.wait(1);
   EXPECT_FALSE(gateway->set_servers({server("s1", b.port())}));
-  EXPECT_TRUE(wire.ended()) << "what is idle there is closed";
-  gateway->submit(request("close"), answers.next());
+  EXPECT_TRUE(connection.ended()) << "what is idle there is closed";
+  gateway->submit(request("close"), answers.completion());
   TcpConnection next = b.accept();
   next.message();
   next.send(ok());
   EXPECT_EQ(answers.wait(2)[1].second.outcome, Outcome::kServed);
   EXPECT_FALSE(gateway->set_servers({}));
   until([&] { return !gateway->ready(); });
-  gateway->submit(request("close"), answers.next());
+  gateway->submit(request("close"), answers.completion());
   EXPECT_EQ(answers.wait(3)[2].second.outcome, Outcome::kRefused);
 }
 
 TEST(Gateway, AsksDiscoveryAndMovesWithIt) {
   TcpListener discovery, elsewhere, a, b;
-  Options with = options({});
-  with.discovery = "127.0.0.1:" + std::to_string(discovery.port());
-  const auto gateway = open(with);
+  Options custom = options({});
+  custom.discovery = "127.0.0.1:" + std::to_string(discovery.port());
+  const auto gateway = open(custom);
   const auto watch_at = [](const TcpListener& peer, const TcpListener& listed) {
     TcpConnection watch = peer.accept();
     EXPECT_EQ(watch.message().rfind("GET /v1/servers?stream=1 HTTP/1.1\r\n", 0), 0U);
@@ -269,17 +270,17 @@
   EXPECT_FALSE(gateway->ready());
   TcpConnection watch = watch_at(discovery, a);
   until([&] { return gateway->ready(); });
-  Answers answers;
+  ResponseCollector answers;
   const auto serves = [&](const TcpListener& peer) {
     const std::size_t before = answers.count();
-    gateway->submit(request("close"), answers.next());
-    TcpConnection wire = peer.accept();
-    wire.message();
-    wire.send(ok());
+    gateway->submit(request("close"), answers.completion());
+    TcpConnection connection = peer.accept();
+    connection.message();
+    connection.send(ok());
     EXPECT_EQ(answers.wait(before + 1).back().second.outcome, Outcome::kServed);
   };
   serves(a);
-  EXPECT_FALSE(gateway->move_discovery("127.0.0.1:" + std::to_string(elsewhere.port())));
+  EXPECT_FALSE(gateway->set_discovery_address("127.0.0.1:" + std::to_string(elsewhere.port())));
   TcpConnection moved = watch_at(elsewhere, b);
   EXPECT_TRUE(watch.ended());
   serves(b);
@@ -288,39 +289,39 @@
 TEST(Gateway, StopsAsADrain) {
   TcpListener peer;
   const auto gateway = open(options({peer.port()}));
-  Answers open_one, late;
-  gateway->submit(request("close"), open_one.next());
-  TcpConnection wire = peer.accept();
-  wire.message();
+  ResponseCollector open_one, late;
+  gateway->submit(request("close"), open_one.completion());
+  TcpConnection connection = peer.accept();
+  connection.message();
   std::promise<void> stopped;
   gateway->stop([&] { stopped.set_value(); });
   gateway->stop([] { ADD_FAILURE() << "only the first call counts"; });
-  gateway->submit(request("close"), late.next());
-  const Response refused = late.one();
+  gateway->submit(request("close"), late.completion());
+  const Response refused = late.wait_one();
   EXPECT_EQ(refused.outcome, Outcome::kRefused);
   EXPECT_EQ(refused.error.code, Errc::kStopping);
   EXPECT_EQ(open_one.count(), 0U) << "what is open goes on";
-  wire.send(ok("in the drain"));
-  EXPECT_EQ(open_one.one().body, "in the drain");
+  connection.send(ok("in the drain"));
+  EXPECT_EQ(open_one.wait_one().body, "in the drain");
   stopped.get_future().get();
-  EXPECT_TRUE(wire.ended());
+  EXPECT_TRUE(connection.ended());
 }
 
 TEST(Gateway, StopsWithinItsGrace) {
   TcpListener peer;
   const auto gateway = open(options({peer.port()}, 1000));
-  Answers answers;
-  Request patient = request("close");
-  patient.timeout = std::chrono::seconds(60);
-  gateway->submit(std::move(patient), answers.next());
-  TcpConnection wire = peer.accept();
-  wire.message();
+  ResponseCollector answers;
+  Request long_request = request("close");
+  long_request.timeout = std::chrono::seconds(60);
+  gateway->submit(std::move(long_request), answers.completion());
+  TcpConnection connection = peer.accept();
+  connection.message();
   std::promise<void> stopped;
   gateway->stop([&] { stopped.set_value(); });
   stopped.get_future().get();
-  const Response got = answers.one();
+  const Response got = answers.wait_one();
   EXPECT_TRUE(got.status() == 504 || got.status() == 502) << "it may have run: no refusal, " << got.status();
-  EXPECT_TRUE(wire.ended());
+  EXPECT_TRUE(connection.ended());
 }
 
 }  // namespace
--- a/tests/library/hard_cases_test.cpp
+++ b/tests/library/hard_cases_test.cpp
@@ -26,17 +26,17 @@
 
 TEST(Cancel, BeforeTheFirstByteNothingIsEverWritten) {
   TcpListener full(0);
-  const TcpConnection crowd =
+  const TcpConnection queued_connection =
       TcpConnection::to(full.port());  // its queue has room for one: further connections never come up
-  Options patient = options({full.port()});
-  patient.connect_timeout = std::chrono::seconds(60);
-  const auto gateway = open(patient);
-  Answers answers;
-  const Ticket ticket = gateway->submit(request("close"), answers.next());
+  Options long_connect_timeout = options({full.port()});
+  long_connect_timeout.connect_timeout = std::chrono::seconds(60);
+  const auto gateway = open(long_connect_timeout);
+  ResponseCollector answers;
+  const Ticket ticket = gateway->submit(request("close"), answers.completion());
   until([&] { return connecting_to(full.port()); });
   EXPECT_TRUE(gateway->cancel(ticket));
-  EXPECT_EQ(answers.one().outcome, Outcome::kCancelled);
-  EXPECT_EQ(answers.one().status(), 499);
+  EXPECT_EQ(answers.wait_one().outcome, Outcome::kCancelled);
+  EXPECT_EQ(answers.wait_one().status(), 499);
   EXPECT_FALSE(gateway->cancel(ticket)) << "once";
   until([&] { return !connecting_to(full.port()); });
   const TcpConnection first = full.accept();
@@ -47,13 +47,13 @@
 TEST(Cancel, AfterTheLastByteTheAttemptIsAbandonedAndNotRepeated) {
   TcpListener a, b;
   const auto gateway = open(options({a.port(), b.port()}));
-  Answers answers;
-  const Ticket ticket = gateway->submit(request("close"), answers.next());
-  TcpConnection wire = TcpListener::accept_either(a, b);
-  EXPECT_TRUE(has(wire.message(), "question"));
+  ResponseCollector answers;
+  const Ticket ticket = gateway->submit(request("close"), answers.completion());
+  TcpConnection connection = TcpListener::accept_either(a, b);
+  EXPECT_TRUE(contains(connection.message(), "question"));
   EXPECT_TRUE(gateway->cancel(ticket));
-  EXPECT_EQ(answers.one().outcome, Outcome::kCancelled);
-  EXPECT_TRUE(wire.ended()) << "its connection is closed, as for a client that leaves";
+  EXPECT_EQ(answers.wait_one().outcome, Outcome::kCancelled);
+  EXPECT_TRUE(connection.ended()) << "its connection is closed, as for a client that leaves";
   EXPECT_TRUE(a.no_data(50) && b.no_data(50));
   EXPECT_EQ(answers.count(), 1U);
 }
@@ -62,11 +62,11 @@
   TcpListener peer;
   asio::io_context io;
   auto gateway = open_on(io, options({peer.port()}));
-  Answers answers;
-  const Ticket ticket = gateway->submit(request("close"), answers.next());
+  ResponseCollector answers;
+  const Ticket ticket = gateway->submit(request("close"), answers.completion());
   EXPECT_TRUE(gateway->cancel(ticket));
   io.poll();
-  EXPECT_EQ(answers.one().outcome, Outcome::kCancelled);
+  EXPECT_EQ(answers.wait_one().outcome, Outcome::kCancelled);
   EXPECT_TRUE(peer.no_data(50));
   gateway.reset();
   io.restart();
@@ -79,12 +79,12 @@
   TcpListener a, b;
   asio::io_context io;
   auto gateway = open_on(io, options({a.port(), b.port()}));
-  Answers answers;
-  const Ticket ticket = gateway->submit(request("close"), answers.next());
+  ResponseCollector answers;
+  const Ticket ticket = gateway->submit(request("close"), answers.completion());
   while (a.no_data() && b.no_data()) io.run_one();
-  TcpConnection wire = TcpListener::accept_either(a, b);
-  while (wire.no_data()) io.run_one();
-  wire.message();
+  TcpConnection connection = TcpListener::accept_either(a, b);
+  while (connection.no_data()) io.run_one();
+  connection.message();
   io.poll();
   TcpListener trigger;
   asio::ip::tcp::socket told(io);
@@ -95,12 +95,12 @@
   io.poll();
   other.send("x");  // ready first
   other.wait_until_delivered();
-  wire.send("HTTP/1.1 503 Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
-  wire.wait_until_delivered();
+  connection.send("HTTP/1.1 503 Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
+  connection.wait_until_delivered();
   while (answers.count() == 0) io.run_one();
   io.poll();
-  EXPECT_EQ(answers.one().outcome, Outcome::kCancelled);
-  EXPECT_TRUE(wire.no_data() && a.no_data(50) && b.no_data(50)) << "neither there again nor elsewhere";
+  EXPECT_EQ(answers.wait_one().outcome, Outcome::kCancelled);
+  EXPECT_TRUE(connection.no_data() && a.no_data(50) && b.no_data(50)) << "neither there again nor elsewhere";
   gateway.reset();
   io.restart();
   io.run();
@@ -109,43 +109,43 @@
 // Ten connections carry ten requests; ten more wait for room. Cancelling the first ten lets the others go.
 TEST(Cancel, TheQueueBehindMovesOnAtOnce) {
   TcpListener peer;
-  Options narrow = options({peer.port()});
-  narrow.sockets = 10;
-  const auto gateway = open(narrow);
-  Answers cancelled, behind;
+  Options limited = options({peer.port()});
+  limited.sockets = 10;
+  const auto gateway = open(limited);
+  ResponseCollector cancelled, behind;
   std::vector<Ticket> tickets;
-  std::vector<TcpConnection> wires;
+  std::vector<TcpConnection> connections;
   for (int i = 0; i < 10; ++i) {
-    tickets.push_back(gateway->submit(request("close"), cancelled.next(i)));
-    wires.push_back(peer.accept());
-    wires.back().message();
+    tickets.push_back(gateway->submit(request("close"), cancelled.completion(i)));
+    connections.push_back(peer.accept());
+    connections.back().message();
   }
   for (const Ticket ticket : tickets) EXPECT_TRUE(gateway->cancel(ticket));
-  for (int i = 0; i < 10; ++i) gateway->submit(request("close"), behind.next(i));
+  for (int i = 0; i < 10; ++i) gateway->submit(request("close"), behind.completion(i));
   cancelled.wait(10);
   for (int i = 0; i < 10; ++i) {
     TcpConnection next = peer.accept();
     next.message();
     next.send(ok());
     next.wait_until_read();
-    wires.push_back(std::move(next));
+    connections.push_back(std::move(next));
   }
   for (const auto& [name, response] : behind.wait(10)) EXPECT_EQ(response.outcome, Outcome::kServed) << name;
-  for (int i = 0; i < 10; ++i) EXPECT_TRUE(wires[static_cast<std::size_t>(i)].ended());
+  for (int i = 0; i < 10; ++i) EXPECT_TRUE(connections[static_cast<std::size_t>(i)].ended());
 }
 
 TEST(Cancel, CrossingTheAnswerOnAnotherThreadTheOutcomeComesOnce) {
   TcpListener peer;
   const auto gateway = open(options({peer.port()}));
   std::map<Outcome, int> seen;
-  TcpConnection wire;
+  TcpConnection connection;
   for (int i = 0; i < 400; ++i) {
-    Answers answers;
-    const Ticket ticket = gateway->submit(request("close"), answers.next());
-    if (!peer.no_data(wire.closed() ? kTimeoutMs : 0)) wire = peer.accept();
-    if (wire.message().empty()) {
-      wire = peer.accept();
-      wire.message();
+    ResponseCollector answers;
+    const Ticket ticket = gateway->submit(request("close"), answers.completion());
+    if (!peer.no_data(connection.closed() ? kTimeoutMs : 0)) connection = peer.accept();
+    if (connection.message().empty()) {
+      connection = peer.accept();
+      connection.message();
     }
     std::atomic<bool> go = false;
     std::thread canceller([&] {
@@ -154,12 +154,12 @@
       gateway->cancel(ticket);
     });
     go = true;
-    wire.send(ok());
+    connection.send(ok());
     canceller.join();
-    const Outcome outcome = answers.one().outcome;
+    const Outcome outcome = answers.wait_one().outcome;
     ++seen[outcome];
     EXPECT_TRUE(outcome == Outcome::kServed || outcome == Outcome::kCancelled);
-    if (outcome == Outcome::kCancelled) wire.close();
+    if (outcome == Outcome::kCancelled) connection.close();
     until([&] { return gateway->open_requests() == 0; });
     EXPECT_EQ(answers.count(), 1U);
   }
@@ -168,32 +168,32 @@
 
 TEST(End, AGatewayThatIsDestroyedAnswersWhatIsOpen) {
   TcpListener peer;
-  Answers answers;
+  ResponseCollector answers;
   auto gateway = open(options({peer.port()}));
-  std::vector<TcpConnection> wires;
+  std::vector<TcpConnection> connections;
   for (int i = 0; i < 5; ++i) {
-    gateway->submit(request("close"), answers.next(i));
-    wires.push_back(peer.accept());
-    wires.back().message();
+    gateway->submit(request("close"), answers.completion(i));
+    connections.push_back(peer.accept());
+    connections.back().message();
   }
   gateway.reset();
   for (const auto& [name, response] : answers.wait(5))
     EXPECT_EQ(response.outcome, Outcome::kShutDown) << name;
-  for (TcpConnection& wire : wires) EXPECT_TRUE(wire.ended());
+  for (TcpConnection& connection : connections) EXPECT_TRUE(connection.ended());
   for (const auto& [name, count] : answers.counts()) EXPECT_EQ(count, 1) << name;
 }
 
 TEST(End, OnAnApplicationsLoopThatRuns) {
   TcpListener peer;
   Loop loop;
-  Answers answers;
+  ResponseCollector answers;
   auto gateway = open_on(loop.io, options({peer.port()}));
-  gateway->submit(request("close"), answers.next());
-  TcpConnection wire = peer.accept();
-  wire.message();
+  gateway->submit(request("close"), answers.completion());
+  TcpConnection connection = peer.accept();
+  connection.message();
   gateway.reset();  // from another thread than the loop's
-  EXPECT_EQ(answers.one().outcome, Outcome::kShutDown);
-  EXPECT_TRUE(wire.ended());
+  EXPECT_EQ(answers.wait_one().outcome, Outcome::kShutDown);
+  EXPECT_TRUE(connection.ended());
   loop.end();
 }
 
@@ -201,26 +201,26 @@
 // come on the executor that the application named.
 TEST(End, OnALoopThatHasStopped) {
   TcpListener peer;
-  const auto held = std::make_shared<HeldExecutor>();
-  Answers answers;
-  TcpConnection wire;
+  const auto executor = std::make_shared<ManualExecutor>();
+  ResponseCollector answers;
+  TcpConnection connection;
   {
     asio::io_context io;
-    Options with = options({peer.port()});
-    with.executor = held;
-    auto gateway = open_on(io, with);
-    gateway->submit(request("close"), answers.next(1));
+    Options custom = options({peer.port()});
+    custom.executor = executor;
+    auto gateway = open_on(io, custom);
+    gateway->submit(request("close"), answers.completion(1));
     while (peer.no_data()) io.run_one();
-    wire = peer.accept();
-    while (wire.no_data()) io.run_one();
-    wire.message();
-    gateway->submit(request("close"), answers.next(2));  // never seen by the loop
+    connection = peer.accept();
+    while (connection.no_data()) io.run_one();
+    connection.message();
+    gateway->submit(request("close"), answers.completion(2));  // never seen by the loop
     io.stop();
     gateway.reset();
-    EXPECT_EQ(held->waiting(), 2U);
+    EXPECT_EQ(executor->pending_tasks(), 2U);
   }
-  EXPECT_TRUE(wire.ended()) << "its connections go with the loop";
-  held->run();
+  EXPECT_TRUE(connection.ended()) << "its connections go with the loop";
+  executor->run();
   EXPECT_EQ(answers.counts(), (std::map<int, int>{{1, 1}, {2, 1}}));
   for (const auto& [name, response] : answers.wait(2))
     EXPECT_EQ(response.outcome, Outcome::kShutDown) << name;
@@ -230,22 +230,22 @@
   for (const bool own_thread : {true, false}) {
     TcpListener peer;
     Loop loop;
-    Answers answers;
+    ResponseCollector answers;
     auto gateway = own_thread ? open(options({peer.port()})) : open_on(loop.io, options({peer.port()}));
     std::promise<void> destroyed;
     gateway->submit(request("close"), [&](Response) {
       gateway.reset();
       destroyed.set_value();
     });
-    TcpConnection wire = peer.accept();
-    wire.message();
-    gateway->submit(request("close"), answers.next());
+    TcpConnection connection = peer.accept();
+    connection.message();
+    gateway->submit(request("close"), answers.completion());
     TcpConnection second = peer.accept();
     second.message();
-    wire.send(ok());
+    connection.send(ok());
     destroyed.get_future().get();
-    EXPECT_EQ(answers.one().outcome, Outcome::kShutDown);
-    EXPECT_TRUE(wire.ended());
+    EXPECT_EQ(answers.wait_one().outcome, Outcome::kShutDown);
+    EXPECT_TRUE(connection.ended());
     EXPECT_TRUE(second.ended());
   }
 }
@@ -262,10 +262,10 @@
     });
   };
   again(20);
-  TcpConnection wire = peer.accept();
+  TcpConnection connection = peer.accept();
   for (int i = 0; i <= 20; ++i) {
-    wire.message();
-    wire.send(ok());
+    connection.message();
+    connection.send(ok());
   }
   EXPECT_EQ(done.get_future().get(), 1);
 }
@@ -274,70 +274,70 @@
   TcpListener peer;
   std::mutex mutex;
   std::string log;
-  Options with = options({peer.port()});
-  with.logger = [&](std::string_view line) {
+  Options custom = options({peer.port()});
+  custom.logger = [&](std::string_view line) {
     const std::lock_guard lock(mutex);
     log.append(line).append("\n");
     throw std::runtime_error("and so does the log");
   };
-  const auto gateway = open(with);
-  Answers answers;
-  TcpConnection wire;
+  const auto gateway = open(custom);
+  ResponseCollector answers;
+  TcpConnection connection;
   for (int i = 0; i < 3; ++i) {
     gateway->submit(request("close"), [&, i](Response) {
       if (i == 0) throw std::runtime_error("first");
       if (i == 1) throw 2;
     });
-    if (i == 0) wire = peer.accept();
-    wire.message();
-    wire.send(ok());
+    if (i == 0) connection = peer.accept();
+    connection.message();
+    connection.send(ok());
     until([&] { return gateway->open_requests() == 0; });
   }
-  gateway->submit(request("close"), answers.next());
-  wire.message();
-  wire.send(ok());
-  EXPECT_EQ(answers.one().outcome, Outcome::kServed);
+  gateway->submit(request("close"), answers.completion());
+  connection.message();
+  connection.send(ok());
+  EXPECT_EQ(answers.wait_one().outcome, Outcome::kServed);
   const std::lock_guard lock(mutex);
-  EXPECT_TRUE(has(log, "a completion threw: first\n")) << log;
-  EXPECT_TRUE(has(log, "a completion threw\n")) << log;
+  EXPECT_TRUE(contains(log, "a completion threw: first\n")) << log;
+  EXPECT_TRUE(contains(log, "a completion threw\n")) << log;
 }
 
 TEST(End, AThousandSubmitsFromEightThreadsWhileADrainBegins) {
   TcpListener peer(1024);
   std::atomic<int> arrived = 0;
-  std::atomic<bool> over = false;
+  std::atomic<bool> finished = false;
   std::thread server([&] {
-    std::vector<TcpConnection> wires;
-    while (!over) {
-      while (!peer.no_data(1)) wires.push_back(peer.accept());
-      for (TcpConnection& wire : wires) {
-        if (wire.closed() || wire.no_data()) continue;
-        if (wire.message().empty()) {
-          wire.close();
+    std::vector<TcpConnection> connections;
+    while (!finished) {
+      while (!peer.no_data(1)) connections.push_back(peer.accept());
+      for (TcpConnection& connection : connections) {
+        if (connection.closed() || connection.no_data()) continue;
+        if (connection.message().empty()) {
+          connection.close();
           continue;
         }
         ++arrived;
-        wire.send(ok());
+        connection.send(ok());
       }
     }
   });
   const auto gateway = open(options({peer.port()}));
   until([&] { return gateway->ready(); });
-  Answers answers;
+  ResponseCollector answers;
   std::promise<void> stopped;
   std::vector<std::thread> threads;
   for (int t = 0; t < 8; ++t) {
     threads.emplace_back([&, t] {
       for (int i = 0; i < 125; ++i) {
         if (t == 0 && i == 60) gateway->stop([&] { stopped.set_value(); });
-        gateway->submit(request("close"), answers.next(t * 1000 + i));
+        gateway->submit(request("close"), answers.completion(t * 1000 + i));
       }
     });
   }
   for (std::thread& thread : threads) thread.join();
   const auto all = answers.wait(1000);
   stopped.get_future().get();
-  over = true;
+  finished = true;
   server.join();
   int served = 0, stopping = 0;
   for (const auto& [name, response] : all) {
@@ -359,35 +359,35 @@
   Loop loop;
   const auto gateway = open_on(loop.io, options({peer.port()}));
   until([&] { return gateway->ready(); });
-  Answers before, during;
-  Request hurried = request("close");
-  hurried.timeout = std::chrono::milliseconds(100);
-  gateway->submit(hurried, before.next());
-  TcpConnection wire = peer.accept();
-  wire.message();
+  ResponseCollector before, during;
+  Request short_request = request("close");
+  short_request.timeout = std::chrono::milliseconds(100);
+  gateway->submit(short_request, before.completion());
+  TcpConnection connection = peer.accept();
+  connection.message();
   std::promise<void> blocked, release;
   asio::post(loop.io, [&] {
     blocked.set_value();
     release.get_future().get();
   });
   blocked.get_future().get();
-  for (int i = 0; i < 20; ++i) gateway->submit(hurried, during.next(i));
+  for (int i = 0; i < 20; ++i) gateway->submit(short_request, during.completion(i));
   std::this_thread::sleep_for(std::chrono::milliseconds(300));  // it is the application that sleeps
   EXPECT_EQ(during.count(), 0U);
   release.set_value();
   for (const auto& [name, response] : during.wait(20)) {
     EXPECT_EQ(response.outcome, Outcome::kRefused) << "it was never begun: " << name;
   }
-  const int status = before.one().status();
+  const int status = before.wait_one().status();
   EXPECT_TRUE(status == 504 || status == 502) << status;
   EXPECT_TRUE(peer.no_data(50)) << "no attempt for what was over";
-  EXPECT_TRUE(wire.ended());
+  EXPECT_TRUE(connection.ended());
 }
 
 // One of two gateways on a loop is at all its limits; the other does not notice.
 TEST(Loop, TwoGatewaysDoNotDisturbEachOther) {
   TcpListener full(0), good;
-  const TcpConnection crowd = TcpConnection::to(full.port());
+  const TcpConnection queued_connection = TcpConnection::to(full.port());
   Loop loop;
   Options small = options({full.port()});
   small.tenants = {{"acme", 10}};
@@ -399,35 +399,35 @@
   usual.tenants = {{"beta", 1000}};
   auto one = open_on(loop.io, small), two = open_on(loop.io, usual);
   until([&] { return one->ready() && two->ready(); });
-  Answers stuck, served;
+  ResponseCollector stuck, served;
   for (int i = 0; i < 300; ++i) {
     Request large = request("close", std::string(60000, 'x'));
     large.tenant = "acme";
-    one->submit(std::move(large), stuck.next(i));
+    one->submit(std::move(large), stuck.completion(i));
   }
-  TcpConnection wire;
+  TcpConnection connection;
   for (int i = 0; i < 50; ++i) {
     Request usual_one = request("close");
     usual_one.tenant = "beta";
-    two->submit(std::move(usual_one), served.next(i));
-    if (i == 0) wire = good.accept();
-    wire.message();
-    wire.send(ok());
+    two->submit(std::move(usual_one), served.completion(i));
+    if (i == 0) connection = good.accept();
+    connection.message();
+    connection.send(ok());
     EXPECT_EQ(served.wait(static_cast<std::size_t>(i) + 1).back().second.outcome, Outcome::kServed);
   }
   Request foreign = request("close");
   foreign.tenant = "acme";
-  Answers unknown;
-  two->submit(std::move(foreign), unknown.next());
-  EXPECT_EQ(unknown.one().error.code, Errc::kUnknownTenant) << "a tenant of the other one";
+  ResponseCollector unknown;
+  two->submit(std::move(foreign), unknown.completion());
+  EXPECT_EQ(unknown.wait_one().error.code, Errc::kUnknownTenant) << "a tenant of the other one";
   one.reset();
   for (const auto& [name, response] : stuck.wait(300)) EXPECT_NE(response.outcome, Outcome::kServed) << name;
   EXPECT_EQ(stuck.counts().size(), 300U);
   Request after = request("close");
   after.tenant = "beta";
-  two->submit(std::move(after), served.next(50));
-  wire.message();
-  wire.send(ok());
+  two->submit(std::move(after), served.completion(50));
+  connection.message();
+  connection.send(ok());
   EXPECT_EQ(served.wait(51).back().second.outcome, Outcome::kServed) << "also when the other one is gone";
   two.reset();
   loop.end();
--- a/tests/library/options_test.cpp
+++ b/tests/library/options_test.cpp
@@ -8,8 +8,8 @@
 
 TEST(Options, AreCheckedWithATextThatNamesTheField) {
   struct Case {
-    std::function<void(Options&)> spoil;
-    std::string says;
+    std::function<void(Options&)> change;
+    std::string expected_text;
   };
   using std::chrono::milliseconds;
   const std::vector<Case> cases = {
@@ -55,13 +55,14 @@
       {[](Options& o) { o.servers[0].weight = 1e9; }, "servers[0].weight: 1000000000 is not"},
       {[](Options& o) { o.servers.resize(10000, o.servers[0]); }, "servers: more than 8192 for this memory"},
   };
-  for (const Case& wrong : cases) {
-    Options spoilt = options({1});
-    wrong.spoil(spoilt);
+  for (const Case& test_case : cases) {
+    Options changed = options({1});
+    test_case.change(changed);
     Error error;
-    EXPECT_EQ(Gateway::open(std::move(spoilt), error), nullptr) << wrong.says;
+    EXPECT_EQ(Gateway::open(std::move(changed), error), nullptr) << test_case.expected_text;
     EXPECT_EQ(error.code, Errc::kBadOption);
-    EXPECT_EQ(error.text.rfind(wrong.says, 0), 0U) << error.text << " instead of " << wrong.says;
+    EXPECT_EQ(error.text.rfind(test_case.expected_text, 0), 0U)
+        << error.text << " instead of " << test_case.expected_text;
   }
   Error error{Errc::kFull, "old"};
   EXPECT_NE(Gateway::open(options({1}), error), nullptr);
@@ -72,15 +73,16 @@
   const auto gateway = open(options({1}));
   EXPECT_EQ(gateway->set_servers({server("a", 1), server("a", 2)}).text,
             "servers[1].name: 'a' stands there twice");
-  EXPECT_EQ(gateway->move_discovery("nowhere").code, Errc::kBadOption);
-  EXPECT_EQ(gateway->move_discovery("127.0.0.1:1").text, "discovery: this gateway was opened without one");
+  EXPECT_EQ(gateway->set_discovery_address("nowhere").code, Errc::kBadOption);
+  EXPECT_EQ(gateway->set_discovery_address("127.0.0.1:1").text,
+            "discovery: this gateway was opened without one");
 }
 
 TEST(Requests, ThatCantBeUsedAreToldWhy) {
   struct Case {
-    std::function<void(Request&)> spoil;
+    std::function<void(Request&)> change;
     Errc code;
-    std::string says;
+    std::string expected_text;
     int status;
   };
   const std::vector<Case> cases = {
@@ -108,21 +110,21 @@
   Options with_tenant = options({peer.port()});
   with_tenant.tenants = {{"acme", 1000}};
   const auto gateway = open(with_tenant);
-  for (const Case& wrong : cases) {
-    Request spoilt = request("close");
-    spoilt.tenant = "acme";
-    wrong.spoil(spoilt);
-    Answers answers;
-    gateway->submit(std::move(spoilt), answers.next());
-    const Response got = answers.one();
-    EXPECT_EQ(got.outcome, Outcome::kInvalid) << wrong.says;
-    EXPECT_EQ(got.error.code, wrong.code) << wrong.says;
-    EXPECT_EQ(got.error.text.rfind(wrong.says, 0), 0U) << got.error.text;
-    EXPECT_EQ(got.status(), wrong.status) << wrong.says;
+  for (const Case& test_case : cases) {
+    Request changed = request("close");
+    changed.tenant = "acme";
+    test_case.change(changed);
+    ResponseCollector answers;
+    gateway->submit(std::move(changed), answers.completion());
+    const Response got = answers.wait_one();
+    EXPECT_EQ(got.outcome, Outcome::kInvalid) << test_case.expected_text;
+    EXPECT_EQ(got.error.code, test_case.code) << test_case.expected_text;
+    EXPECT_EQ(got.error.text.rfind(test_case.expected_text, 0), 0U) << got.error.text;
+    EXPECT_EQ(got.status(), test_case.status) << test_case.expected_text;
   }
   EXPECT_TRUE(peer.no_data()) << "nothing reaches a server";
   EXPECT_EQ(gateway->open_requests(), 0U);
-  EXPECT_EQ(make_error_code(Errc::kIdIsOpen).message(), "a request with this id is open");
+  EXPECT_EQ(make_error_code(Errc::kRequestIdInUse).message(), "a request with this id is open");
 }
 
 }  // namespace
--- a/tests/library/random_rules_test.cpp
+++ b/tests/library/random_rules_test.cpp
@@ -17,7 +17,7 @@
 
 namespace si = standins;
 
-double length() {
+double run_seconds() {
   const char* other = std::getenv("NETTLESTAND_RANDOM_SECONDS");
   return other != nullptr ? std::atof(other) : 30;
 }
@@ -55,35 +55,35 @@
   for (int i = 0; i < 6; ++i) add(i / 2);
   discovery.set(listings);
 
-  Options with = options({}, 1500);
-  with.discovery = "127.0.0.1:" + std::to_string(discovery.endpoint("n1"));
-  with.classes[1].dedup = Dedup::kCell;
-  with.start_capacity = 0.3;
-  with.ramp_time = std::chrono::seconds(6);
+  Options custom = options({}, 1500);
+  custom.discovery = "127.0.0.1:" + std::to_string(discovery.endpoint("n1"));
+  custom.classes[1].dedup = Dedup::kCell;
+  custom.start_capacity = 0.3;
+  custom.ramp_time = std::chrono::seconds(6);
   std::mutex log_mutex;
   std::string log;  // for whoever looks for a cause
-  with.logger = [&](std::string_view line) {
+  custom.logger = [&](std::string_view line) {
     const std::lock_guard lock(log_mutex);
     log.append(line).append("\n");
   };
-  auto gateway = open(with);
+  auto gateway = open(custom);
   until([&] { return gateway->ready(); });
 
-  struct Mine {
+  struct SubmittedRequest {
     std::size_t record = 0;
     Ticket ticket = 0;
     std::atomic<bool> done = false;
     std::atomic<int> completions = 0;
   };
-  std::atomic<bool> over = false;
+  std::atomic<bool> finished = false;
   std::atomic<std::uint64_t> outcomes[7] = {};
-  std::atomic<int> wrong = 0;
+  std::atomic<int> violations = 0;
   std::vector<std::thread> threads;
   for (int t = 0; t < 4; ++t) {
     threads.emplace_back([&, t] {
       std::mt19937_64 random(static_cast<std::uint64_t>(t) + 1);
-      std::vector<std::shared_ptr<Mine>> mine;
-      for (std::uint64_t i = 0; !over; ++i) {
+      std::vector<std::shared_ptr<SubmittedRequest>> submitted;
+      for (std::uint64_t i = 0; !finished; ++i) {
         const Class& c = kClasses[random() % 3];
         Request r = request(c.name, std::string(random() % 2000, 'q'));
         r.id = "t" + std::to_string(t) + "-" + std::to_string(i);
@@ -96,15 +96,15 @@
         record.key = r.idempotency_key;
         record.timeout = std::chrono::duration<double>(r.timeout).count();
         record.first_byte_at = record.sent_at = si::now();
-        auto one = std::make_shared<Mine>();
+        auto one = std::make_shared<SubmittedRequest>();
         one->record = recorder.open(record);
         const std::uint64_t digest = si::digest_of(r.body);
         one->ticket = gateway->submit(std::move(r), [&, one, digest, id = record.id](Response response) {
           const double at = si::now();
-          if (++one->completions != 1) ++wrong;
+          if (++one->completions != 1) ++violations;
           ++outcomes[static_cast<std::size_t>(response.outcome)];
           if (response.outcome == Outcome::kServed && response.body != si::answer_body(id, digest, 0))
-            ++wrong;
+            ++violations;
           recorder.call(one->record, [&](si::CallRecord& call) {
             call.answered_at = at;
             call.end = si::CallEnd::kAnswered;
@@ -113,11 +113,11 @@
           });
           one->done = true;
         });
-        mine.push_back(one);
+        submitted.push_back(one);
         // A tenth is given up, at any moment of its life.
-        if (random() % 5 == 0) gateway->cancel(mine[random() % mine.size()]->ticket);
-        while (mine.size() > 16 && !over) {
-          std::erase_if(mine, [](const auto& m) { return m->done.load(); });
+        if (random() % 5 == 0) gateway->cancel(submitted[random() % submitted.size()]->ticket);
+        while (submitted.size() > 16 && !finished) {
+          std::erase_if(submitted, [](const auto& m) { return m->done.load(); });
           std::this_thread::sleep_for(std::chrono::microseconds(300));
         }
         std::this_thread::sleep_for(std::chrono::milliseconds(1 + random() % 6));
@@ -127,19 +127,19 @@
 
   // One thing after another goes wrong with the servers. Cells keep one server that is well.
   std::mt19937_64 random(7);
-  const double from = si::now();
-  const auto pause = [&](double least, double most) {
+  const double started_at = si::now();
+  const auto pause = [&](double min, double max) {
     std::this_thread::sleep_for(
-        std::chrono::duration<double>(least + (most - least) * static_cast<double>(random() % 1000) / 1000));
+        std::chrono::duration<double>(min + (max - min) * static_cast<double>(random() % 1000) / 1000));
   };
-  int kills = 0, drains = 0, colds = 0;
-  while (si::now() - from < length()) {
-    const std::size_t place = random() % 6;
-    si::Listing& listing = listings[place];
+  int kills = 0, drains = 0, cold_starts = 0;
+  while (si::now() - started_at < run_seconds()) {
+    const std::size_t index = random() % 6;
+    si::Listing& listing = listings[index];
     switch (random() % 3) {
       case 0:  // killed, and back a moment later
         ++kills;
-        servers[place]->run("crash for " + std::to_string(0.1 + static_cast<double>(random() % 8) / 10));
+        servers[index]->run("crash for " + std::to_string(0.1 + static_cast<double>(random() % 8) / 10));
         pause(0.3, 1.2);
         break;
       case 1:  // drains, and is back
@@ -149,19 +149,19 @@
         discovery.state(listing.host, "active");
         break;
       default:  // goes, and another comes cold under its name and at its address
-        ++colds;
+        ++cold_starts;
         discovery.state(listing.host, "leaving");
         pause(0.2, 0.6);
         listing.born_ms = si::unix_ms();
-        servers[place]->well();
-        servers[place]->run("cold 0.3 6 4");
+        servers[index]->well();
+        servers[index]->run("cold 0.3 6 4");
         discovery.set(listing);
         pause(0.3, 1);
         break;
     }
     if (random() % 4 == 0) servers[random() % 6]->run("at 0 reset-after-request for 0.2");
   }
-  over = true;
+  finished = true;
   for (std::thread& one : threads) one.join();
   std::promise<void> stopped;
   gateway->stop([&] { stopped.set_value(); });
@@ -180,7 +180,7 @@
   const auto found = si::Checker(checked).check(
       {recorder.calls(), recorder.attempts(), recorder.told(), recorder.fallen(), {}});
   EXPECT_TRUE(found.empty()) << si::to_text(found).substr(0, 4000);
-  EXPECT_EQ(wrong, 0);
+  EXPECT_EQ(violations, 0);
   std::uint64_t all = 0;
   for (const auto& count : outcomes) all += count;
   EXPECT_EQ(all, recorder.calls().size()) << "each has its one completion";
@@ -189,7 +189,7 @@
   EXPECT_EQ(outcomes[static_cast<std::size_t>(Outcome::kShutDown)], 0U);
   std::cout << all << " requests: " << outcomes[0] << " served, " << outcomes[1] << " refused, "
             << outcomes[2] << " failed, " << outcomes[3] << " timed out, " << outcomes[5] << " cancelled; "
-            << kills << " kills, " << drains << " drains, " << colds << " cold starts\n";
+            << kills << " kills, " << drains << " drains, " << cold_starts << " cold starts\n";
   if (std::getenv("NETTLESTAND_RANDOM_LOG") != nullptr) std::cout << log;
 }
 
