--- a/daemon/node.cpp
+++ b/daemon/node.cpp
@@ -183,16 +183,16 @@
 
 void Node::check_drain() {
   const double since = now() - drain_began_;
-  if (!drain_plan_.accepts(since)) {
+  if (!drain_plan_.accepts_connections(since)) {
     if (is_accepting_) listener_.stop_accepting();
     is_accepting_ = false;
   }
-  if (drain_plan_.finishing(since)) listener_.close_idle_connections();
-  if (drain_plan_.last_answers(since)) {
+  if (drain_plan_.closes_connections(since)) listener_.close_idle_connections();
+  if (drain_plan_.expires_open_requests(since)) {
     listener_.stop_reading();
     engine_.expire_all();
   }
-  if (drain_plan_.over(since, listener_.connections() > 0)) {
+  if (drain_plan_.is_finished(since, listener_.connections() > 0)) {
     if (peers_) peers_->leave();
     control_socket_.reset();
     log_({LogLevel::kInfo, "node", "drained", "drained", {{"after_ms", std::int64_t(since * 1000)}}});
