--- a/peers/membership.cpp
+++ b/peers/membership.cpp
@@ -133,7 +133,7 @@
   }
 }
 
-void Membership::preload(double now, const std::vector<Member>& members) {
+void Membership::add_known_members(double now, const std::vector<Member>& members) {
   std::vector<MemberEntry> fresh;
   fresh.reserve(members.size());
   for (const Member& m : members) {
--- a/peers/membership.h
+++ b/peers/membership.h
@@ -96,7 +96,7 @@
   void leave(double now, std::vector<Outgoing>& out);
   // Takes members as known and alive without having heard from them: those that an earlier process knew, or
   // those that a measurement starts with.
-  void preload(double now, const std::vector<Member>& members);
+  void add_known_members(double now, const std::vector<Member>& members);
 
   // Returns and clears the changes since the last call, in order.
   std::vector<Change> changes();
--- a/tests/peers/fleet.h
+++ b/tests/peers/fleet.h
@@ -27,7 +27,7 @@
 
   void start(emulator::Context& c) override {
     std::vector<Membership::Outgoing> out;
-    if (known != nullptr) membership.preload(c.now(), *known);
+    if (known != nullptr) membership.add_known_members(c.now(), *known);
     membership.start(c.now(), join, out);
     flush(c, out);
   }
