--- a/tools/simulate/cluster.cpp
+++ b/tools/simulate/cluster.cpp
@@ -11,16 +11,17 @@
 
 constexpr Millis kTickIntervalMs = 40;
 constexpr Millis kCheckIntervalMs = 50;
+// Time that a machine needs to catch up after an outage.
 constexpr Millis kCatchUpMs = 5700;
-constexpr Millis kConnectionTimeoutMs = 1500;  // what a cut holds up for longer is lost
+constexpr Millis kConnectionTimeoutMs = 1500;  // a message that a cut delays for longer is lost
 constexpr Millis kCutRetryIntervalMs = 60;
 constexpr Millis kSyncDurationMs = 1, kSlowSyncDurationMs = 30;
 constexpr Millis kRestartRetryDelayMs = 300;
-constexpr Millis kConfigurationLeaseMs = 3700;  // revoke_ms less the margin that nodes keep
+constexpr Millis kConfigurationLeaseMs = 3700;  // revoke_ms minus the safety margin of the nodes
 constexpr double kExtraDelayProbability = 0.05;
-constexpr double kReorderProbability = 0.15;  // of the messages, while some come late
+constexpr double kReorderProbability = 0.15;  // per message, while messages are reordered
 constexpr std::uint64_t kMaxReorderDelayMs = 4000;
-constexpr double kCorruptionProbability = 0.3;  // of the pieces of a configuration, while links are lossy
+constexpr double kCorruptionProbability = 0.3;  // per chunk of a configuration, while links are lossy
 constexpr std::size_t kMaxActiveRuns = 6;
 constexpr int kMaxItemAttempts = 2;
 constexpr std::uint64_t kRejectedPercent = 25, kFailedPercent = 4;  // of the items that are sent
@@ -29,7 +30,7 @@
 
 }  // namespace
 
-// A process's end of the links to all others.
+// The messenger of a process. Messages on a link arrive in order unless reordering is set.
 class Cluster::SimulatedLink : public Messenger {
  public:
   SimulatedLink(Cluster& cluster, std::size_t self) : cluster_(cluster), self_(self) {}
@@ -61,7 +62,7 @@
   std::size_t self_;
 };
 
-// Writes one after the other, each with its time.
+// Simulated disk queue: completes one write and its sync after the other, each after its duration.
 class Cluster::SimulatedDiskQueue : public storage::DiskQueue {
  public:
   SimulatedDiskQueue(Cluster& cluster, std::size_t machine, std::function<absl::Status()> sync)
@@ -87,7 +88,7 @@
       if (alive.lock()) complete_next_write();
     });
   }
-  // The process is killed: some of its writes were made and not synced.
+  // Called when the process is killed: applies some of the pending writes without syncing them.
   void apply_unsynced_writes() {
     SimulatedDisk& disk = *cluster_.machines_[machine_]->disk;
     disk.set_syncs_ignored(true);
@@ -124,7 +125,7 @@
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-// The platform's list, which always shows the same server.
+// Simulated list of servers of the platform; always contains the same server.
 class Cluster::SimulatedServerList : public ServerListSource {
  public:
   SimulatedServerList(Cluster& cluster, std::size_t machine, Millis interval, Callback done)
@@ -155,7 +156,8 @@
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-// Runs items, by the shipped schedule, at servers that take a while, turn some away, fail and break off.
+// Runs batch items with the production schedule on simulated servers that take some time, reject some items,
+// fail and interrupt responses.
 class Cluster::SimulatedItemRunner : public JobRunner, private ItemHost {
  public:
   SimulatedItemRunner(Cluster& cluster, std::size_t machine, const JobTable& table, Hooks hooks)
@@ -181,14 +183,14 @@
   bool can_start() const override { return active_runs_ < kMaxActiveRuns; }
   bool has_capacity(Millis, const std::string&) override { return can_start(); }
   void on_corrupted_item(const JobKey& key, std::uint32_t, StartReason) override {
-    cluster_.history_.report_violation("an item was to be sent with another body: " + key.id);
+    cluster_.history_.report_violation("an item would have been sent with the wrong body: " + key.id);
   }
   void on_result(Millis now, const JobKey& key, JobResult result) override {
     hooks_.report_result(now, key, std::move(result));
   }
   void abandon(RunId) override {}
 
-  // A run is sent a moment after it is started: by then it may no longer count.
+  // A run is sent shortly after its start. By then it may no longer be allowed.
   void start(Millis, const ItemRun& run) override {
     ++active_runs_;
     const JobItem& item = table_.find(run.key)->spec.items[run.item];
@@ -351,13 +353,13 @@
 NodeCore::Identity Cluster::make_identity(std::size_t i) {
   NodeCore::Identity out;
   out.is_store = machines_[i]->kind == MachineKind::kStore;
-  // The time of day may be off by seconds.
+  // The wall clock may be off by seconds.
   out.generation = static_cast<std::uint64_t>(1000000 + now() + static_cast<Millis>(random(4000)));
   out.random_seed = random_();
   return out;
 }
 
-// What the operator's list shows when a settings file is written anew.
+// Addresses of machines that exist now, as an operator would write them into new settings.
 std::vector<std::string> Cluster::current_seeds() {
   std::vector<std::string> out;
   std::vector<std::size_t> nodes = machines_of(MachineKind::kEdge);
@@ -379,7 +381,7 @@
   machine.frozen_until = 0;
   machine.deferred.clear();
   NodeCore::Disks disks = open_disks(i);
-  if (machine.disk && !disks.control && !disks.store) {  // the disk refuses it
+  if (machine.disk && !disks.control && !disks.store) {  // the journal could not be opened
     scheduler_.schedule_after(kRestartRetryDelayMs, [this, i] { start(i); });
     return;
   }
@@ -448,7 +450,7 @@
 }
 
 Millis Cluster::local_time(std::size_t i) const {
-  return now() + 1000 - machines_[i]->clock_lag;  // the steady clock starts anywhere
+  return now() + 1000 - machines_[i]->clock_lag;  // the steady clock has an arbitrary start
 }
 
 void Cluster::run_in_process(std::size_t i, std::uint64_t generation, const std::function<void()>& run) {
@@ -463,7 +465,8 @@
   return found == index_by_address_.end() ? machines_.size() : found->second;
 }
 
-// A holder whose memory has failed hands out wrong bytes of a configuration, which may still be one.
+// Models a node with faulty memory that serves wrong bytes of a configuration. The result may still be a
+// valid configuration.
 void Cluster::corrupt_configuration(std::string& message) {
   if (message.front() != static_cast<char>(MessageType::kConfigTextReply) || !chance(kCorruptionProbability))
     return;
@@ -491,7 +494,7 @@
 // ---------------------------------------------------------------- faults
 
 void Cluster::mark_unavailable(std::size_t i, Millis until) {
-  // Who is catching up may need this machine for it.
+  // A machine that is catching up may need this one, so it stays unavailable for longer.
   for (auto& other : machines_) {
     if (now() < other->unavailable_until)
       other->unavailable_until = std::max(other->unavailable_until, until + kCatchUpMs);
@@ -518,7 +521,7 @@
   static_cast<SimulatedDiskQueue*>(queue)->apply_unsynced_writes();
 }
 
-// For the log of a world that is played alone.
+// Visible when a single scenario is run with --log.
 void Cluster::log_fault(const char* what, std::size_t i, Millis span) const {
   NETTLESTAND_INFO("fault " << what << " machine=" << machines_[i]->name << " at=" << now()
                             << " for=" << span);
@@ -622,22 +625,22 @@
       if (!is_responsive(i) || machines_[i]->kind != MachineKind::kCore) continue;
       if (processes_[i].core->control()->leads(local_time(i), group)) ++holders;
     }
-    if (holders > 1) history_.report_violation("two leaders hold the lease of one group");
+    if (holders > 1) history_.report_violation("two leaders hold the lease of the same group");
   }
 }
 
-// A node's version never falls in its life, and while it may serve it holds all that was acknowledged a lease
-// ago.
+// The version of a process never decreases, and a process that may serve has every version that was
+// acknowledged more than one lease ago.
 void Cluster::check_node_version(std::size_t i) {
   if (!is_responsive(i)) return;
   const ControlClient& control_client = processes_[i].core->control_client();
   const std::uint64_t sequence = control_client.state().sequence();
-  if (sequence < last_sequence_[i]) history_.report_violation("a node went back to an older version");
+  if (sequence < last_sequence_[i]) history_.report_violation("a node reverted to an older version");
   if (sequence > last_sequence_[i]) history_.on_version_applied(control_client.state().text());
   last_sequence_[i] = sequence;
   if (!control_client.has_config_lease(local_time(i))) return;
   if (control_client.state().generation() < history_.newest_acknowledged_at(now() - kConfigurationLeaseMs))
-    history_.report_violation("a node serves by a version that is too old");
+    history_.report_violation("a node serves with an outdated version");
 }
 
 }  // namespace nettlestand::tier::simulate
--- a/tools/simulate/history.cpp
+++ b/tools/simulate/history.cpp
@@ -5,7 +5,8 @@
 namespace nettlestand::tier::simulate {
 namespace {
 
-constexpr Millis kEndGraceMs = 3000;  // after the end of a job none of its items reaches a server
+// After the end of a job is acknowledged, no item may be sent later than this.
+constexpr Millis kEndGraceMs = 3000;
 
 }  // namespace
 
@@ -26,9 +27,10 @@
 
 void History::on_change_acknowledged(Millis now, ChangeId id) {
   ConfigChange& change = changes_.at(id);
-  if (change.rejected) report_violation("an order that was refused was acknowledged");
+  if (change.rejected) report_violation("a rejected change was acknowledged");
   const auto [winner, first] = acknowledged_by_base_.emplace(change.base, id);
-  if (!first && winner->second != id) report_violation("two orders on one version were acknowledged");
+  if (!first && winner->second != id)
+    report_violation("two changes of the same base version were acknowledged");
   if (change.acknowledged) return;
   change.acknowledged = true;
   acknowledged_changes_.insert(id);
@@ -37,7 +39,7 @@
 
 void History::on_change_rejected(ChangeId id) {
   ConfigChange& change = changes_.at(id);
-  if (change.acknowledged) report_violation("an order that was acknowledged was refused");
+  if (change.acknowledged) report_violation("an acknowledged change was rejected");
   change.rejected = true;
 }
 
@@ -47,25 +49,26 @@
 }
 
 void History::on_version_applied(const std::string& text) {
-  if (find_change(text) == nullptr) report_violation("a node holds a configuration that nobody sent");
+  if (find_change(text) == nullptr) report_violation("a node applied a configuration that no operator sent");
 }
 
 void History::on_read(Millis started, Millis now, const std::string& text) {
   const ConfigChange* change = find_change(text);
-  if (change == nullptr) return report_violation("a read gave a configuration that nobody sent");
-  if (change->rejected) report_violation("a read gave an order that was refused");
+  if (change == nullptr) return report_violation("a read returned a configuration that no operator sent");
+  if (change->rejected) report_violation("a read returned a rejected change");
   if (change->version < newest_acknowledged_at(started))
-    report_violation("a read was older than what was acknowledged before it");
+    report_violation("a read returned an older version than one acknowledged before it");
   for (const TimedVersion& earlier : completed_reads_) {
     if (earlier.time < started && earlier.version > change->version)
-      return report_violation("a read was older than an earlier read");
+      return report_violation("a read returned an older version than an earlier read");
   }
   completed_reads_.push_back({now, change->version});
 }
 
 void History::check_final(const std::string& text) {
   const ConfigChange* change = find_change(text);
-  if (change == nullptr) return report_violation("the last read gave a configuration that nobody sent");
+  if (change == nullptr)
+    return report_violation("the final read returned a configuration that no operator sent");
   std::set<Version> predecessors;
   while (change != nullptr) {
     predecessors.insert(change->version);
@@ -77,7 +80,7 @@
     change = predecessor;
   }
   for (const ChangeId id : acknowledged_changes_) {
-    if (!predecessors.contains(changes_.at(id).version)) report_violation("an acknowledged order is lost");
+    if (!predecessors.contains(changes_.at(id).version)) report_violation("an acknowledged change is lost");
   }
 }
 
@@ -97,28 +100,32 @@
 
 void History::on_job_accepted(const std::string& job) {
   jobs_[job].accepted = true;
-  if (jobs_[job].rejected) report_violation("a job was accepted after all its tries were refused");
+  if (jobs_[job].rejected)
+    report_violation("a job was accepted after all attempts to submit it were rejected");
 }
 
 void History::on_job_rejected(const std::string& job) {
   jobs_[job].rejected = true;
-  if (jobs_[job].started) report_violation("items ran of a job whose tries were all refused");
+  if (jobs_[job].started)
+    report_violation("items of a job ran although all attempts to submit it were rejected");
 }
 
 void History::on_item_sent(Millis now, const std::string& job, const std::string& item,
                            const std::string& body) {
   JobState& record = jobs_[job];
   record.started = true;
-  if (record.rejected) report_violation("an item ran of a job whose tries were all refused");
+  if (record.rejected)
+    report_violation("an item of a job ran although all attempts to submit it were rejected");
   const auto sent = record.item_bodies.find(item);
   if (sent == record.item_bodies.end() || sent->second != body)
-    report_violation("an item was sent with another body: " + item);
+    report_violation("an item was sent with the wrong body: " + item);
   const bool is_ended = record.end_acknowledged > 0 && now > record.end_acknowledged + kEndGraceMs;
   if (is_ended) report_violation("an item was sent long after the end of its job: " + item);
 }
 
 void History::on_body_read(const std::string& job, const std::string& item, const std::string& body) {
-  if (jobs_[job].item_bodies[item] != body) report_violation("a body has other bytes: " + item);
+  if (jobs_[job].item_bodies[item] != body)
+    report_violation("a read returned the wrong body of an item: " + item);
 }
 
 void History::on_job_end_requested(const std::string& job) { jobs_[job].end_requested = true; }
@@ -131,22 +138,24 @@
                          const std::vector<std::string>& items,
                          const std::vector<std::string>& result_texts) {
   JobState& record = jobs_[job];
-  if (items.size() < known_results) return report_violation("a result that was read is gone: " + job);
+  if (items.size() < known_results)
+    return report_violation("a result that was read before is missing: " + job);
   for (std::size_t position = 0; position < items.size(); ++position) {
     if (position < record.result_items.size()) {
       const bool same = record.result_items[position] == items[position] &&
                         record.result_texts[position] == result_texts[position];
-      if (!same) return report_violation("a position holds another result: " + job);
+      if (!same) return report_violation("the result at a position changed: " + job);
       continue;
     }
-    if (has_result(job, items[position])) return report_violation("an item stands at two positions: " + job);
+    if (has_result(job, items[position]))
+      return report_violation("an item is listed at two positions: " + job);
     record.result_items.push_back(items[position]);
     record.result_texts.push_back(result_texts[position]);
   }
 }
 
 void History::on_job_missing(const std::string& job, const std::string& what) {
-  if (jobs_[job].accepted) report_violation(what + " is not there: " + job);
+  if (jobs_[job].accepted) report_violation(what + " is missing: " + job);
 }
 
 std::size_t History::result_count(const std::string& job) const {
--- a/tools/simulate/main.cpp
+++ b/tools/simulate/main.cpp
@@ -1,6 +1,6 @@
-// Plays worlds from seeds and tells what was broken: nettlestand-simulate [--from SEED] [--worlds N] [--jobs
-// N]
-// [--planted NAME] [--coverage] [--log SEED].
+// Runs simulated scenarios and prints the violations that they find:
+// nettlestand-simulate [--from SEED] [--worlds N] [--jobs N] [--planted NUMBER] [--coverage] [--until-broken]
+// [--log SEED]
 #include <popt.h>
 
 #include <atomic>
@@ -79,8 +79,8 @@
   std::size_t rarest = SIZE_MAX;
   for (const auto& [pair, count] : totals.overlapping_faults) rarest = std::min(rarest, count);
   const auto fault_kinds = static_cast<std::size_t>(Fault::kCount);
-  std::cout << "pairs that overlapped: " << totals.overlapping_faults.size() << " of "
-            << fault_kinds * (fault_kinds + 1) / 2 << ", the rarest " << rarest << " times\n";
+  std::cout << "pairs of faults that overlapped: " << totals.overlapping_faults.size() << " of "
+            << fault_kinds * (fault_kinds + 1) / 2 << ", the least frequent " << rarest << " times\n";
 }
 
 }  // namespace
@@ -88,14 +88,16 @@
 int main(int argc, char** argv) {
   Options options;
   const poptOption table[] = {
-      {"from", 0, POPT_ARG_LONG, &options.from, 0, "the first seed", "SEED"},
-      {"worlds", 0, POPT_ARG_LONG, &options.worlds, 0, "how many", "N"},
-      {"jobs", 0, POPT_ARG_LONG, &options.jobs, 0, "threads, each with worlds of its own", "N"},
-      {"planted", 0, POPT_ARG_LONG, &options.injected_fault, 0, "a planted fault", "NUMBER"},
-      {"coverage", 0, POPT_ARG_NONE, &options.coverage, 0, "how often each fault struck", nullptr},
-      {"until-broken", 0, POPT_ARG_NONE, &options.stop_at_first_violation, 0,
-       "stop at the first broken world", nullptr},
-      {"log", 0, POPT_ARG_LONG, &options.logged_seed, 0, "play this seed alone, with the log of its nodes",
+      {"from", 0, POPT_ARG_LONG, &options.from, 0, "first seed", "SEED"},
+      {"worlds", 0, POPT_ARG_LONG, &options.worlds, 0, "number of scenarios", "N"},
+      {"jobs", 0, POPT_ARG_LONG, &options.jobs, 0, "number of threads; each scenario runs on one", "N"},
+      {"planted", 0, POPT_ARG_LONG, &options.injected_fault, 0, "injected fault, a value of InjectedFault",
+       "NUMBER"},
+      {"coverage", 0, POPT_ARG_NONE, &options.coverage, 0, "print how often each fault was injected",
+       nullptr},
+      {"until-broken", 0, POPT_ARG_NONE, &options.stop_at_first_violation, 0, "stop at the first violation",
+       nullptr},
+      {"log", 0, POPT_ARG_LONG, &options.logged_seed, 0, "run only this seed and print the log of its nodes",
        "SEED"},
       POPT_AUTOHELP{nullptr, 0, 0, nullptr, 0, nullptr, nullptr}};
   poptContext context =
@@ -111,10 +113,10 @@
   const auto started_at = std::chrono::steady_clock::now();
   const Totals totals = run_scenarios(options);
   const std::chrono::duration<double> duration = std::chrono::steady_clock::now() - started_at;
-  std::cout << options.worlds << " worlds, " << totals.broken_scenarios << " broken, "
-            << totals.acknowledged_changes << " orders acknowledged, " << totals.results_read
-            << " results read, longest wait of an order " << totals.longest_change_ms << " ms, "
-            << static_cast<double>(options.worlds) / duration.count() << " worlds a second\n";
+  std::cout << options.worlds << " scenarios, " << totals.broken_scenarios << " with violations, "
+            << totals.acknowledged_changes << " changes acknowledged, " << totals.results_read
+            << " results read, longest wait for a change " << totals.longest_change_ms << " ms, "
+            << static_cast<double>(options.worlds) / duration.count() << " scenarios/s\n";
   for (const auto& [kind, count] : totals.violation_kinds)
     std::cout << "  " << count << " x " << kind << "\n";
   if (options.coverage != 0) print_coverage(totals);
--- a/tools/simulate/scenario.cpp
+++ b/tools/simulate/scenario.cpp
@@ -9,16 +9,19 @@
 namespace nettlestand::tier::simulate {
 namespace {
 
-constexpr Millis kFaultsStartMs = 6000;  // then the faults begin
-constexpr Millis kFaultsEndMs = 40000;   // and end
+constexpr Millis kFaultsStartMs = 6000;  // the tier has formed; faults begin
+constexpr Millis kFaultsEndMs = 40000;   // no new faults after this time
+// Time to recover before the checks.
 constexpr Millis kRecoveryMs = 12000;
+// Limits for the checks: a change is acknowledged, all nodes apply it, all jobs are finished.
 constexpr Millis kAcknowledgeTimeoutMs = 4000;
 constexpr Millis kApplyTimeoutMs = 2000;
 constexpr Millis kJobsTimeoutMs = 20000;
-constexpr int kManyChanges = 150;  // more than a replica keeps before it folds its log
+constexpr int kManyChanges = 150;  // more than a replica keeps in its log before it takes a snapshot
 constexpr Millis kManyChangesIntervalMs = 30;
-constexpr Millis kOverlapWindowMs = 3000;  // two faults that strike within this time overlap
+constexpr Millis kOverlapWindowMs = 3000;  // two faults injected within this time count as overlapping
 
+// Runs the phases of a scenario: formation, faults, recovery and final checks.
 class Scenario {
  public:
   Scenario(std::uint64_t seed, InjectedFault injected_fault)
@@ -47,7 +50,7 @@
 
  private:
   static bool has_large_configurations(std::uint64_t seed) { return seed % 4 == 3; }
-  // Worlds in which trouble befalls the stores alone and messages come late all the time.
+  // Scenarios whose faults hit only the stores, while messages are reordered all the time.
   static bool reorders_messages(std::uint64_t seed) { return seed % 5 == 2; }
   static bool has_small_job_journals(std::uint64_t seed) { return seed % 6 == 1; }
   static ClusterOptions options(std::uint64_t seed, InjectedFault injected_fault) {
@@ -64,6 +67,7 @@
     return out;
   }
 
+  // Advances the time until `end` or the first violation.
   void advance_until(Millis end) {
     while (cluster_.now() < end && history_.violation().empty())
       cluster_.scheduler().run_until(cluster_.now() + 100);
@@ -77,6 +81,7 @@
     schedule_periodically(80, 120, [this] { jobs_.read_random_job(); });
     schedule_periodically(1500, 2500, [this] { jobs_.end_random_job(); });
   }
+  // Runs `run` repeatedly, after random delays of `min_ms` to `min_ms + range_ms`.
   void schedule_periodically(Millis min_ms, Millis range_ms, std::function<void()> run) {
     cluster_.scheduler().schedule_after(
         min_ms + static_cast<Millis>(cluster_.random(static_cast<std::uint64_t>(range_ms))),
@@ -91,7 +96,7 @@
     if (cluster_.now() >= kFaultsEndMs) return;
     const auto fault = static_cast<Fault>(cluster_.random(static_cast<std::uint64_t>(Fault::kCount)));
     if (inject(fault)) record_fault(fault);
-    // Some come together, some with time to recover between them.
+    // Some faults come in quick succession, some leave time to recover.
     const Millis delay = cluster_.chance(0.4) ? static_cast<Millis>(cluster_.random(800))
                                               : 1000 + static_cast<Millis>(cluster_.random(7000));
     cluster_.scheduler().schedule_after(delay, [this] { inject_next_fault(); });
@@ -109,6 +114,7 @@
     const std::vector<std::size_t> all = cluster_.machines_of(kind);
     return all[cluster_.random(all.size())];
   }
+  // A core or store machine: one that has a disk.
   std::size_t random_disk_machine() {
     const bool core = !reorders_messages_ && cluster_.chance(0.5);
     return random_machine_of(core ? MachineKind::kCore : MachineKind::kStore);
@@ -121,7 +127,7 @@
     return min_ms + static_cast<Millis>(cluster_.random(static_cast<std::uint64_t>(range_ms)));
   }
 
-  // False where it can't strike now.
+  // Returns false if the fault is not applicable at the moment.
   bool inject(Fault fault) {
     switch (fault) {
       case Fault::kKill:
@@ -168,6 +174,7 @@
         return inject_other(fault);
     }
   }
+  // The second part of inject().
   bool inject_other(Fault fault) {
     const std::size_t leader = cluster_.leader();
     const bool has_leader = leader < cluster_.size();
@@ -217,7 +224,7 @@
         fill_disk(random_disk_machine(), random_duration(500, 5000));
         return true;
       case Fault::kDiskRot:
-        // A damaged disk is as good as lost.
+        // A corrupted disk counts as a lost one.
         return lose_if_tolerated(random_disk_machine(), [this](std::size_t i) {
           cluster_.corrupt_disk(i);
           cluster_.kill(i, random_duration(100, 1500));
@@ -251,6 +258,7 @@
     }
   }
 
+  // Applies a fault that loses a disk if the tier has to tolerate the loss of one more.
   template <class Lose>
   bool lose_if_tolerated(std::size_t i, Lose lose) {
     if (!cluster_.can_tolerate_loss(i)) return false;
@@ -262,6 +270,7 @@
       if (!cluster_.machine(i).removed) cluster_.lose_power(i, random_duration(300, 1500));
     }
   }
+  // Cuts the messages from (`out`) and to (`in`) a machine.
   void cut_machine(std::size_t i, bool out, bool in, Millis time) {
     for (std::size_t j = 0; j < cluster_.size(); ++j) {
       if (out || !in) cluster_.cut(i, j);
@@ -269,7 +278,8 @@
     }
     schedule_heal(time, {i});
   }
-  // More than has to be borne at once, but no disk is lost: service may rest, and nothing may be forgotten.
+  // Exceeds the fault tolerance for a while, but no disk is lost: the tier may be unavailable, but it must
+  // not lose data.
   void take_stores_down_in_turn() {
     const std::size_t alone = random_machine_of(MachineKind::kStore);
     const Millis time = random_duration(2500, 2000);
@@ -298,17 +308,19 @@
     }
     schedule_heal(time, core);
   }
-  // All cuts heal together: cuts that overlap end with the first of them or go on anew.
+  // All cuts heal together, so overlapping cuts end with the first of them, or start again.
   void schedule_heal(Millis time, const std::vector<std::size_t>& cut) {
     for (const std::size_t i : cut) cluster_.mark_unavailable(i, cluster_.now() + time);
     if (!cut.empty()) cluster_.log_fault("cut", cut.front(), time);
     cluster_.scheduler().schedule_after(time, [this] { cluster_.heal_cuts(); });
   }
+  // The machine of a kind that was added first.
   std::size_t oldest_machine(MachineKind kind) {
     std::size_t out = random_machine_of(kind);
     for (const std::size_t i : cluster_.machines_of(kind)) out = std::min(out, i);
     return out;
   }
+  // Removes a machine and adds an empty one of the same kind after a delay.
   bool replace(std::size_t i) {
     return lose_if_tolerated(i, [this](std::size_t removed) {
       const MachineKind kind = cluster_.machine(removed).kind;
@@ -318,11 +330,12 @@
       cluster_.scheduler().schedule_after(delay, [this, kind] { cluster_.add(kind); });
     });
   }
+  // Retires a store, then removes it.
   bool retire(bool then_wipe) {
     const std::vector<std::size_t> stores = cluster_.machines_of(MachineKind::kStore);
     if (stores.size() < 4) return false;
     const std::size_t store = stores[cluster_.random(stores.size())];
-    // The answer comes on the stack of a node, which must not be taken away there.
+    // `done` is called from within a node, which must not be destroyed there.
     operators_.retire(store, [this, store, then_wipe] {
       cluster_.scheduler().schedule_after(1, [this, store, then_wipe] { remove_store(store, then_wipe); });
     });
@@ -351,7 +364,7 @@
     cluster_.set_reordering(false);
     for (std::size_t i = 0; i < cluster_.size(); ++i) cluster_.set_disk_full(i, false);
   }
-  // Some faults last beyond the end; only then calm begins.
+  // Whether every machine runs again. Some faults last beyond the end of the fault phase.
   bool all_running() {
     for (std::size_t i = 0; i < cluster_.size(); ++i) {
       const Cluster::Machine& machine = cluster_.machine(i);
@@ -368,14 +381,16 @@
     advance_until(cluster_.now() + kRecoveryMs);
     if (!history_.violation().empty()) return;
     operators_.stop_losing_replies();
-    if (!change_is_acknowledged()) history_.report_violation("no order is acknowledged once all is calm");
+    if (!change_is_acknowledged())
+      history_.report_violation("no change is acknowledged after the faults have ended");
     traffic_enabled_ = false;
     advance_until(cluster_.now() + kApplyTimeoutMs + 1000);
     check_nodes();
     check_jobs();
     check_last_read();
   }
-  // One that loses to another operator's is followed by the next.
+  // Whether a change is acknowledged in time. A change that another operator's change overtakes is followed
+  // by another attempt.
   bool change_is_acknowledged() {
     for (int attempts = 0; attempts < 5; ++attempts) {
       operators_.read_configuration();
@@ -396,8 +411,9 @@
       if (!cluster_.is_responsive(i)) continue;
       const ControlClient& control_client = cluster_.node(i)->control_client();
       if (control_client.state().generation() < history_.newest_acknowledged())
-        return history_.report_violation("a node has not followed once all is calm: " +
-                                         cluster_.machine(i).name);
+        return history_.report_violation(
+            "a node does not have the newest configuration after the faults have ended: " +
+            cluster_.machine(i).name);
     }
   }
   void check_jobs() {
@@ -408,7 +424,7 @@
     }
     const std::vector<std::string> open = history_.unfinished_jobs();
     if (!open.empty() && history_.violation().empty())
-      history_.report_violation("a job is never done: " + open.front());
+      history_.report_violation("a job does not finish after the faults have ended: " + open.front());
     for (const std::string& job : history_.accepted_jobs()) jobs_.read(job);
     advance_until(cluster_.now() + 500);
   }
@@ -427,7 +443,7 @@
                              history_.check_final(body);
                            });
     advance_until(cluster_.now() + 3000);
-    if (!answered) history_.report_violation("the configuration can't be read once all is calm");
+    if (!answered) history_.report_violation("the configuration can't be read after the faults have ended");
   }
 
   bool reorders_messages_;
--- a/tools/simulate/scenario.h
+++ b/tools/simulate/scenario.h
@@ -1,5 +1,5 @@
-// One simulated world from a seed: a tier under faults that overlap, then calm, then what has to hold by
-// then.
+// One simulated scenario, determined by its seed: a tier under overlapping faults, then a period without
+// faults, then checks that it has recovered.
 #pragma once
 
 #include <array>
@@ -11,6 +11,7 @@
 
 namespace nettlestand::tier::simulate {
 
+// Faults that a scenario injects.
 enum class Fault : std::uint8_t {
   kKill,
   kLosePower,
@@ -41,21 +42,24 @@
   kLossy,
   kManyChanges,
   kRace,
-  kStoresInTurn,  // one store alone for a while, then all but that one
-  kLate,          // messages that come behind newer ones
+  kStoresInTurn,  // first only one store is reachable, then all but that one
+  kLate,          // messages are delivered after newer ones
   kCount
 };
+// Name of a fault as printed in logs and in the coverage.
 const char* fault_name(Fault fault);
 
+// `overlapping_faults`: pairs of faults that were injected within a short time of each other.
 struct ScenarioResult {
-  std::string violation;  // empty: all promises were kept
+  std::string violation;  // empty if no guarantee was violated
   std::size_t acknowledged_changes = 0, results_read = 0;
   Millis longest_change_ms = 0;
   std::array<std::size_t, static_cast<std::size_t>(Fault::kCount)> fault_counts{};
   std::vector<std::pair<Fault, Fault>> overlapping_faults;
-  std::vector<std::string> fault_log;  // the faults, with their times
+  std::vector<std::string> fault_log;  // the injected faults with their times
 };
 
+// Runs a scenario. `injected_fault` is a bug that the checks are expected to find.
 ScenarioResult run_scenario(std::uint64_t seed, InjectedFault injected_fault = InjectedFault::kNone);
 
 }  // namespace nettlestand::tier::simulate
--- a/tools/simulate/scheduler.h
+++ b/tools/simulate/scheduler.h
@@ -1,4 +1,5 @@
-// Simulated time: events run in the order of their time, those of one time in the order of their making.
+// Discrete-event scheduler with simulated time. Events run in order of their time; events with the same time
+// run in the order in which they were scheduled.
 #pragma once
 
 #include <functional>
@@ -12,13 +13,14 @@
 class Scheduler {
  public:
   Millis now() const { return now_; }
+  // A time in the past means now.
   void schedule_at(Millis time, std::function<void()> action) {
     events_.push({std::max(time, now_), ++last_sequence_, std::move(action)});
   }
   void schedule_after(Millis delay, std::function<void()> action) {
     schedule_at(now_ + delay, std::move(action));
   }
-  // Runs all events up to a time.
+  // Runs all events that are due by `end`, then sets the time to `end`.
   void run_until(Millis end) {
     while (!events_.empty() && events_.top().time <= end) {
       Event event = events_.top();
--- a/tools/simulate/simulated_disk.cpp
+++ b/tools/simulate/simulated_disk.cpp
@@ -9,8 +9,8 @@
 namespace nettlestand::tier::simulate {
 namespace {
 
-constexpr double kAllLostProbability = 0.2;  // of the losses of power: nothing that was not synced is there
-constexpr double kWriteKeptProbability = 0.45;  // of the unsynced writes, at other losses
+constexpr double kAllLostProbability = 0.2;     // a power loss drops everything that was not synced
+constexpr double kWriteKeptProbability = 0.45;  // per unsynced write, if not all are dropped
 constexpr double kWriteTornProbability = 0.25;
 constexpr double kNameKeptProbability = 0.5;
 
@@ -115,8 +115,8 @@
   unsynced_removals_.clear();
 }
 
-// Where the newest record of a segment file proves that all before it had been synced; 0: there is none. What
-// stands behind that, damaged, can't be told from the torn end of a write: a limit that the design names.
+// Damage behind the proven prefix is not considered: it can't be told from the torn end of a write, which is
+// a known limit of the design.
 std::size_t SimulatedDisk::proven_synced_bytes(const std::string& file) {
   constexpr std::string_view kRecordMagic = "2REC", kSealMagic = "SEAL";
   constexpr std::size_t kSyncedSizeOffset = 8;
--- a/tools/simulate/workload.cpp
+++ b/tools/simulate/workload.cpp
@@ -9,10 +9,11 @@
 namespace nettlestand::tier::simulate {
 namespace {
 
-constexpr double kLargeConfigurationProbability = 0.15;      // of the changes, where there are large ones
-constexpr std::size_t kLargeConfigurationBytes = 36U << 10;  // more than a holder hands out at once
-constexpr Millis kReplyTimeoutMs = 1000;     // an operator waits for so long, then asks another node
-constexpr Millis kMaxChangeRetryMs = 20000;  // and sends the same order again for so long
+constexpr double kLargeConfigurationProbability = 0.15;  // per change, if large configurations are enabled
+// More than one chunk of a configuration transfer.
+constexpr std::size_t kLargeConfigurationBytes = 36U << 10;
+constexpr Millis kReplyTimeoutMs = 1000;     // then the operator asks another node
+constexpr Millis kMaxChangeRetryMs = 20000;  // for retries of the same change
 constexpr Millis kRetryDelayMs = 100;
 constexpr Millis kSubmitTimeoutMs = 900;
 constexpr std::size_t kMaxSubmitAttempts = 12;
@@ -20,11 +21,13 @@
 constexpr std::uint32_t kOk = 200, kAccepted = 202, kBadRequest = 400, kNotFound = 404,
                         kPreconditionFailed = 412, kTooManyRequests = 429, kServerError = 500,
                         kServiceUnavailable = 503;
+// Status of a reply: the store is not the primary and stored nothing, or it may have stored the job.
 constexpr std::uint32_t kNotPrimary = 0, kOutcomeUnknown = 1;
 constexpr std::size_t kTenantCount = 4;
 constexpr std::size_t kLargeBodyBytes = 3U << 10;
 constexpr double kRepeatedEndProbability = 0.3;
 
+// Each change has its own API keys, so that no two configurations are equal.
 std::string configuration_json(Version version, ChangeId change, std::size_t padding) {
   std::string tenants;
   for (std::size_t i = 0; i < kTenantCount; ++i) {
@@ -38,6 +41,7 @@
          tenants + "]}";
 }
 
+// 0 if the text is not a valid configuration.
 Version parse_version(const std::string& text) {
   rapidjson::Document document;
   document.Parse(text.c_str());
@@ -112,7 +116,7 @@
     change.decided = true;
     acknowledged_.insert(id);
     newest_known_version_ = std::max(newest_known_version_, change.version);
-    // Now and then the same is sent once more.
+    // Sometimes an acknowledged change is sent again.
     if (cluster_.chance(0.1)) {
       cluster_.call_operator(random_edge(),
                              make_call("/nettlestand/config/replace", change.base, change.body),
@@ -198,7 +202,7 @@
   Submission& submission = submissions_.at(job);
   if (submission.decided) return;
   if (submission.attempts++ >= kMaxSubmitAttempts) {
-    // Like a front: what a store may have kept is never told to be refused.
+    // As in the request handler of a node, a job that a store may have stored is never reported as rejected.
     submission.decided = true;
     if (!submission.may_be_stored) history_.on_job_rejected(job);
     return;
@@ -264,7 +268,7 @@
 void JobClients::on_result_page(const std::string& job, std::size_t known_results, const std::string& page) {
   rapidjson::Document document;
   document.Parse(page.c_str());
-  if (document.HasParseError()) return history_.report_violation("a page of results can't be read");
+  if (document.HasParseError()) return history_.report_violation("a page of results is not valid JSON");
   std::vector<std::string> items, texts;
   for (const auto& result : document["results"].GetArray()) {
     items.emplace_back(result["id"].GetString());
@@ -301,7 +305,7 @@
     if (reply.status == kOk) history_.on_job_end_acknowledged(cluster_.now(), job);
   };
   cluster_.call_store(random_edge(), call, on_reply);
-  // Other clients of the tenant ask for it once more, at any node.
+  // Another client of the tenant repeats the call at any node.
   if (cluster_.chance(kRepeatedEndProbability)) cluster_.call_store(random_edge(), call, on_reply);
 }
 
--- a/tools/simulate/workload.h
+++ b/tools/simulate/workload.h
@@ -1,4 +1,4 @@
-// Operators, readers and clients of batch jobs in a simulated tier.
+// Workload of a simulated tier: operators that change the configuration, and clients that submit batch jobs.
 #pragma once
 
 #include <map>
@@ -11,29 +11,31 @@
 
 namespace nettlestand::tier::simulate {
 
-// Several operators that change the configuration, send again what got no clear answer, and read it back.
+// Several concurrent operators. They change the configuration, retry changes whose outcome is unknown, and
+// read the configuration back.
 class Operators {
  public:
-  // `large`: some of the configurations travel in several pieces.
+  // `large_configurations`: some configurations are transferred in several chunks.
   Operators(Cluster& cluster, History& history, bool large_configurations)
       : cluster_(cluster), history_(history), large_configurations_(large_configurations) {}
 
-  // Sends a change on top of the newest version that is known; `racing` of them at once.
+  // Sends `count` concurrent changes, all based on the newest version that is known.
   void submit_changes(std::size_t count = 1);
   void read_configuration();
-  // Until then some answers are lost on their way.
+  // Until this call, some replies are lost at random.
   void stop_losing_replies() { reply_loss_probability_ = 0; }
-  // For the end: a change, and whether it was acknowledged.
+  // Sends one change and returns its id; was_acknowledged() and was_rejected() tell its outcome.
   ChangeId submit_change();
   bool was_acknowledged(ChangeId change) const { return acknowledged_.contains(change); }
   bool was_rejected(ChangeId change) const {
     return changes_.at(change).decided && !was_acknowledged(change);
   }
-  // Asks for a store to be emptied; `done` is told when it may be taken away.
+  // Starts the retirement of a store. `done` is called once the store may be removed.
   void retire(std::size_t store, std::function<void()> done);
   std::size_t longest_wait_ms() const { return static_cast<std::size_t>(longest_wait_ms_); }
 
  private:
+  // A change and the progress of its retries.
   struct ConfigChange {
     Version base = 0, version = 0;
     std::string body;
@@ -54,26 +56,29 @@
   std::map<ChangeId, ConfigChange> changes_;
   std::set<ChangeId> acknowledged_;
   ChangeId last_id_ = 0;
-  Version newest_known_version_ = 0;  // the newest version that was acknowledged or read
+  Version newest_known_version_ = 0;  // newest version that was acknowledged or read
   Version last_version_ = 1;
   Millis longest_wait_ms_ = 0;
   double reply_loss_probability_ = 0.15;
 };
 
-// Clients that submit jobs, read them from any node, ask for bodies, and end some of them.
+// Clients that submit batch jobs, read their results and item bodies through any edge node, and end some of
+// them.
 class JobClients {
  public:
-  // `large_bodies`: jobs fill their stores' journals.
+  // `large_bodies`: item bodies are large enough for the jobs to fill the journals of their stores.
   JobClients(Cluster& cluster, History& history, bool large_bodies)
       : cluster_(cluster), history_(history), large_bodies_(large_bodies) {}
 
   void submit();
   void read_random_job();
-  // Reads a job from its start.
+  // Reads all results of a job from the start.
   void read(const std::string& job);
   void end_random_job();
 
  private:
+  // A job and the progress of its submission. `may_be_stored`: a store may have stored it although no reply
+  // said so.
   struct Submission {
     JobSpec spec{};
     std::size_t attempts = 0;
--- a/tools/soak/clients.cpp
+++ b/tools/soak/clients.cpp
@@ -10,8 +10,10 @@
 namespace {
 
 constexpr Millis kConnectTimeoutMs = 1000;
+// Sent as X-Deadline-Ms.
 constexpr Millis kDeadlineMs = 4000;
-constexpr Millis kClientTimeoutMs = 5500;  // beyond its deadline a client hears the last word all the same
+// Longer than the deadline, so that a client receives the last response all the same.
+constexpr Millis kClientTimeoutMs = 5500;
 constexpr Millis kCallTimeoutMs = 4000;
 constexpr Millis kReadIntervalMs = 150;
 constexpr std::uint64_t kMaxThinkTimeMs = 12;
@@ -21,7 +23,7 @@
 constexpr std::size_t kMaxUnfinishedJobs = 6;
 constexpr int kOk = 200, kAccepted = 202, kNotFound = 404, kTooManyRequests = 429, kServiceUnavailable = 503;
 
-// Bytes that belong to one request alone.
+// A body that no other request has.
 std::string body_of(const std::string& id, std::size_t size) {
   std::string out = "body of " + id + ";";
   while (out.size() < size) out += id;
@@ -43,7 +45,7 @@
   }
 }
 
-// As the platform does, only nodes that say they are ready get new connections.
+// Like the platform, opens new connections only to nodes that report themselves as ready.
 bool LiveClient::connect() {
   node_ = random_below(context_.world.edges());
   if (!context_.world.ready(node_)) return false;
@@ -85,7 +87,7 @@
   const std::string bytes = encode_request(request, random_below(4) == 0);
   request.sent_at = steady_now();
   context_.oracle.on_sent(request);
-  // Some leave in the middle of their answer, or of their own request.
+  // Some clients disconnect in the middle of the response, or of their own request.
   const bool disconnects = random_below(50) == 0;
   const standins::HttpResult answer =
       connection_.exchange(bytes, disconnects ? 1 + static_cast<Millis>(random_below(20)) : kClientTimeoutMs);
@@ -98,16 +100,18 @@
   if (answer.status != kOk || !answer.complete) return;
   const auto signature = answer.headers.find("x-response-signature");
   const bool own = signature != answer.headers.end() && signature->second == "signature of " + request.id;
-  if (!own) context_.oracle.report_violation("MIXED: an answer without its signature: " + request.id);
+  if (!own)
+    context_.oracle.report_violation("MIXED: a response without the signature of its request: " + request.id);
   if (answer.body != standins::Engine::whole_stream())
-    context_.oracle.report_violation("ORDER: a complete answer is not whole: " + request.id);
+    context_.oracle.report_violation("ORDER: a complete response is not the expected event stream: " +
+                                     request.id);
 }
 
 // ---------------------------------------------------------------- jobs
 
 standins::HttpResult JobClient::call(const std::string& method, const std::string& target,
                                      const std::string& id, const std::string& body) {
-  standins::KeptConnection connection;  // a new one for each call
+  standins::KeptConnection connection;  // a new connection for each call
   const std::size_t node = random_below(context_.world.edges());
   standins::HttpResult none;
   if (!context_.world.ready(node) || !connection.open(context_.world.front_address(node), kConnectTimeoutMs))
@@ -167,7 +171,7 @@
   rapidjson::Document page;
   page.Parse(answer.body.c_str());
   if (page.HasParseError())
-    return context_.oracle.report_violation("MIXED: a page that can't be read: " + job.id);
+    return context_.oracle.report_violation("MIXED: a page of results is not valid JSON: " + job.id);
   std::vector<std::string> items, texts;
   for (const auto& result : page["results"].GetArray()) {
     items.emplace_back(result["id"].GetString());
@@ -182,7 +186,7 @@
   const standins::HttpResult answer =
       call("GET", "/nettlestand/items/" + job.id + "?id=" + item->first, "body", "");
   if (answer.complete && answer.status == kOk && answer.body != item->second)
-    context_.oracle.report_violation("MIXED: a body with other bytes: " + item->first);
+    context_.oracle.report_violation("MIXED: a read returned the wrong body of an item: " + item->first);
 }
 
 void JobClient::end(const SubmittedJob& job) {
--- a/tools/soak/clients.h
+++ b/tools/soak/clients.h
@@ -1,5 +1,5 @@
-// Clients of the soak: each holds a connection and uses it until the node closes it, then goes to another
-// node.
+// Clients of the soak test. A client of live requests keeps its connection until the node closes it, then
+// connects to a random node.
 #pragma once
 
 #include <atomic>
@@ -14,18 +14,19 @@
 
 constexpr const char* kTenant = "t";
 constexpr const char* kHost = "h.example";
-// Keys of the one tenant. The first is never taken away.
+// API keys of the only tenant. The permanent key is never revoked; the temporary one is added and revoked by
+// configuration changes.
 constexpr const char* kPermanentKey = "k-lasting";
 constexpr const char* kTemporaryKey = "k-passing";
 
-// What all clients share.
+// State that all clients share.
 struct ClientContext {
   const standins::TierWorld& world;
   Oracle& oracle;
   const std::atomic<bool>& stopping;
 };
 
-// Sends live requests one after the other.
+// Sends live (interactive) requests, one at a time.
 class LiveClient {
  public:
   LiveClient(ClientContext context, std::uint64_t number, std::uint64_t seed)
@@ -37,6 +38,7 @@
   void request_once();
   LiveRequest next_request();
   std::string encode_request(const LiveRequest& request, bool chunked) const;
+  // A random number in [0, bound).
   std::uint64_t random_below(std::uint64_t bound) { return random_() % bound; }
 
   ClientContext context_;
@@ -46,13 +48,14 @@
   standins::KeptConnection connection_;
 };
 
-// Submits jobs, reads them from any node, asks for bodies, and ends some of them, also twice.
+// Submits batch jobs, reads their results and item bodies through any edge node, and ends some of them, each
+// twice.
 class JobClient {
  public:
   JobClient(ClientContext context, std::uint64_t number, std::uint64_t seed)
       : context_(context), random_(seed), number_(number) {}
   void run();
-  // Reads all open jobs until they are done; false where some are not by then.
+  // Reads all unfinished jobs until they are finished. Returns false if some are not within `timeout`.
   bool finish(Millis timeout);
 
  private:
--- a/tools/soak/fault_injector.cpp
+++ b/tools/soak/fault_injector.cpp
@@ -13,14 +13,14 @@
 using standins::EngineMode;
 
 constexpr Millis kTerminationGraceMs = 8000;
-constexpr Millis kTerminationSlackMs = 1500;  // of a machine that is busy
-constexpr Millis kRestartDelayMs = 300;       // after a process has ended
+constexpr Millis kTerminationSlackMs = 1500;  // for a busy machine
+constexpr Millis kRestartDelayMs = 300;       // after the end of a process
 constexpr Millis kStepIntervalMs = 20;
-constexpr std::uint64_t kMaxFaultIntervalMs = 700;  // between two strikes
+constexpr std::uint64_t kMaxFaultIntervalMs = 700;  // between two faults
 constexpr Millis kRecoveryTimeoutMs = 30000;
-constexpr Millis kCatchUpMs = 3000;  // of a process that runs again
+constexpr Millis kCatchUpMs = 3000;  // for a process that runs again
 constexpr int kCleanExit = 0;
-constexpr int kEndedBySigterm = 128 + SIGTERM;  // while it was being executed
+constexpr int kEndedBySigterm = 128 + SIGTERM;  // terminated by the signal before the program was executed
 constexpr std::uint64_t kPlannedFaultKinds = 5;
 
 }  // namespace
@@ -43,14 +43,14 @@
   terminating_[node] = steady_now();
 }
 
-// A process that has only just been executed can't hold signals back yet: SIGHUP would end it.
+// A process that has just been started can't block signals yet, so SIGHUP would terminate it.
 void FaultInjector::reload(std::size_t node) {
   if (!world_.is_running(node) || !world_.has_started(node)) return;
   world_.signal(node, SIGHUP);
   ++signals_;
 }
 
-// A roll over some nodes, the next before the one before it is back.
+// Rolling restart of some nodes. The next node is terminated before the previous one is back.
 void FaultInjector::terminate_in_series() {
   const std::size_t first = random_node(), count = 1 + random_below(world_.nodes() / 2);
   const Millis gap = static_cast<Millis>(random_below(1500));
@@ -80,23 +80,25 @@
   });
 }
 
-// Processes end with 0 within their grace where they were told to, and never otherwise.
+// Processes have to exit with code 0 within the grace period after SIGTERM, and must not exit otherwise.
 void FaultInjector::check_processes() {
   for (std::size_t node = 0; node < world_.nodes(); ++node) {
     const auto terminating = terminating_.find(node);
     const std::optional<int> code = world_.ended(node);
     if (code) {
       if (terminating == terminating_.end())
-        oracle_.report_violation("a process ended by itself: " + world_.name(node));
+        oracle_.report_violation("a process exited unexpectedly: " + world_.name(node));
       const bool terminated_before_start = *code == kEndedBySigterm && !world_.has_started(node);
       if (*code != kCleanExit && !terminated_before_start) {
-        oracle_.report_violation("a process ended with " + std::to_string(*code) + ": " + world_.name(node));
+        oracle_.report_violation("a process exited with code " + std::to_string(*code) + ": " +
+                                 world_.name(node));
       }
       terminating_.erase(node);
       schedule_restart(node, steady_now() + kRestartDelayMs);
     } else if (terminating != terminating_.end() &&
                steady_now() > terminating->second + kTerminationGraceMs + kTerminationSlackMs) {
-      oracle_.report_violation("a process outlives its grace: " + world_.name(node));
+      oracle_.report_violation("a process did not exit within its termination grace period: " +
+                               world_.name(node));
       kill(node, kRestartDelayMs);
     }
   }
@@ -121,7 +123,7 @@
                                 [this, engine] { world_.engine(engine).set_mode(EngineMode::kStream); });
 }
 
-// ---------------------------------------------------------------- time
+// ---------------------------------------------------------------- schedule
 
 void FaultInjector::inject() {
   switch (random_below(profile_ == Profile::kPlanned ? kPlannedFaultKinds : 2 * kPlannedFaultKinds)) {
@@ -151,7 +153,7 @@
       return;
     case 2:
       return pause(random_node(), random_duration(3000));
-    case 3:  // a store, so that results and ends wait for a copy
+    case 3:  // a store, so that results and job ends wait for replication
       return pause(world_.edges() + random_below(world_.nodes() - world_.edges()), random_duration(900));
     case 4:
       return set_engine_mode(EngineMode::kFull, random_duration(2500));
@@ -197,7 +199,7 @@
   };
   while (!scheduled_recoveries_.empty() || !terminating_.empty() || !all_running()) {
     if (steady_now() >= until)
-      return oracle_.report_violation("RECOVER: not all nodes are ready once all is calm");
+      return oracle_.report_violation("RECOVER: not all nodes are ready after the faults have ended");
     check_processes();
     run_due(scheduled_recoveries_);
     std::this_thread::sleep_for(std::chrono::milliseconds(kStepIntervalMs));
--- a/tools/soak/fault_injector.h
+++ b/tools/soak/fault_injector.h
@@ -1,5 +1,5 @@
-// What befalls the processes of a soak: signals, restarts and changes of the configuration, in series that
-// overlap.
+// Injects faults and planned operations into the processes of a soak test: signals, restarts and changes of
+// the list of servers, in series that overlap.
 #pragma once
 
 #include <atomic>
@@ -16,17 +16,18 @@
 namespace nettlestand::tier::soak {
 
 enum class Profile : std::uint8_t {
-  kPlanned,  // SIGTERM, SIGHUP, changes, servers that leave: nothing may be lost
-  kAll       // kills, processes that stand still, servers that are full, fail and break off too
+  kPlanned,  // SIGTERM, SIGHUP, configuration changes, draining servers: no request may be lost
+  kAll  // also killed and stopped processes, and servers that are full, return errors and break connections
 };
 
+// Tells the oracle about unplanned faults, so that it knows when a lost response is excused.
 class FaultInjector {
  public:
   FaultInjector(standins::TierWorld& world, Oracle& oracle, Profile profile, std::uint64_t seed);
 
-  // Strikes until `end`, then brings all processes and servers back.
+  // Injects faults until `end`, then restores all processes and servers.
   void run(Millis end);
-  // Sees to it that every process runs and none has ended by itself.
+  // Waits until every process runs and is ready; reports a violation if that takes too long.
   void recover();
 
   std::size_t signals() const { return signals_; }
@@ -34,13 +35,16 @@
  private:
   void inject();
   void inject_unplanned();
+  // Actions by the time at which they are due.
   using Schedule = std::multimap<Millis, std::function<void()>>;
   static void run_due(Schedule& schedule);
+  // Checks exit codes and the termination grace period, and restarts processes that have ended.
   void check_processes();
   void terminate(std::size_t node);
   void reload(std::size_t node);
   void terminate_in_series();
   void kill(std::size_t node, Millis down);
+  // SIGSTOP, then SIGCONT after `duration`.
   void pause(std::size_t node, Millis duration);
   void drain_server();
   void set_engine_mode(standins::EngineMode mode, Millis duration);
@@ -52,9 +56,9 @@
   Oracle& oracle_;
   Profile profile_;
   std::mt19937_64 random_;
-  Schedule scheduled_faults_;                  // what is still to come of series
-  Schedule scheduled_recoveries_;              // what ends a trouble
-  std::map<std::size_t, Millis> terminating_;  // nodes that were told to end, since when
+  Schedule scheduled_faults_;                  // pending faults of a series
+  Schedule scheduled_recoveries_;              // pending actions that end a fault
+  std::map<std::size_t, Millis> terminating_;  // nodes that received SIGTERM, and when
   std::size_t signals_ = 0;
 };
 
--- a/tools/soak/main.cpp
+++ b/tools/soak/main.cpp
@@ -1,5 +1,6 @@
-// Plays soaks from seeds and tells what was broken: nettlestand-soak [--from SEED] [--seeds N] [--seconds S]
-// [--core N] [--edges N] [--stores N] [--engines N] [--clients N] [--program FILE].
+// Runs soak tests and prints the violations that they find:
+// nettlestand-soak [--from SEED] [--seeds N] [--seconds S] [--core N] [--edges N] [--stores N] [--engines N]
+// [--clients N] [--program FILE]
 #include <popt.h>
 
 #include <iostream>
@@ -34,7 +35,7 @@
             << totals.requests << " requests, " << totals.served << " served, " << totals.rejected
             << " refused, " << totals.unanswered << " unanswered, " << totals.jobs << " jobs, "
             << totals.results << " results, " << report.signals << " signals, " << report.changes
-            << " changes, " << report.violations.size() << " lines of what was broken" << std::endl;
+            << " changes, " << report.violations.size() << " violations" << std::endl;
   for (const std::string& line : report.violations) std::cout << "  " << line << std::endl;
 }
 
@@ -43,15 +44,16 @@
 int main(int argc, char** argv) {
   Options options;
   const poptOption table[] = {
-      {"program", 0, POPT_ARG_STRING, &options.program, 0, "another build of the program", "FILE"},
-      {"from", 0, POPT_ARG_LONG, &options.from, 0, "the first seed", "SEED"},
-      {"seeds", 0, POPT_ARG_LONG, &options.seeds, 0, "how many", "N"},
-      {"seconds", 0, POPT_ARG_LONG, &options.seconds, 0, "of trouble in each", "S"},
-      {"core", 0, POPT_ARG_LONG, &options.core, 0, "edges that hold the control state", "N"},
-      {"edges", 0, POPT_ARG_LONG, &options.edges, 0, "other edges", "N"},
-      {"stores", 0, POPT_ARG_LONG, &options.stores, 0, "storage machines", "N"},
+      {"program", 0, POPT_ARG_STRING, &options.program, 0, "program to test instead of the one of this build",
+       "FILE"},
+      {"from", 0, POPT_ARG_LONG, &options.from, 0, "first seed", "SEED"},
+      {"seeds", 0, POPT_ARG_LONG, &options.seeds, 0, "number of seeds", "N"},
+      {"seconds", 0, POPT_ARG_LONG, &options.seconds, 0, "duration of the faults per seed", "S"},
+      {"core", 0, POPT_ARG_LONG, &options.core, 0, "edge nodes that replicate the control state", "N"},
+      {"edges", 0, POPT_ARG_LONG, &options.edges, 0, "other edge nodes", "N"},
+      {"stores", 0, POPT_ARG_LONG, &options.stores, 0, "store nodes", "N"},
       {"engines", 0, POPT_ARG_LONG, &options.engines, 0, "model servers", "N"},
-      {"clients", 0, POPT_ARG_LONG, &options.clients, 0, "of live requests", "N"},
+      {"clients", 0, POPT_ARG_LONG, &options.clients, 0, "clients of live requests", "N"},
       POPT_AUTOHELP{nullptr, 0, 0, nullptr, 0, nullptr, nullptr}};
   poptContext context = poptGetContext("nettlestand-soak", argc, const_cast<const char**>(argv), table, 0);
   const bool valid_arguments = poptGetNextOpt(context) == -1;
--- a/tools/soak/operators.cpp
+++ b/tools/soak/operators.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr Millis kInitialTimeoutMs = 20000;
-constexpr Millis kFinalTimeoutMs = 20000;   // for a change once all is calm
-constexpr Millis kChangeTimeoutMs = 60000;  // for one amid trouble, with the core lost and back
+constexpr Millis kFinalTimeoutMs = 20000;   // after all faults have ended
+constexpr Millis kChangeTimeoutMs = 60000;  // during faults, with the core lost and restored
 constexpr std::uint64_t kMaxChangeIntervalMs = 2500;
 constexpr Millis kRetryDelayMs = 50;
 constexpr int kOk = 200, kBadRequest = 400, kPreconditionFailed = 412;
@@ -35,8 +35,8 @@
          "\",\"api_keys\":[\"" + kPermanentKey + "\"" + temporary_key + "]}]}";
 }
 
-// The same order goes to one node after the other until it is taken. There is no other operator, so that it
-// may never be refused.
+// Sends the same change to one node after the other until it is accepted. There is no other operator, so it
+// must never be rejected.
 bool Operator::submit_change(Millis timeout, bool abort_when_stopping) {
   const std::uint64_t base = version_;
   version_ += version_ == 0 ? 2 : 1 + random_() % 3;
@@ -51,12 +51,13 @@
       return true;
     }
     if (status == kPreconditionFailed || status == kBadRequest) {
-      oracle_.report_violation("CONFIG: the only operator's valid change got " + std::to_string(status));
+      oracle_.report_violation("CONFIG: a valid change of the only operator was rejected with status " +
+                               std::to_string(status));
       return false;
     }
     std::this_thread::sleep_for(std::chrono::milliseconds(kRetryDelayMs));
   }
-  // Left open: what follows builds on the version that stands, which may be either.
+  // The outcome is unknown: the following changes are based on the current version, which may be either one.
   version_ = base;
   return false;
 }
@@ -68,7 +69,7 @@
     const std::uint64_t before = version_;
     has_temporary_key_ = !has_temporary_key_;
     if (!submit_change(kChangeTimeoutMs, true) && version_ == before)
-      return;  // stopped, with its outcome open
+      return;  // stopped with an unknown outcome
     std::this_thread::sleep_for(std::chrono::milliseconds(random_() % kMaxChangeIntervalMs));
   }
 }
@@ -83,13 +84,13 @@
     const std::size_t at = read.body.find(name);
     const std::uint64_t found = at == std::string::npos ? 0 : std::stoull(read.body.substr(at + name.size()));
     if (found < version_)
-      return oracle_.report_violation("LOST: an acknowledged change is not there once all is calm");
+      return oracle_.report_violation("LOST: an acknowledged change is missing after the faults have ended");
     version_ = found;
     if (!submit_change(kFinalTimeoutMs, false))
-      oracle_.report_violation("CONFIG: a change is not taken once all is calm");
+      oracle_.report_violation("CONFIG: a change is not accepted after the faults have ended");
     return;
   }
-  oracle_.report_violation("CONFIG: the configuration can't be read once all is calm");
+  oracle_.report_violation("CONFIG: the configuration can't be read after the faults have ended");
 }
 
 }  // namespace nettlestand::tier::soak
--- a/tools/soak/operators.h
+++ b/tools/soak/operators.h
@@ -1,5 +1,5 @@
-// The operator of a soak: changes the configuration all day, and sends each change until it is clear whether
-// it was taken.
+// The operator of a soak test. It changes the configuration throughout the test and retries each change until
+// its outcome is known.
 #pragma once
 
 #include <atomic>
@@ -18,15 +18,17 @@
            std::uint64_t seed)
       : world_(world), oracle_(oracle), stopping_(stopping), random_(seed) {}
 
-  // Sends the first configuration; false where it was not taken in time.
+  // Submits the first configuration. Returns false if it is not accepted in time.
   bool submit_initial_configuration();
-  // Changes it until the soak stops.
+  // Submits changes until the test stops.
   void run();
-  // One more change and a read, once all is calm.
+  // Reads the configuration and submits one more change, after all faults have ended.
   void check_final_configuration();
   std::size_t changes() const { return changes_; }
 
  private:
+  // Submits the next version. Returns false if its outcome is unknown, or if it was rejected, which is a
+  // violation.
   bool submit_change(Millis timeout, bool abort_when_stopping);
   std::string configuration_json() const;
   std::size_t random_edge() { return random_() % world_.edges(); }
--- a/tools/soak/oracle.cpp
+++ b/tools/soak/oracle.cpp
@@ -6,15 +6,17 @@
 namespace nettlestand::tier::soak {
 namespace {
 
-constexpr Millis kRecoveryMarginMs = 3000;  // after trouble a node is held to its promises again
-constexpr Millis kConnectionCloseMarginMs =
-    200;                                  // a request that crosses the close of its connection is not owed
-constexpr Millis kResponseOwedMs = 3000;  // of a request's four seconds: later its time may be up
+constexpr Millis kRecoveryMarginMs = 3000;  // after the end of a fault, until responses are owed again
+// A request that was not forwarded may have crossed the close of its connection. If it ended within this
+// time, no response is owed.
+constexpr Millis kConnectionCloseMarginMs = 200;
+// A response that is lost later than this is not owed: the deadline of a request is 4 s and may have expired.
+constexpr Millis kResponseOwedMs = 3000;
 constexpr std::size_t kMaxViolations = 20;
 constexpr int kTooManyRequests = 429, kServiceUnavailable = 503, kRequestTimeout = 408,
               kMisdirectedRequest = 421, kUnauthorized = 401;
 
-// A status that promises that the request has not run and will not.
+// Whether the status guarantees that the request has not run and will not run.
 bool promises_no_run(int status) {
   return status == kTooManyRequests || status == kServiceUnavailable || status == kRequestTimeout ||
          status == kMisdirectedRequest;
@@ -81,21 +83,21 @@
   for (std::size_t i = 0; i < items.size(); ++i) {
     if (!record.bodies.contains(items[i])) add_violation("MIXED: an item of another job: " + items[i]);
     if (texts[i] != expected_result_)
-      add_violation("MIXED: a result is not the item's whole text: " + items[i]);
+      add_violation("MIXED: a result is not the complete text of its item: " + items[i]);
     if (i < record.results.size()) {
-      if (record.results[i] != items[i]) add_violation("TWICE: a position holds another result: " + job);
+      if (record.results[i] != items[i]) add_violation("TWICE: the result at a position changed: " + job);
       continue;
     }
     const bool is_duplicate =
         std::find(record.results.begin(), record.results.end(), items[i]) != record.results.end();
-    if (is_duplicate) add_violation("TWICE: an item stands at two positions: " + items[i]);
+    if (is_duplicate) add_violation("TWICE: an item is listed at two positions: " + items[i]);
     record.results.push_back(items[i]);
   }
 }
 
 void Oracle::on_job_missing(const std::string& job) {
   const std::lock_guard lock(mutex_);
-  if (jobs_.at(job).accepted) add_violation("LOST: an accepted job is not there: " + job);
+  if (jobs_.at(job).accepted) add_violation("LOST: an accepted job is missing: " + job);
 }
 
 std::vector<SubmittedJob> Oracle::accepted_jobs() const {
@@ -115,7 +117,7 @@
   return out;
 }
 
-// ---------------------------------------------------------------- the end
+// ---------------------------------------------------------------- final checks
 
 bool Oracle::overlaps_fault(const LiveRequest& request) const {
   const auto overlaps = [&request](const FaultInterval& interval) {
@@ -127,15 +129,15 @@
          std::any_of(node_intervals->second.begin(), node_intervals->second.end(), overlaps);
 }
 
-// Only planned work around it, and a request ended without a whole answer.
+// Only planned operations happened around the request, and it ended without a complete response.
 void Oracle::check_response_owed(const LiveRequest& request, bool was_forwarded) {
   const RequestOutcome& outcome = request.outcome;
   if (outcome.response_complete || !outcome.request_sent || overlaps_fault(request)) return;
   const Millis duration_ms = outcome.ended_at - request.sent_at;
   if (duration_ms > kResponseOwedMs) return;
   if (!was_forwarded && duration_ms <= kConnectionCloseMarginMs) return;
-  add_violation("LOST: no whole answer after " + std::to_string(duration_ms) + " ms at node " +
-                std::to_string(request.node) + (was_forwarded ? ", passed on: " : ", read: ") + request.id);
+  add_violation("LOST: no complete response after " + std::to_string(duration_ms) + " ms at node " +
+                std::to_string(request.node) + (was_forwarded ? ", forwarded: " : ", read: ") + request.id);
 }
 
 void Oracle::check_live(const std::vector<standins::SeenRequest>& runs) {
@@ -145,15 +147,16 @@
     if (found == requests_.end()) continue;
     const LiveRequest& request = found->second;
     ++counts[run.id];
-    if (run.body != request.body) add_violation("UNASKED: another body: " + run.id);
-    if (run.target != request.target) add_violation("UNASKED: another path or query: " + run.id);
-    if (run.tenant != request.tenant) add_violation("UNASKED: another tenant: " + run.id);
-    if (!run.api_key.empty()) add_violation("UNASKED: the key was passed on: " + run.id);
+    if (run.body != request.body) add_violation("UNASKED: a server received the wrong body: " + run.id);
+    if (run.target != request.target)
+      add_violation("UNASKED: a server received the wrong path or query: " + run.id);
+    if (run.tenant != request.tenant) add_violation("UNASKED: a server received the wrong tenant: " + run.id);
+    if (!run.api_key.empty()) add_violation("UNASKED: the API key was forwarded: " + run.id);
   }
   for (const auto& [id, request] : requests_) {
     const std::size_t count = counts[id];
     if (!request.idempotent && count > 1) add_violation("TWICE: " + id);
-    if (count > 0 && promises_no_run(request.outcome.status)) add_violation("REFUSED, and it ran: " + id);
+    if (count > 0 && promises_no_run(request.outcome.status)) add_violation("REFUSED, but it ran: " + id);
     check_response_owed(request, count > 0);
   }
 }
@@ -167,13 +170,15 @@
     if (requests_.contains(run.id)) continue;
     const auto owner = owners.find(run.id);
     if (owner == owners.end()) {
-      add_violation("UNASKED: nobody sent " + run.id);
+      add_violation("UNASKED: no client sent " + run.id);
       continue;
     }
     const SubmittedJob& job = *owner->second;
-    if (run.body != job.bodies.at(run.id)) add_violation("UNASKED: another body: item " + run.id);
-    if (run.tenant != job.tenant) add_violation("UNASKED: another tenant: item " + run.id);
-    if (job.rejected) add_violation("REFUSED, and an item ran: " + run.id);
+    if (run.body != job.bodies.at(run.id))
+      add_violation("UNASKED: a server received the wrong body: item " + run.id);
+    if (run.tenant != job.tenant)
+      add_violation("UNASKED: a server received the wrong tenant: item " + run.id);
+    if (job.rejected) add_violation("REFUSED, but an item ran: " + run.id);
   }
 }
 
--- a/tools/soak/oracle.h
+++ b/tools/soak/oracle.h
@@ -1,5 +1,5 @@
-// What the soak's clients have sent and been told, and the promises that follow from it. Knows nothing of the
-// tier's code: it compares what clients and servers have seen.
+// Records what the clients of a soak test sent and received, and checks it against the guarantees of the
+// tier. Independent of the tier's code: it compares what clients and servers observed.
 #pragma once
 
 #include <cstdint>
@@ -15,12 +15,13 @@
 
 // How a request of a client ended.
 struct RequestOutcome {
-  int status = 0;                  // 0: no whole head came
-  bool response_complete = false;  // the answer was whole
+  int status = 0;                  // 0: no complete response head was received
+  bool response_complete = false;  // the response was complete
   bool request_sent = false;       // the last byte of the request was written
   Millis ended_at = 0;
 };
 
+// A live (interactive) request and its outcome.
 struct LiveRequest {
   std::string id, target, body, tenant;
   bool idempotent = false;
@@ -29,21 +30,23 @@
   RequestOutcome outcome;
 };
 
-// A job as its client knows it.
+// A job as its client knows it. `rejected`: all attempts to submit it were rejected.
 struct SubmittedJob {
   std::string id, tenant;
-  std::map<std::string, std::string> bodies;  // of the items, by id
+  std::map<std::string, std::string> bodies;  // by item id
   bool accepted = false, rejected = false, end_requested = false;
-  std::vector<std::string> results;  // items by position, as read
+  std::vector<std::string> results;  // item ids by position, as read
 };
 
+// Thread-safe. Most violations start with a kind: MIXED, TWICE, UNASKED, REFUSED, LOST, ORDER, CONFIG or
+// RECOVER.
 class Oracle {
  public:
   void on_sent(const LiveRequest& request);
   void on_outcome(const std::string& id, const RequestOutcome& outcome);
-  // Unplanned trouble on a node: what it loses between the times is not owed.
+  // An unplanned fault of a node: responses that the node loses in this interval are excused.
   void on_node_fault(std::size_t node, Millis from, Millis until);
-  // Servers that break off, also: nothing that is lost then is owed by the tier.
+  // A fault of the servers: all responses that are lost in this interval are excused.
   void on_global_fault(Millis from, Millis until);
 
   void on_job(const SubmittedJob& job);
@@ -53,12 +56,13 @@
   void on_result_page(const std::string& job, const std::vector<std::string>& items,
                       const std::vector<std::string>& texts);
   void on_job_missing(const std::string& job);
-  // Accepted, not ended, and without all results.
+  // Jobs that were accepted, not ended, and lack results.
   std::vector<SubmittedJob> unfinished_jobs() const;
   std::vector<SubmittedJob> accepted_jobs() const;
 
   void report_violation(const std::string& what);
-  // Compares all with what servers have run; `whole_text`: of an item that is completed.
+  // Compares all records with the requests that the servers received. The expected result is the text of a
+  // completed item.
   void check(const std::vector<standins::SeenRequest>& runs);
   void set_expected_result(std::string text) { expected_result_ = std::move(text); }
 
@@ -74,9 +78,12 @@
     Millis from = 0, until = 0;
   };
   void check_live(const std::vector<standins::SeenRequest>& runs);
+  // Reports a request that ended without a complete response although no fault excuses it.
   void check_response_owed(const LiveRequest& request, bool was_forwarded);
   void check_items(const std::vector<standins::SeenRequest>& runs);
+  // Whether an unplanned fault may have affected the request.
   bool overlaps_fault(const LiveRequest& request) const;
+  // Like report_violation(), for callers that hold the lock.
   void add_violation(const std::string& what);
 
   mutable std::mutex mutex_;
--- a/tools/soak/soak.cpp
+++ b/tools/soak/soak.cpp
@@ -10,8 +10,10 @@
 namespace nettlestand::tier::soak {
 namespace {
 
+// For the start of the tier, and for the jobs to finish after the faults.
 constexpr int kReadyTimeoutMs = 60000;
 constexpr Millis kJobsTimeoutMs = 40000;
+// Between two events of a response.
 constexpr int kEventIntervalMs = 2;
 constexpr Millis kMillisPerSecond = 1000;
 
@@ -35,6 +37,7 @@
   });
 }
 
+// The requests that all servers received.
 std::vector<standins::SeenRequest> recorded_runs(standins::TierWorld& world) {
   std::vector<standins::SeenRequest> out;
   for (std::size_t i = 0; i < world.engines(); ++i) {
@@ -44,6 +47,7 @@
   return out;
 }
 
+// The text of a completed item.
 std::string expected_result() {
   std::string out;
   for (int i = 1; i <= standins::Engine::kUsualEvents; ++i) {
@@ -66,7 +70,7 @@
   std::atomic<bool> stopping{false};
   Operator config_operator(world, oracle, stopping, options.seed);
   if (!config_operator.submit_initial_configuration() || !all_ready(world)) {
-    report.violations.push_back("the tier did not start; logs: " + world.keep_logs());
+    report.violations.push_back("the tier did not become ready; logs: " + world.keep_logs());
     return report;
   }
   const ClientContext context{world, oracle, stopping};
@@ -87,7 +91,7 @@
   config_operator.check_final_configuration();
   if (!JobClient(context, client_number, options.seed).finish(kJobsTimeoutMs)) {
     const std::vector<SubmittedJob> unfinished = oracle.unfinished_jobs();
-    if (!unfinished.empty()) oracle.report_violation("LOST: a job is never done: " + unfinished.front().id);
+    if (!unfinished.empty()) oracle.report_violation("LOST: a job does not finish: " + unfinished.front().id);
   }
   const std::vector<standins::SeenRequest> runs = recorded_runs(world);
   oracle.check(runs);
--- a/tools/soak/soak.h
+++ b/tools/soak/soak.h
@@ -1,6 +1,6 @@
-// A soak: real processes of the program on loopback, clients that use open connections until the process is
-// gone, and signals, restarts and changes that come in series and overlap. From a seed; what the scheduler of
-// the machine does between the processes is not repeated.
+// A soak test: real processes of the program on loopback, clients that keep their connections until the
+// process closes them, and overlapping series of signals, restarts and configuration changes. The seed
+// determines the faults and the requests, but not how the operating system schedules the processes.
 #pragma once
 
 #include <cstdint>
@@ -15,18 +15,20 @@
 struct SoakOptions {
   std::string program;
   std::uint64_t seed = 1;
-  int seconds = 30;  // of trouble
+  int seconds = 30;  // duration of the faults
   std::size_t core = 3, edges = 2, stores = 3, engines = 4, clients = 12, job_clients = 3;
 };
 
+// `runs`: number of requests that the servers received.
 struct SoakReport {
   std::vector<std::string> violations;
   Oracle::Totals totals;
   std::size_t signals = 0, changes = 0, runs = 0;
 };
 
-// Even seeds play planned work alone, odd ones all kinds of trouble.
+// Even seeds inject only planned operations, odd seeds all kinds of faults.
 Profile profile_of(std::uint64_t seed);
+// Runs a soak test. The logs of the processes are kept if a guarantee was violated.
 SoakReport run_soak(const SoakOptions& options);
 
 }  // namespace nettlestand::tier::soak
