--- a/bench/decisions.cpp
+++ b/bench/decisions.cpp
@@ -1,4 +1,5 @@
-// What a decision costs: one request with its outcome, and one change in the list, by servers and copies.
+// Benchmarks of the load balancer: one request with its outcome, and one change of the server list, by the
+// number of servers and balancers.
 #include <benchmark/benchmark.h>
 
 #include <string>
@@ -33,6 +34,7 @@
   return out;
 }
 
+// A balancer with `servers` servers, warmed up by 20,000 requests.
 struct Fleet {
   Fleet(std::size_t servers, int copies) : balancer(settings(copies), 1) {
     qu::MembershipUpdate all;
@@ -41,7 +43,7 @@
     for (int i = 0; i < 20000; ++i) request();
   }
 
-  // 16 calls are out at a time; each answer takes 1 ms.
+  // Handles one request. 16 requests are in flight at a time; each response takes 1 ms.
   void request() {
     now += 0.00006;
     qu::Request r;
@@ -73,6 +75,7 @@
   for (auto _ : state) fleet.request();
 }
 
+// Removes a server or adds it again.
 void server_list_change(benchmark::State& state) {
   const auto servers = static_cast<std::size_t>(state.range(0));
   Fleet fleet(servers, static_cast<int>(state.range(1)));
--- a/bench/duties.cpp
+++ b/bench/duties.cpp
@@ -1,7 +1,8 @@
-// What duties cost, and how long they are without a holder: docs/measurements/duties.md.
+// Measures what duties cost, and how long a duty has no holder after a fault. The results are in
+// docs/measurements/duties.md.
 //     nettlestand_duties_bench PART [RUNS, or clients]
-// PART: gaps (simulated time, settings as shipped), processes (the same on processes, a lease of 1 s), rest,
-// grants, log, service.
+// PART: gaps (in simulated time, with the default settings), processes (the same with real processes and a
+// lease of 1 s), rest (idle cost), grants, log, service.
 #include <sys/resource.h>
 
 #include <algorithm>
@@ -33,6 +34,7 @@
 using duties::testing::Cluster;
 using duties::testing::ClusterSettings;
 
+// Prints the number of values, the median, p99, minimum and maximum.
 void print_quantiles(const std::string& name, std::vector<double> values, const char* unit) {
   std::sort(values.begin(), values.end());
   const auto at = [&](double part) {
@@ -44,9 +46,9 @@
   std::fflush(stdout);
 }
 
-// ------------------------------------------------------------ without a holder, simulated
+// ------------------------------------------------------------ time without a holder, simulated
 
-// s from what happens to the holder until another one holds the duty.
+// Seconds from a fault of the holder until another node holds the duty; -1 if the run is not usable.
 double measure_gap(std::uint64_t seed, const std::function<void(Cluster&, std::size_t)>& inject_fault,
                    double lease) {
   ClusterSettings s;
@@ -107,7 +109,7 @@
   }
 }
 
-// ------------------------------------------------------------ on processes
+// ------------------------------------------------------------ time without a holder, with processes
 
 void measure_process_gaps(int runs) {
   using namespace standins;
@@ -169,6 +171,7 @@
 
 // ------------------------------------------------------------ voters in this process
 
+// A cluster of voters in this process, on loopback, with their data in a temporary directory.
 struct VoterCluster {
   explicit VoterCluster(std::size_t count, unsigned election_ms = 1000, unsigned heartbeat_ms = 100) {
     std::string name = "/tmp/nettlestand_bench_XXXXXX";
@@ -236,6 +239,7 @@
   std::vector<std::unique_ptr<duties::VoterService>> services;
 };
 
+// CPU time of a process, or of threads of this process.
 double cpu_seconds(pid_t pid, const std::vector<pid_t>& threads = {}) {
   double out = 0;
   if (threads.empty()) {
@@ -261,6 +265,7 @@
   return out;
 }
 
+// CPU and traffic of voters and clients that hold or wait for one duty.
 void measure_idle_cost(std::size_t clients) {
   const auto before = threads_of_this_process();
   VoterCluster v(5);
@@ -295,6 +300,7 @@
   all.clear();
 }
 
+// How many new duties are granted per second.
 void measure_grant_rate(int runs) {
   std::vector<double> all;
   for (int run = 0; run < runs; ++run) {
@@ -316,6 +322,7 @@
   print_quantiles("1,000 duties defined, granted and confirmed, 3 voters", all, "duties/s");
 }
 
+// Size of the stored log after a million changes, and the time to start on it again.
 void measure_log_growth() {
   std::string folder = "/tmp/nettlestand_log_XXXXXX";
   if (mkdtemp(folder.data()) == nullptr) return;
@@ -374,6 +381,7 @@
   std::filesystem::remove_all(folder, ignored);
 }
 
+// Success rate and p99 of requests with duties and reports enabled and disabled, alternating.
 void measure_service_impact(int runs) {
   using namespace standins;
   using namespace standins::testing;
--- a/bench/fleet_faults.cpp
+++ b/bench/fleet_faults.cpp
@@ -1,5 +1,6 @@
-// How soon a server that fails is left out, and one that is back has its share: one of ten servers is faulty
-// for 10 s, before one copy and before ten. Prints a line a fault; simulated time, so the same each time.
+// Measures how soon a failing server is ejected, and how soon a recovered one gets its share of the load
+// again. One of ten servers is faulty for 10 s, with one balancer and with ten. Prints a line per fault. Runs
+// in simulated time, so the results are reproducible.
 #include <algorithm>
 #include <cstdio>
 #include <vector>
@@ -13,13 +14,15 @@
 
 constexpr double kFaultStart = 10, kFaultEnd = 20, kEnd = 40;
 
+// Attempts per second between two times; `at` is sorted.
 double rate(const std::vector<double>& at, double from, double until) {
   return static_cast<double>(std::lower_bound(at.begin(), at.end(), until) -
                              std::lower_bound(at.begin(), at.end(), from)) /
          (until - from);
 }
 
-// The first time from which on the rate over `window` s holds what is wanted, until `limit`.
+// Seconds from `from` until the rate over `window` s first satisfies `condition`; -1 if it does not until
+// `limit`.
 template <class Condition>
 double first_time(const std::vector<double>& at, double from, double limit, double window,
                   Condition&& condition) {
@@ -44,9 +47,9 @@
                                    {"answers errors", fleet::FaultKind::kError, 1},
                                    {"ten times slower", fleet::FaultKind::kSlow, 10}};
   std::printf(
-      "| fault | copies | effect | attempts that met it in the first second, later a second | under a tenth "
-      "of its "
-      "share after s | half its share again after s | most in a second after, of its share | served |\n"
+      "| fault | balancers | effect | attempts/s at the faulty server in the first second, then | "
+      "below a tenth of its share after s | recovered to half its share after s | "
+      "highest share in a second after recovery | served |\n"
       "| --- | --- | --- | --- | --- | --- | --- | --- |\n");
   for (const FaultCase& fault_case : fault_cases) {
     for (const std::size_t copies : {1U, 10U}) {
@@ -57,7 +60,7 @@
         spec.aim = 0.5;
         spec.give_up = 1.5;
         spec.effect = effect;
-        for (int i = 0; i < 4; ++i) spec.tenants.push_back({500, 250});  // half of capacity
+        for (int i = 0; i < 4; ++i) spec.tenants.push_back({500, 250});  // half of the capacity
         spec.seconds = kEnd;
         spec.keep_times = true;
         spec.faults = {{kFaultStart, kFaultEnd, 0, 1, fault_case.kind, fault_case.factor}};
--- a/bench/fleet_grid.cpp
+++ b/bench/fleet_grid.cpp
@@ -1,4 +1,5 @@
-// Plays the grid and prints a line a cell, SHORT before those that fall short; --quiet prints these alone.
+// Runs the cells of the grid and prints a line per cell, marked with SHORT if the cell misses its target;
+// with --quiet only those.
 //   fleet_grid [--load L] [--calls N] [--per-copy N] [--seed N] [--policy module|plain|bounded] [--bound N]
 //              [--only TEXT] [--threads N] [--fixed | --uniform] [--even] [--quiet]
 #include <atomic>
--- a/bench/item_schedule.cpp
+++ b/bench/item_schedule.cpp
@@ -1,4 +1,5 @@
-// What a round of the item schedule costs, by open jobs: none has room, or each item runs already.
+// Benchmark of one round of the item schedule, by the number of open jobs: no item has capacity, or every
+// item runs already.
 #include "batch/item_schedule.h"
 
 #include <benchmark/benchmark.h>
@@ -16,6 +17,7 @@
 constexpr std::size_t kTenantCount = 8;
 constexpr Millis kTickIntervalMs = 40;
 
+// An item host whose runs never end.
 class BenchmarkItemHost : public ItemHost {
  public:
   bool has_free_capacity = false;
@@ -52,7 +54,7 @@
   }
 }
 
-// `room`: all items are started before the measurement.
+// `has_free_capacity`: all items are started before the measurement.
 void pump(benchmark::State& state, bool has_free_capacity) {
   JobTable table;
   add_jobs(table, static_cast<std::size_t>(state.range(0)));
--- a/bench/lab_costs.cpp
+++ b/bench/lab_costs.cpp
@@ -1,5 +1,5 @@
-// What links and worlds cost: a relayed connection beside a direct one, in turn; worlds of 3, 12 and 50
-// nodes.
+// Measures the cost of the test harness: connections through a simulated link compared to direct ones,
+// alternating, and worlds of 3, 12 and 50 nodes.
 //   nettlestand_lab_costs NODE
 #include <sys/resource.h>
 
@@ -21,6 +21,7 @@
          static_cast<double>(usage.ru_utime.tv_usec + usage.ru_stime.tv_usec) * 1e-6;
 }
 
+// p50 and p99 in us.
 struct LoadMeasurement {
   double per_s = 0, p50 = 0, p99 = 0;
 };
@@ -37,6 +38,7 @@
           1e6 * r.all.latency.quantile(0.99)};
 }
 
+// Formats the median, the minimum and the maximum.
 std::string median_and_range(std::vector<double> values) {
   std::sort(values.begin(), values.end());
   char out[80];
@@ -47,7 +49,7 @@
 
 void measure_link_cost() {
   std::puts(
-      "| callers, bytes | direct calls/s | through a link, of that | added p50 us | added p99 us |\n"
+      "| callers, bytes | direct calls/s | share of that through a link | added p50 us | added p99 us |\n"
       "| --- | --- | --- | --- | --- |");
   for (const auto& [callers, bytes] :
        {std::pair<std::size_t, std::size_t>{1, 100}, {16, 100}, {64, 100}, {16, 20000}}) {
--- a/bench/peers.cpp
+++ b/bench/peers.cpp
@@ -1,10 +1,11 @@
-// Membership in the emulator, beside heartbeats from all to all, plain SWIM and SWIM with Lifeguard, on the
-// same seeds in one run: how soon a death is known, how often the living are accused, what it costs, how long
-// a fleet takes to know itself. Datagrams are encoded and sealed as on a wire.
+// Compares membership protocols in the emulator on the same seeds: heartbeats between all nodes, plain SWIM,
+// SWIM with Lifeguard, and the default protocol. Measures how soon a death is known, how often live nodes are
+// suspected, the cost, and how long it takes until all nodes know each other. Datagrams are encoded and
+// sealed as on the wire.
 //   nettlestand_peers_bench deaths NODES LOSS SEEDS DEATHS
-//   nettlestand_peers_bench accusations TROUBLE NODES MINUTES SEEDS [shipped]    loss:0.25, pauses, one-sided
-//   nettlestand_peers_bench joining NODES LOSS SEEDS [listed]          listed: each knows all addresses
-//   nettlestand_peers_bench costs NODES SECONDS                        with all known from the start
+//   nettlestand_peers_bench accusations FAULT NODES MINUTES SEEDS [shipped]      loss:0.25, pauses, one-sided
+//   nettlestand_peers_bench joining NODES LOSS SEEDS [listed]          listed: each node knows all addresses
+//   nettlestand_peers_bench costs NODES SECONDS                        the nodes start with a full list
 #include <sys/resource.h>
 
 #include <algorithm>
@@ -29,7 +30,8 @@
 using namespace nettlestand::peers;
 using peers::testing::Fleet;
 
-// Each tells all others every second that it is there; who was not heard for five is dead. Names are known.
+// Baseline protocol: each node sends a heartbeat to all others every second, and declares a node dead after
+// 5 s without one. All names are known from the start.
 struct HeartbeatNode final : emulator::Actor {
   HeartbeatNode(std::size_t count, std::vector<peers::testing::RecordedChange>* changes)
       : last_heard(count, 0), dead(count), changes(changes) {}
@@ -42,7 +44,7 @@
     dead[from] = 0;
   }
   void timer(emulator::Context& c, std::uint64_t) override {
-    const std::string heartbeat(66, 'b');  // as long as a ping
+    const std::string heartbeat(66, 'b');  // as long as a ping of SWIM
     for (emulator::ActorId i = 0; i < last_heard.size(); ++i) {
       if (i == c.self()) continue;
       c.send(i, heartbeat);
@@ -65,6 +67,7 @@
   std::uint64_t declared_dead = 0;
 };
 
+// kShipped is the default protocol.
 enum class ProtocolVariant { kHeartbeats, kSwim, kLifeguard, kShipped };
 constexpr ProtocolVariant kAllVariants[] = {ProtocolVariant::kHeartbeats, ProtocolVariant::kSwim,
                                             ProtocolVariant::kLifeguard, ProtocolVariant::kShipped};
@@ -91,7 +94,7 @@
 
 double quantile(std::vector<double> all, double part) { return lab::quantile(all, part); }
 
-// One run for each kind and seed, a core each; `f` fills a place of its own.
+// Calls `f` once for each kind and seed, on all cores. Each call writes to a result of its own.
 void run_in_parallel(int kinds, int seeds, const std::function<void(int kind, int seed)>& f) {
   std::atomic<int> next = 0;
   std::vector<std::thread> threads;
@@ -104,7 +107,7 @@
   for (std::thread& t : threads) t.join();
 }
 
-// A fleet that knows itself, of any kind.
+// A fleet in which all nodes know each other from the start.
 std::unique_ptr<Fleet> make_joined_fleet(ProtocolVariant kind, std::size_t nodes, double loss,
                                          std::uint64_t seed) {
   auto fleet = std::make_unique<Fleet>(0, seed, settings(kind));
@@ -131,12 +134,14 @@
   return fleet;
 }
 
+// Sum of a traffic counter over all nodes.
 std::uint64_t total_traffic(Fleet& fleet, std::uint64_t emulator::Traffic::*counter) {
   std::uint64_t out = 0;
   for (emulator::ActorId i = 0; i < fleet.sim.size(); ++i) out += fleet.sim.traffic(i).*counter;
   return out;
 }
 
+// Kills nodes one by one and measures when the first node and when all nodes know of the death.
 void measure_deaths(std::size_t nodes, double loss, int seeds, int rounds) {
   struct SeedResult {
     std::vector<double> first, all;
@@ -146,7 +151,7 @@
   std::vector<std::vector<SeedResult>> results(4, std::vector<SeedResult>(static_cast<std::size_t>(seeds)));
   run_in_parallel(4, seeds, [&](int k, int seed) {
     if (kAllVariants[k] == ProtocolVariant::kHeartbeats && nodes > 300)
-      return;  // as many datagrams a second as nodes squared
+      return;  // the number of datagrams grows with the square of the nodes
     SeedResult& s = results[static_cast<std::size_t>(k)][static_cast<std::size_t>(seed)];
     const auto fleet =
         make_joined_fleet(kAllVariants[k], nodes, loss, static_cast<std::uint64_t>(seed) * 31 + 5);
@@ -205,7 +210,8 @@
   }
 }
 
-// An accusation or a death is false where its member ran, and had run for the second before.
+// Counts false suspicions and false deaths. They are false if the member was running and had been for the
+// last second.
 void measure_suspicions(const std::string& fault, std::size_t nodes, double minutes, int seeds,
                         bool shipped_only) {
   const double loss = fault.rfind("loss:", 0) == 0 ? std::atof(fault.c_str() + 5) : 0;
@@ -227,7 +233,7 @@
       cut.cut = true;
       for (std::size_t i = 0; i < nodes * 3 / 2; ++i) fleet->sim.set_way(random_node(), random_node(), cut);
     }
-    std::vector<double> paused_until(nodes, -10);  // until when; infinite while it stands
+    std::vector<double> paused_until(nodes, -10);  // end of the last pause; infinite during a pause
     std::unordered_map<MemberKey, emulator::ActorId> actor_of;
     for (emulator::ActorId i = 0; i < nodes; ++i) actor_of[member_key(Fleet::name(i))] = i;
     const auto count_changes = [&] {
@@ -244,7 +250,7 @@
     const std::uint64_t bytes = total_traffic(*fleet, &emulator::Traffic::bytes_sent);
     const double from = fleet->sim.now(), until = from + minutes * 60;
     while (fleet->sim.now() < until) {
-      if (fault == "pauses") {  // a tenth stands for 5 s, by chance
+      if (fault == "pauses") {  // a random tenth of the nodes is paused for 5 s
         std::vector<emulator::ActorId> paused;
         for (std::size_t i = 0; i < std::max<std::size_t>(1, nodes / 10); ++i)
           paused.push_back(random_node());
@@ -273,14 +279,14 @@
   });
   for (int k = 0; k < 4; ++k) {
     if (shipped_only && kAllVariants[k] != ProtocolVariant::kShipped) continue;
-    std::vector<double> accused, dead, of_paused, bytes;
+    std::vector<double> suspicions, dead, of_paused, bytes;
     for (const SeedResult& s : results[static_cast<std::size_t>(k)]) {
-      accused.push_back(s.false_suspicions);
+      suspicions.push_back(s.false_suspicions);
       dead.push_back(s.dead);
       of_paused.push_back(s.of_paused);
       bytes.push_back(s.bytes);
     }
-    const lab::Estimate a = lab::estimate(accused), d = lab::estimate(dead), st = lab::estimate(of_paused),
+    const lab::Estimate a = lab::estimate(suspicions), d = lab::estimate(dead), st = lab::estimate(of_paused),
                         b = lab::estimate(bytes);
     std::printf("| %s | %zu | %s | %.0f | %.2f ± %.2f | %.3f ± %.3f | %.0f ± %.0f | %.0f ± %.0f |\n",
                 fault.c_str(), nodes, name_of(kAllVariants[k]),
@@ -289,13 +295,14 @@
   }
 }
 
+// Time until all nodes know each other, and the traffic until then.
 void measure_joining(std::size_t nodes, double loss, int seeds, bool listed) {
   std::vector<std::vector<double>> took(4), bytes(4);
   for (auto* v : {&took, &bytes}) {
     for (auto& one : *v) one.resize(static_cast<std::size_t>(seeds));
   }
   run_in_parallel(3, seeds, [&](int k, int seed) {
-    ++k;  // heartbeats know everybody
+    ++k;  // skips heartbeats, which need no joining
     Fleet fleet(nodes, static_cast<std::uint64_t>(seed) * 13 + 3, settings(kAllVariants[k]),
                 listed ? nodes : 3);
     fleet.record = false;
@@ -319,6 +326,7 @@
   }
 }
 
+// CPU time of this process.
 double cpu_seconds() {
   rusage used{};
   getrusage(RUSAGE_SELF, &used);
@@ -326,6 +334,7 @@
          static_cast<double>(used.ru_utime.tv_usec + used.ru_stime.tv_usec) * 1e-6;
 }
 
+// Traffic and CPU time of a fleet without faults.
 void measure_costs(std::size_t nodes, double seconds) {
   for (const ProtocolVariant kind : kAllVariants) {
     if (kind == ProtocolVariant::kHeartbeats && nodes > 1000) continue;
@@ -361,9 +370,9 @@
                    static_cast<int>(number(5, 25)));
   } else if (command == "accusations") {
     std::puts(
-        "| trouble | nodes | kind | node-hours | false accusations a node-hour | living declared dead a "
+        "| fault | nodes | kind | node-hours | false suspicions/node-hour | live nodes declared dead/"
         "node-hour | "
-        "both, of those that stood | bytes/s a node |\n| --- | --- | --- | --- | --- | --- | --- | --- |");
+        "both, of paused nodes | bytes/s per node |\n| --- | --- | --- | --- | --- | --- | --- | --- |");
     measure_suspicions(argc > 2 ? argv[2] : "loss:0", count(3, 40), number(4, 15),
                        static_cast<int>(number(5, 6)), argc > 6);
   } else if (command == "joining") {
--- a/bench/peers_processes.cpp
+++ b/bench/peers_processes.cpp
@@ -1,5 +1,5 @@
-// Membership by processes at its shipped times: how soon a killed node is known to be dead, and what a node
-// costs at rest.
+// Measures the membership protocol with real processes and default timings: how soon the death of a killed
+// node is known, and what an idle node costs.
 //   nettlestand_peers_processes NODE NODES DEATHS [REST_S]
 #include <algorithm>
 #include <cmath>
--- a/bench/reading.cpp
+++ b/bench/reading.cpp
@@ -1,4 +1,5 @@
-// What it costs to read a request as every front does: bytes in, a call for the core out.
+// Benchmark of reading a request as the HTTP servers of a node do: from received bytes to a call, by the
+// number of additional headers.
 #include <benchmark/benchmark.h>
 
 #include "http/request_reader.h"
