--- a/bench/decisions.cpp
+++ b/bench/decisions.cpp
@@ -11,9 +11,9 @@
 
 namespace qu = quinceusher;
 
-qu::Settings settings(int copies) {
+qu::Settings settings(int balancers) {
   qu::Settings s;
-  s.copy_count = copies;
+  s.copy_count = balancers;
   s.max_attempts = 5;
   s.can_cancel = true;
   s.max_retry_after = 2;
@@ -36,7 +36,7 @@
 
 // A balancer with `servers` servers, warmed up by 20,000 requests.
 struct Fleet {
-  Fleet(std::size_t servers, int copies) : balancer(settings(copies), 1) {
+  Fleet(std::size_t servers, int balancers) : balancer(settings(balancers), 1) {
     qu::MembershipUpdate all;
     for (std::size_t i = 0; i < servers; ++i) all.servers.push_back(server(i));
     balancer.handle(now, all, actions);
@@ -91,8 +91,8 @@
 }
 
 void sizes(benchmark::internal::Benchmark* b) {
-  for (const int copies : {1, 100}) {
-    for (const int servers : {10, 100, 1000, 10000, 100000}) b->Args({servers, copies});
+  for (const int balancers : {1, 100}) {
+    for (const int servers : {10, 100, 1000, 10000, 100000}) b->Args({servers, balancers});
   }
 }
 
--- a/bench/duties.cpp
+++ b/bench/duties.cpp
@@ -51,59 +51,64 @@
 // Seconds from a fault of the holder until another node holds the duty; -1 if the run is not usable.
 double measure_gap(std::uint64_t seed, const std::function<void(Cluster&, std::size_t)>& inject_fault,
                    double lease) {
-  ClusterSettings s;
-  s.voters = 5;
-  s.nodes = 10;
-  s.duties = {{"d0", lease, {}, {}, {}}};
-  s.default_timeouts = true;
-  Cluster c(s, seed);
-  if (!c.start()) return -1;
-  for (int i = 0; i < 1000 && !c.all_held(); ++i) c.run(0.02);
-  c.run(2 + 0.037 * static_cast<double>(seed % 100));
-  const auto holder = c.holder("d0");
+  ClusterSettings settings;
+  settings.voters = 5;
+  settings.nodes = 10;
+  settings.duties = {{"d0", lease, {}, {}, {}}};
+  settings.default_timeouts = true;
+  Cluster cluster(settings, seed);
+  if (!cluster.start()) return -1;
+  for (int i = 0; i < 1000 && !cluster.all_held(); ++i) cluster.run(0.02);
+  cluster.run(2 + 0.037 * static_cast<double>(seed % 100));
+  const auto holder = cluster.holder("d0");
   if (!holder) return -1;
-  inject_fault(c, *holder);
-  const double from = c.sim.now();
+  inject_fault(cluster, *holder);
+  const double from = cluster.sim.now();
   for (int i = 0; i < 6000; ++i) {
-    c.run(0.005);
-    const auto new_holder = c.holder("d0");
-    if (new_holder && *new_holder != *holder) return c.sim.now() - from;
+    cluster.run(0.005);
+    const auto new_holder = cluster.holder("d0");
+    if (new_holder && *new_holder != *holder) return cluster.sim.now() - from;
   }
   return -1;
 }
 
 void measure_gaps(int runs) {
   using emulator::ActorId;
-  const auto actor = [](Cluster& c, std::size_t n) { return static_cast<ActorId>(c.settings.voters + n); };
-  const auto cut = [actor](Cluster& c, std::size_t n, bool out, bool in) {
+  const auto actor = [](Cluster& cluster, std::size_t holder) {
+    return static_cast<ActorId>(cluster.settings.voters + holder);
+  };
+  const auto cut = [actor](Cluster& cluster, std::size_t holder, bool out, bool in) {
     standins::WayFaults way;
     way.cut = true;
-    for (ActorId o = 0; o < c.sim.size(); ++o) {
-      if (o == actor(c, n)) continue;
-      if (out) c.sim.set_way(actor(c, n), o, way);
-      if (in) c.sim.set_way(o, actor(c, n), way);
+    for (ActorId other = 0; other < cluster.sim.size(); ++other) {
+      if (other == actor(cluster, holder)) continue;
+      if (out) cluster.sim.set_way(actor(cluster, holder), other, way);
+      if (in) cluster.sim.set_way(other, actor(cluster, holder), way);
     }
   };
   const std::vector<std::pair<const char*, std::function<void(Cluster&, std::size_t)>>> faults = {
       {"handed over (SIGTERM)",
-       [](Cluster& c, std::size_t n) {
-         auto* node = c.node(n);
-         node->client.release_all(node->local_time(c.sim.now()), node->actions);
+       [](Cluster& cluster, std::size_t holder) {
+         auto* node = cluster.node(holder);
+         node->client.release_all(node->local_time(cluster.sim.now()), node->actions);
        }},
-      {"killed", [actor](Cluster& c, std::size_t n) { c.sim.kill(actor(c, n)); }},
-      {"stopped", [actor](Cluster& c, std::size_t n) { c.sim.pause(actor(c, n)); }},
-      {"cut off fully", [cut](Cluster& c, std::size_t n) { cut(c, n, true, true); }},
-      {"can send, not receive", [cut](Cluster& c, std::size_t n) { cut(c, n, false, true); }},
-      {"can receive, not send", [cut](Cluster& c, std::size_t n) { cut(c, n, true, false); }},
-      {"killed with the leader", [actor](Cluster& c, std::size_t n) {
-         c.sim.kill(static_cast<ActorId>(c.leader()->index));
-         c.sim.kill(actor(c, n));
+      {"killed", [actor](Cluster& cluster, std::size_t holder) { cluster.sim.kill(actor(cluster, holder)); }},
+      {"stopped",
+       [actor](Cluster& cluster, std::size_t holder) { cluster.sim.pause(actor(cluster, holder)); }},
+      {"cut off fully", [cut](Cluster& cluster, std::size_t holder) { cut(cluster, holder, true, true); }},
+      {"can send, not receive",
+       [cut](Cluster& cluster, std::size_t holder) { cut(cluster, holder, false, true); }},
+      {"can receive, not send",
+       [cut](Cluster& cluster, std::size_t holder) { cut(cluster, holder, true, false); }},
+      {"killed with the leader", [actor](Cluster& cluster, std::size_t holder) {
+         cluster.sim.kill(static_cast<ActorId>(cluster.leader()->index));
+         cluster.sim.kill(actor(cluster, holder));
        }}};
   for (const auto& [name, inject_fault] : faults) {
     std::vector<double> all;
     for (int i = 0; i < runs; ++i) {
-      const double s = measure_gap(static_cast<std::uint64_t>(i) + 1, inject_fault, 5);
-      if (s >= 0) all.push_back(s);
+      const double seconds = measure_gap(static_cast<std::uint64_t>(i) + 1, inject_fault, 5);
+      if (seconds >= 0) all.push_back(seconds);
     }
     print_quantiles(std::string("lease 5 s, election 1 s: ") + name, all, "s");
   }
@@ -118,55 +123,58 @@
                            const std::function<void(ProcessWorld&, std::size_t, std::size_t)>& inject_fault) {
     std::vector<double> all;
     for (int run = 0; run < runs; ++run) {
-      DutiesSetup d(6, 5, 1);
-      ProcessWorld w(d.settings);
-      w.start();
-      add_voters(w, 5);
-      if (!ProcessWorld::until([&] { return read_effects(d).size() > 5; })) continue;
+      DutiesSetup setup(6, 5, 1);
+      ProcessWorld world(setup.settings);
+      world.start();
+      add_voters(world, 5);
+      if (!ProcessWorld::until([&] { return read_effects(setup).size() > 5; })) continue;
       std::size_t holder = 6;
       for (std::size_t i = 0; i < 6; ++i) {
-        if (held_tokens(w, i).contains("d0")) holder = i;
+        if (held_tokens(world, i).contains("d0")) holder = i;
       }
       if (holder == 6) continue;
       const std::string leader =
-          quinceusher::json::parse(run_control_command(w, holder, "duties voters"))["leader"].GetString();
-      const std::uint64_t token = read_effects(d).back().token;
+          quinceusher::json::parse(run_control_command(world, holder, "duties voters"))["leader"].GetString();
+      const std::uint64_t token = read_effects(setup).back().token;
       const double from = nettlestand::now();
-      inject_fault(w, holder, leader.empty() ? 0 : std::stoul(leader.substr(1)));
+      inject_fault(world, holder, leader.empty() ? 0 : std::stoul(leader.substr(1)));
       double until = 0;
       ProcessWorld::until([&] {
-        for (const EffectRecord& e : read_effects(d)) {
-          if (e.token > token) {
-            until = e.at;
+        for (const EffectRecord& effect : read_effects(setup)) {
+          if (effect.token > token) {
+            until = effect.at;
             return true;
           }
         }
         return false;
       });
-      if (until > 0 && !w.starvation().is_void) all.push_back(until - from);
+      if (until > 0 && !world.starvation().is_void) all.push_back(until - from);
     }
     print_quantiles(std::string("lease 1 s, election 0.3 s: ") + name, all, "s");
   };
   measure("handed over (SIGTERM)",
-          [](ProcessWorld& w, std::size_t h, std::size_t) { w.node(h).signal(SIGTERM); });
-  measure("killed", [](ProcessWorld& w, std::size_t h, std::size_t) { w.node(h).signal(SIGKILL); });
-  measure("stopped", [](ProcessWorld& w, std::size_t h, std::size_t) { w.node(h).pause(); });
-  measure("killed with the leader", [](ProcessWorld& w, std::size_t h, std::size_t l) {
-    w.node(h).signal(SIGKILL);
-    if (l != h) w.node(l).signal(SIGKILL);
+          [](ProcessWorld& world, std::size_t holder, std::size_t) { world.node(holder).signal(SIGTERM); });
+  measure("killed",
+          [](ProcessWorld& world, std::size_t holder, std::size_t) { world.node(holder).signal(SIGKILL); });
+  measure("stopped",
+          [](ProcessWorld& world, std::size_t holder, std::size_t) { world.node(holder).pause(); });
+  measure("killed with the leader", [](ProcessWorld& world, std::size_t holder, std::size_t leader) {
+    world.node(holder).signal(SIGKILL);
+    if (leader != holder) world.node(leader).signal(SIGKILL);
   });
-  const auto cut = [](ProcessWorld& w, std::size_t h, bool out, bool in) {
+  const auto cut = [](ProcessWorld& world, std::size_t holder, bool out, bool in) {
     WayFaults way;
     way.cut = true;
     for (std::size_t i = 0; i < 6; ++i) {
-      if (i == h) continue;
-      if (out) w.network().begin(w.machine(h), w.machine(i), way);
-      if (in) w.network().begin(w.machine(i), w.machine(h), way);
+      if (i == holder) continue;
+      if (out) world.network().begin(world.machine(holder), world.machine(i), way);
+      if (in) world.network().begin(world.machine(i), world.machine(holder), way);
     }
   };
-  measure("cut off fully", [&](ProcessWorld& w, std::size_t h, std::size_t) { cut(w, h, true, true); });
+  measure("cut off fully",
+          [&](ProcessWorld& world, std::size_t holder, std::size_t) { cut(world, holder, true, true); });
   measure("can send, not receive",
-          [&](ProcessWorld& w, std::size_t h, std::size_t) { cut(w, h, false, true); });
+          [&](ProcessWorld& world, std::size_t holder, std::size_t) { cut(world, holder, false, true); });
 }
 
 // ------------------------------------------------------------ voters in this process
@@ -179,40 +187,41 @@
     folder = name;
     std::vector<duties::VoterOptions> all;
     for (std::size_t i = 0; i < count; ++i) {
-      duties::VoterOptions o;
-      o.voter.self = {"v" + std::to_string(i), i + 1, "", ""};
-      o.voter.raft.election_timeout_ms = election_ms;
-      o.voter.raft.heartbeat_interval_ms = heartbeat_ms;
-      o.data_dir = folder + "/" + o.voter.self.name;
-      std::filesystem::create_directory(o.data_dir);
-      duties::SqliteStore::create(o.data_dir);
+      duties::VoterOptions options;
+      options.voter.self = {"v" + std::to_string(i), i + 1, "", ""};
+      options.voter.raft.election_timeout_ms = election_ms;
+      options.voter.raft.heartbeat_interval_ms = heartbeat_ms;
+      options.data_dir = folder + "/" + options.voter.self.name;
+      std::filesystem::create_directory(options.data_dir);
+      duties::SqliteStore::create(options.data_dir);
       if (i == 0) {
-        duties::SqliteStore store(o.data_dir);
+        duties::SqliteStore store(options.data_dir);
         duties::RaftReplica::bootstrap(store, "v0");
       }
       boost::asio::io_context probe;
       boost::asio::ip::tcp::acceptor port(probe, {boost::asio::ip::make_address("127.0.0.1"), 0});
-      o.listen = port.local_endpoint();
-      addresses.push_back({o.voter.self.name, o.listen});
-      all.push_back(o);
+      options.listen = port.local_endpoint();
+      addresses.push_back({options.voter.self.name, options.listen});
+      all.push_back(options);
     }
-    for (auto& o : all) {
-      o.addresses = addresses;
-      services.push_back(std::make_unique<duties::VoterService>(io, o, [](const LogEvent&) {}));
+    for (auto& options : all) {
+      options.addresses = addresses;
+      services.push_back(std::make_unique<duties::VoterService>(io, options, [](const LogEvent&) {}));
       services.back()->start();
     }
     for (std::size_t i = 1; i < count; ++i) {
       bool done = false;
       for (int tries = 0; tries < 50 && !done; ++tries) {
-        auto s = client("operator" + std::to_string(i) + "-" + std::to_string(tries));
+        auto operator_client = client("operator" + std::to_string(i) + "-" + std::to_string(tries));
         bool answered = false;
-        duties::Request r;
-        r.kind = duties::Request::Kind::kAddVoter;
-        r.target = "v" + std::to_string(i);
-        s->send_operator_request(r, [&](const std::vector<duties::Reply>&, const std::string& error) {
-          answered = true;
-          done = error.empty();
-        });
+        duties::Request request;
+        request.kind = duties::Request::Kind::kAddVoter;
+        request.target = "v" + std::to_string(i);
+        operator_client->send_operator_request(
+            request, [&](const std::vector<duties::Reply>&, const std::string& error) {
+              answered = true;
+              done = error.empty();
+            });
         for (const double until = nettlestand::now() + 15; !answered && nettlestand::now() < until;)
           io.run_for(std::chrono::milliseconds(5)), io.restart();
       }
@@ -224,13 +233,13 @@
     std::filesystem::remove_all(folder, ignored);
   }
   std::unique_ptr<duties::ClientService> client(const std::string& name, std::vector<Duty> wants = {}) {
-    duties::ClientServiceOptions o;
-    o.client.lease_holder.self = {name, std::hash<std::string>()(name) | 1, "", ""};
-    o.client.seed = std::hash<std::string>()(name);
-    o.voters = addresses;
-    auto out = std::make_unique<duties::ClientService>(io, o, [](const LogEvent&) {});
+    duties::ClientServiceOptions options;
+    options.client.lease_holder.self = {name, std::hash<std::string>()(name) | 1, "", ""};
+    options.client.seed = std::hash<std::string>()(name);
+    options.voters = addresses;
+    auto out = std::make_unique<duties::ClientService>(io, options, [](const LogEvent&) {});
     out->start();
-    for (const Duty& d : wants) out->acquire(d, {});
+    for (const Duty& duty : wants) out->acquire(duty, {});
     return out;
   }
   boost::asio::io_context io;
@@ -268,28 +277,28 @@
 // CPU and traffic of voters and clients that hold or wait for one duty.
 void measure_idle_cost(std::size_t clients) {
   const auto before = threads_of_this_process();
-  VoterCluster v(5);
+  VoterCluster voters(5);
   std::vector<pid_t> threads;
   for (const pid_t t : threads_of_this_process()) {
     if (!std::binary_search(before.begin(), before.end(), t)) threads.push_back(t);
   }
   std::vector<std::unique_ptr<duties::ClientService>> all;
   for (std::size_t i = 0; i < clients; ++i)
-    all.push_back(v.client("c" + std::to_string(i), {{"d0", 5, {}, {}, {}}}));
-  v.io.run_for(std::chrono::seconds(5));
+    all.push_back(voters.client("c" + std::to_string(i), {{"d0", 5, {}, {}, {}}}));
+  voters.io.run_for(std::chrono::seconds(5));
   const double cpu = cpu_seconds(0, threads), client_cpu = cpu_seconds(getpid()), from = nettlestand::now();
   const auto sent = [&] {
     std::uint64_t out = 0;
-    for (const auto& s : all) {
-      const std::string report = s->report();
+    for (const auto& client : all) {
+      const std::string report = client->report();
       out += quinceusher::json::parse(report)["counters"]["bytes_sent"].GetUint64() +
              quinceusher::json::parse(report)["counters"]["bytes_received"].GetUint64();
     }
     return out;
   };
   const std::uint64_t bytes = sent();
-  v.io.restart();
-  v.io.run_for(std::chrono::seconds(20));
+  voters.io.restart();
+  voters.io.run_for(std::chrono::seconds(20));
   const double seconds = nettlestand::now() - from;
   std::printf(
       "at rest, 5 voters, %zu clients, one duty: %.3f%% of a core a voter, %.4f%% a client, %.0f bytes/s a "
@@ -304,20 +313,20 @@
 void measure_grant_rate(int runs) {
   std::vector<double> all;
   for (int run = 0; run < runs; ++run) {
-    VoterCluster v(3);
+    VoterCluster voters(3);
     std::vector<Duty> wants;
     for (int i = 0; i < 1000; ++i) wants.push_back({"d" + std::to_string(i), 30, {}, {}, {}});
-    auto s = v.client("c", wants);
+    auto client = voters.client("c", wants);
     std::size_t held = 0;
     const double from = nettlestand::now();
     for (const double until = from + 60; held < 1000 && nettlestand::now() < until;) {
-      v.io.run_for(std::chrono::milliseconds(2));
-      v.io.restart();
+      voters.io.run_for(std::chrono::milliseconds(2));
+      voters.io.restart();
       held = 0;
-      for (const Duty& d : wants) held += s->held_token(d.name) ? 1 : 0;
+      for (const Duty& duty : wants) held += client->held_token(duty.name) ? 1 : 0;
     }
     if (held == 1000) all.push_back(1000 / (nettlestand::now() - from));
-    s.reset();
+    client.reset();
   }
   print_quantiles("1,000 duties defined, granted and confirmed, 3 voters", all, "duties/s");
 }
@@ -335,15 +344,15 @@
   std::uint64_t last = 0;
   {
     duties::SqliteStore store(folder);
-    duties::RaftSettings s;
-    s.name = "v0";
-    duties::RaftReplica a(s, store, nettlestand::now());
-    a.take_events();
+    duties::RaftSettings settings;
+    settings.name = "v0";
+    duties::RaftReplica replica(settings, store, nettlestand::now());
+    replica.take_events();
     std::vector<duties::Command> batch;
     duties::Command define;
     define.kind = duties::Command::Kind::kDefine;
     define.duty = {"d0", 5, {}, {}, {}};
-    a.propose(nettlestand::now(), {define});
+    replica.propose(nettlestand::now(), {define});
     const double from = nettlestand::now();
     duties::Token token = 0;
     for (int i = 0; i < 500000; ++i) {
@@ -356,22 +365,22 @@
       batch.push_back(grant);
       batch.push_back(release);
       if (batch.size() == 200) {
-        a.propose(nettlestand::now(), batch);
-        a.take_events();
+        replica.propose(nettlestand::now(), batch);
+        replica.take_events();
         batch.clear();
       }
     }
     took = nettlestand::now() - from;
-    last = a.table().last_token();
+    last = replica.table().last_token();
   }
   double size = 0;
-  for (const auto& e : std::filesystem::directory_iterator(folder))
-    size += static_cast<double>(e.file_size());
+  for (const auto& file : std::filesystem::directory_iterator(folder))
+    size += static_cast<double>(file.file_size());
   const double from = nettlestand::now();
   duties::SqliteStore store(folder);
-  duties::RaftSettings s;
-  s.name = "v0";
-  duties::RaftReplica a(s, store, nettlestand::now());
+  duties::RaftSettings settings;
+  settings.name = "v0";
+  duties::RaftReplica replica(settings, store, nettlestand::now());
   const double reopened = nettlestand::now() - from;
   std::printf(
       "a million changes in batches of 200: %.1f s (%.0f changes/s), %.2f MB of files, last token %llu; "
@@ -387,30 +396,31 @@
   using namespace standins::testing;
   std::vector<double> on, off, on_p99, off_p99;
   for (int run = 0; run < runs; ++run) {
-    for (const bool with : {run % 2 == 0, run % 2 != 0}) {
-      DutiesSetup d(5, with ? 3 : 0, with ? 2 : 0);
-      if (!with) d.settings.duties.clear();
-      if (with)
-        d.settings.duties +=
-            "[report]\nbook = \"" + d.shared_directory.path + "/report.db\"\nperiod_ms = 1000\n";
-      d.settings.load.rate = 400;
-      d.settings.seed = static_cast<std::uint64_t>(run) + 1;
-      ProcessWorld w(d.settings);
-      w.start();
-      if (with) add_voters(w, 3);
-      w.play("", 5);
-      const Timeline t = w.finish();
-      if (w.starvation().is_void) continue;
+    for (const bool enabled : {run % 2 == 0, run % 2 != 0}) {
+      DutiesSetup setup(5, enabled ? 3 : 0, enabled ? 2 : 0);
+      if (!enabled) setup.settings.duties.clear();
+      if (enabled)
+        setup.settings.duties +=
+            "[report]\nbook = \"" + setup.shared_directory.path + "/report.db\"\nperiod_ms = 1000\n";
+      setup.settings.load.rate = 400;
+      setup.settings.seed = static_cast<std::uint64_t>(run) + 1;
+      ProcessWorld world(setup.settings);
+      world.start();
+      if (enabled) add_voters(world, 3);
+      world.play("", 5);
+      const Timeline timeline = world.finish();
+      if (world.starvation().is_void) continue;
       std::vector<double> times;
       std::size_t served = 0;
-      for (const CallRecord& c : t.evidence.calls) {
-        if (c.status != 200) continue;
+      for (const CallRecord& call : timeline.evidence.calls) {
+        if (call.status != 200) continue;
         ++served;
-        times.push_back(c.answered_at - c.sent_at);
+        times.push_back(call.answered_at - call.sent_at);
       }
       std::sort(times.begin(), times.end());
-      (with ? on : off).push_back(static_cast<double>(served) / static_cast<double>(t.evidence.calls.size()));
-      if (!times.empty()) (with ? on_p99 : off_p99).push_back(times[times.size() * 99 / 100] * 1000);
+      (enabled ? on : off)
+          .push_back(static_cast<double>(served) / static_cast<double>(timeline.evidence.calls.size()));
+      if (!times.empty()) (enabled ? on_p99 : off_p99).push_back(times[times.size() * 99 / 100] * 1000);
     }
   }
   print_quantiles("served, duties and report on", on, "");
--- a/bench/fleet_faults.cpp
+++ b/bench/fleet_faults.cpp
@@ -52,10 +52,10 @@
       "highest share in a second after recovery | served |\n"
       "| --- | --- | --- | --- | --- | --- | --- | --- |\n");
   for (const FaultCase& fault_case : fault_cases) {
-    for (const std::size_t copies : {1U, 10U}) {
+    for (const std::size_t balancers : {1U, 10U}) {
       for (const Effect effect : {Effect::kSafe, Effect::kUnsafe}) {
         fleet::Spec spec;
-        spec.copies = copies;
+        spec.copies = balancers;
         spec.work = 0.01;
         spec.aim = 0.5;
         spec.give_up = 1.5;
@@ -74,10 +74,10 @@
         double max_share = 0;
         for (double t = kFaultEnd; t < kEnd - 1; t += 0.1)
           max_share = std::max(max_share, rate(at, t, t + 1) / share);
-        std::printf("| %s | %zu | %s | %.0f, %.1f | %.2f | %.2f | %.2f | %.4f |\n", fault_case.name, copies,
-                    effect == Effect::kSafe ? "safe" : "unsafe", rate(at, kFaultStart, kFaultStart + 1),
-                    rate(at, kFaultStart + 1, kFaultEnd), ejected_after, restored_after, max_share,
-                    r.all.served_part());
+        std::printf("| %s | %zu | %s | %.0f, %.1f | %.2f | %.2f | %.2f | %.4f |\n", fault_case.name,
+                    balancers, effect == Effect::kSafe ? "safe" : "unsafe",
+                    rate(at, kFaultStart, kFaultStart + 1), rate(at, kFaultStart + 1, kFaultEnd),
+                    ejected_after, restored_after, max_share, r.all.served_part());
       }
     }
   }
--- a/tools/simulate/cluster.cpp
+++ b/tools/simulate/cluster.cpp
@@ -225,9 +225,9 @@
     schedule_.on_run_ended(now, run.id, std::move(outcome));
     schedule_.pump(now);
   }
-  void schedule_in_process(Millis span, std::function<void()> action) {
+  void schedule_in_process(Millis delay, std::function<void()> action) {
     cluster_.scheduler_.schedule_after(
-        span, [this, action = std::move(action), alive = std::weak_ptr<bool>(alive_)] {
+        delay, [this, action = std::move(action), alive = std::weak_ptr<bool>(alive_)] {
           if (!alive.lock()) return;
           cluster_.run_in_process(machine_, generation_, [action, alive] {
             if (alive.lock()) action();
@@ -365,10 +365,10 @@
   std::vector<std::size_t> nodes = machines_of(MachineKind::kEdge);
   for (const std::size_t core : machines_of(MachineKind::kCore)) nodes.push_back(core);
   while (out.size() < 3 && !nodes.empty()) {
-    const std::size_t at = random(nodes.size());
-    const std::string& address = machines_[nodes[at]]->address;
+    const std::size_t index = random(nodes.size());
+    const std::string& address = machines_[nodes[index]]->address;
     out.push_back(address.substr(0, address.rfind(':')) + ":8407");
-    nodes.erase(nodes.begin() + static_cast<std::ptrdiff_t>(at));
+    nodes.erase(nodes.begin() + static_cast<std::ptrdiff_t>(index));
   }
   return out;
 }
@@ -409,7 +409,7 @@
   tick(i, machine.generation);
 }
 
-void Cluster::stop(std::size_t i, Millis down) {
+void Cluster::stop(std::size_t i, Millis downtime) {
   Machine& machine = *machines_[i];
   if (!machine.running) return;
   machine.running = false;
@@ -417,8 +417,8 @@
   processes_[i].messenger.reset();
   machine.disk_idle_at = 0;
   machine.settings.bootstrap = false;
-  mark_unavailable(i, now() + down);
-  scheduler_.schedule_after(down, [this, i] { start(i); });
+  mark_unavailable(i, now() + downtime);
+  scheduler_.schedule_after(downtime, [this, i] { start(i); });
 }
 
 void Cluster::tick(std::size_t i, std::uint64_t generation) {
@@ -522,39 +522,39 @@
 }
 
 // Visible when a single scenario is run with --log.
-void Cluster::log_fault(const char* what, std::size_t i, Millis span) const {
+void Cluster::log_fault(const char* what, std::size_t i, Millis duration) const {
   NETTLESTAND_INFO("fault " << what << " machine=" << machines_[i]->name << " at=" << now()
-                            << " for=" << span);
+                            << " for=" << duration);
 }
 
-void Cluster::kill(std::size_t i, Millis down) {
-  log_fault("kill", i, down);
+void Cluster::kill(std::size_t i, Millis downtime) {
+  log_fault("kill", i, downtime);
   if (!machines_[i]->running) return;
   apply_unsynced_writes(i);
-  stop(i, down);
+  stop(i, downtime);
 }
 
-void Cluster::lose_power(std::size_t i, Millis down) {
-  kill(i, down);
+void Cluster::lose_power(std::size_t i, Millis downtime) {
+  kill(i, downtime);
   if (machines_[i]->disk) machines_[i]->disk->lose_power();
-  mark_unavailable(i, now() + down);
+  mark_unavailable(i, now() + downtime);
 }
 
-void Cluster::wipe(std::size_t i, Millis down) {
-  log_fault("wipe", i, down);
-  kill(i, down);
+void Cluster::wipe(std::size_t i, Millis downtime) {
+  log_fault("wipe", i, downtime);
+  kill(i, downtime);
   if (machines_[i]->disk) machines_[i]->disk->wipe();
-  mark_unavailable(i, now() + down);
+  mark_unavailable(i, now() + downtime);
 }
 
-void Cluster::freeze(std::size_t i, Millis span) {
+void Cluster::freeze(std::size_t i, Millis duration) {
   Machine& machine = *machines_[i];
   if (!is_responsive(i)) return;
-  log_fault("freeze", i, span);
-  machine.frozen_until = now() + span;
-  if (options_.injected_fault == InjectedFault::kClockStopsWhileFrozen) machine.clock_lag += span;
+  log_fault("freeze", i, duration);
+  machine.frozen_until = now() + duration;
+  if (options_.injected_fault == InjectedFault::kClockStopsWhileFrozen) machine.clock_lag += duration;
   mark_unavailable(i, machine.frozen_until);
-  scheduler_.schedule_after(span, [this, i, generation = machine.generation] {
+  scheduler_.schedule_after(duration, [this, i, generation = machine.generation] {
     if (machines_[i]->generation != generation) return;
     std::vector<std::function<void()>> waiting;
     waiting.swap(machines_[i]->deferred);
@@ -562,14 +562,14 @@
   });
 }
 
-void Cluster::stall_disk(std::size_t i, Millis span) {
-  machines_[i]->disk_stalled_until = std::max(machines_[i]->disk_stalled_until, now() + span);
-  mark_unavailable(i, now() + span);
+void Cluster::stall_disk(std::size_t i, Millis duration) {
+  machines_[i]->disk_stalled_until = std::max(machines_[i]->disk_stalled_until, now() + duration);
+  mark_unavailable(i, now() + duration);
 }
 
-void Cluster::slow_disk(std::size_t i, Millis span) {
-  machines_[i]->disk_slow_until = std::max(machines_[i]->disk_slow_until, now() + span);
-  mark_unavailable(i, now() + span);
+void Cluster::slow_disk(std::size_t i, Millis duration) {
+  machines_[i]->disk_slow_until = std::max(machines_[i]->disk_slow_until, now() + duration);
+  mark_unavailable(i, now() + duration);
 }
 
 void Cluster::set_disk_full(std::size_t i, bool full) {
@@ -594,19 +594,19 @@
 
 // ---------------------------------------------------------------- calls
 
-void Cluster::call_operator(std::size_t at, OperatorCall call, OperatorCallback done) {
-  if (!is_responsive(at)) return;
-  processes_[at].core->operator_relay().start(local_time(at), std::move(call), std::move(done));
+void Cluster::call_operator(std::size_t machine, OperatorCall call, OperatorCallback done) {
+  if (!is_responsive(machine)) return;
+  processes_[machine].core->operator_relay().start(local_time(machine), std::move(call), std::move(done));
 }
 
-bool Cluster::call_store(std::size_t at, JobCall call, JobCallback done) {
-  if (!is_responsive(at)) return false;
+bool Cluster::call_store(std::size_t machine, JobCall call, JobCallback done) {
+  if (!is_responsive(machine)) return false;
   const std::string address =
-      primary_address(processes_[at].core->control_client().state().placement(), call.tenant);
+      primary_address(processes_[machine].core->control_client().state().placement(), call.tenant);
   if (address.empty()) return false;
   call.call = ++last_job_call_;
   job_calls_[call.call] = std::move(done);
-  processes_[at].messenger->send(address, encode_message(MessageType::kJobCall, call));
+  processes_[machine].messenger->send(address, encode_message(MessageType::kJobCall, call));
   return true;
 }
 
--- a/tools/simulate/cluster.h
+++ b/tools/simulate/cluster.h
@@ -78,15 +78,15 @@
   bool chance(double p) { return static_cast<double>(random_() >> 11) * 0x1.0p-53 < p; }
 
   // ---- faults
-  // Kills the process; it restarts after `down`.
-  void kill(std::size_t i, Millis down);
-  void lose_power(std::size_t i, Millis down);
+  // Kills the process; it restarts after `downtime`.
+  void kill(std::size_t i, Millis downtime);
+  void lose_power(std::size_t i, Millis downtime);
   // Kills the process and empties its disk.
-  void wipe(std::size_t i, Millis down);
+  void wipe(std::size_t i, Millis downtime);
   // Suspends the process as SIGSTOP does; events wait until it resumes.
-  void freeze(std::size_t i, Millis span);
-  void stall_disk(std::size_t i, Millis span);
-  void slow_disk(std::size_t i, Millis span);
+  void freeze(std::size_t i, Millis duration);
+  void stall_disk(std::size_t i, Millis duration);
+  void slow_disk(std::size_t i, Millis duration);
   void set_disk_full(std::size_t i, bool full);
   bool corrupt_disk(std::size_t i);
   // Removes a machine for good.
@@ -98,9 +98,9 @@
   // While set, links delay some messages and corrupt some chunks of configurations.
   void set_lossy(bool lossy) { lossy_ = lossy; }
   // While set, some messages are delivered after newer ones, as on a connection that was replaced by another.
-  void set_reordering(bool late) { reordering_ = late; }
+  void set_reordering(bool reordering) { reordering_ = reordering; }
   // Logs a fault.
-  void log_fault(const char* what, std::size_t i, Millis span) const;
+  void log_fault(const char* what, std::size_t i, Millis duration) const;
   // Counts a machine as unavailable until `until` and some time for it to catch up.
   void mark_unavailable(std::size_t i, Millis until);
   // Number of machines with a disk that count as unavailable now.
@@ -111,10 +111,10 @@
 
   // ---- calls from outside
   using OperatorCallback = std::function<void(std::uint32_t status, const std::string& body)>;
-  void call_operator(std::size_t at, OperatorCall call, OperatorCallback done);
+  void call_operator(std::size_t machine, OperatorCall call, OperatorCallback done);
   using JobCallback = std::function<void(const JobReply&)>;
   // Sends a batch job call to the primary that the node knows. Returns false if it knows none.
-  bool call_store(std::size_t at, JobCall call, JobCallback done);
+  bool call_store(std::size_t machine, JobCall call, JobCallback done);
 
  private:
   class SimulatedLink;
@@ -130,7 +130,7 @@
   void start(std::size_t i);
   // Seed addresses for a settings file that is written now.
   std::vector<std::string> current_seeds();
-  void stop(std::size_t i, Millis down);
+  void stop(std::size_t i, Millis downtime);
   void tick(std::size_t i, std::uint64_t generation);
   void corrupt_configuration(std::string& message);
   void deliver(std::size_t from, std::size_t to, Millis sent, std::string message);
--- a/tools/simulate/scenario.cpp
+++ b/tools/simulate/scenario.cpp
@@ -106,7 +106,8 @@
     result_.fault_log.push_back(std::to_string(cluster_.now()) + " " + fault_name(fault));
     std::erase_if(recent_faults_,
                   [this](const auto& r) { return r.second + kOverlapWindowMs < cluster_.now(); });
-    for (const auto& [other, time] : recent_faults_) result_.overlapping_faults.emplace_back(other, fault);
+    for (const auto& [other, injected_at] : recent_faults_)
+      result_.overlapping_faults.emplace_back(other, fault);
     recent_faults_.emplace_back(fault, cluster_.now());
   }
 
@@ -271,33 +272,33 @@
     }
   }
   // Cuts the messages from (`out`) and to (`in`) a machine.
-  void cut_machine(std::size_t i, bool out, bool in, Millis time) {
+  void cut_machine(std::size_t i, bool out, bool in, Millis duration) {
     for (std::size_t j = 0; j < cluster_.size(); ++j) {
       if (out || !in) cluster_.cut(i, j);
       if (in || !out) cluster_.cut(j, i);
     }
-    schedule_heal(time, {i});
+    schedule_heal(duration, {i});
   }
   // Exceeds the fault tolerance for a while, but no disk is lost: the tier may be unavailable, but it must
   // not lose data.
   void take_stores_down_in_turn() {
     const std::size_t alone = random_machine_of(MachineKind::kStore);
-    const Millis time = random_duration(2500, 2000);
+    const Millis duration = random_duration(2500, 2000);
     for (const std::size_t i : cluster_.machines_of(MachineKind::kStore)) {
-      if (i != alone) cut_machine(i, true, true, time);
+      if (i != alone) cut_machine(i, true, true, duration);
     }
-    cluster_.scheduler().schedule_after(time, [this, alone] {
+    cluster_.scheduler().schedule_after(duration, [this, alone] {
       if (!cluster_.machine(alone).removed) cluster_.kill(alone, random_duration(1500, 3000));
     });
   }
-  void cut_from_core(std::size_t i, Millis time) {
+  void cut_from_core(std::size_t i, Millis duration) {
     for (const std::size_t j : cluster_.machines_of(MachineKind::kCore)) {
       cluster_.cut(i, j);
       cluster_.cut(j, i);
     }
-    schedule_heal(time, {i});
+    schedule_heal(duration, {i});
   }
-  void cut_halves(Millis time) {
+  void cut_halves(Millis duration) {
     std::vector<std::size_t> core = cluster_.machines_of(MachineKind::kCore);
     const std::size_t half = core.size() / 2;
     for (std::size_t a = 0; a < half; ++a) {
@@ -306,13 +307,13 @@
         cluster_.cut(core[b], core[a]);
       }
     }
-    schedule_heal(time, core);
+    schedule_heal(duration, core);
   }
   // All cuts heal together, so overlapping cuts end with the first of them, or start again.
-  void schedule_heal(Millis time, const std::vector<std::size_t>& cut) {
-    for (const std::size_t i : cut) cluster_.mark_unavailable(i, cluster_.now() + time);
-    if (!cut.empty()) cluster_.log_fault("cut", cut.front(), time);
-    cluster_.scheduler().schedule_after(time, [this] { cluster_.heal_cuts(); });
+  void schedule_heal(Millis duration, const std::vector<std::size_t>& cut) {
+    for (const std::size_t i : cut) cluster_.mark_unavailable(i, cluster_.now() + duration);
+    if (!cut.empty()) cluster_.log_fault("cut", cut.front(), duration);
+    cluster_.scheduler().schedule_after(duration, [this] { cluster_.heal_cuts(); });
   }
   // The machine of a kind that was added first.
   std::size_t oldest_machine(MachineKind kind) {
@@ -351,10 +352,10 @@
     cluster_.add(kind);
     return true;
   }
-  void fill_disk(std::size_t i, Millis time) {
+  void fill_disk(std::size_t i, Millis duration) {
     cluster_.set_disk_full(i, true);
-    cluster_.mark_unavailable(i, cluster_.now() + time);
-    cluster_.scheduler().schedule_after(time, [this, i] { cluster_.set_disk_full(i, false); });
+    cluster_.mark_unavailable(i, cluster_.now() + duration);
+    cluster_.scheduler().schedule_after(duration, [this, i] { cluster_.set_disk_full(i, false); });
   }
 
   // ---- the end
--- a/tools/soak/oracle.cpp
+++ b/tools/soak/oracle.cpp
@@ -17,7 +17,7 @@
               kMisdirectedRequest = 421, kUnauthorized = 401;
 
 // Whether the status guarantees that the request has not run and will not run.
-bool promises_no_run(int status) {
+bool guarantees_no_run(int status) {
   return status == kTooManyRequests || status == kServiceUnavailable || status == kRequestTimeout ||
          status == kMisdirectedRequest;
 }
@@ -156,7 +156,7 @@
   for (const auto& [id, request] : requests_) {
     const std::size_t count = counts[id];
     if (!request.idempotent && count > 1) add_violation("TWICE: " + id);
-    if (count > 0 && promises_no_run(request.outcome.status)) add_violation("REFUSED, but it ran: " + id);
+    if (count > 0 && guarantees_no_run(request.outcome.status)) add_violation("REFUSED, but it ran: " + id);
     check_response_owed(request, count > 0);
   }
 }
@@ -197,7 +197,7 @@
     const RequestOutcome& outcome = request.outcome;
     if (!outcome.response_complete) ++out.unanswered;
     if (outcome.response_complete && outcome.status == 200) ++out.served;
-    if (promises_no_run(outcome.status)) ++out.rejected;
+    if (guarantees_no_run(outcome.status)) ++out.rejected;
     if (outcome.status == kUnauthorized) ++out.unauthorized;
   }
   for (const auto& [id, job] : jobs_) out.results += job.results.size();
