--- a/tools/simulate/cluster.h
+++ b/tools/simulate/cluster.h
@@ -17,7 +17,7 @@
 
 namespace nettlestand::tier::simulate {
 
-// Core machines run the control groups, edge machines have no disk, stores keep batch jobs.
+// Core machines replicate the control state, edge machines have no disk, stores keep batch jobs.
 enum class MachineKind : std::uint8_t { kCore, kEdge, kStore };
 
 // Bugs that are injected into the simulated environment to show that the checks find them. Bugs in the
--- a/tools/soak/fault_injector.h
+++ b/tools/soak/fault_injector.h
@@ -15,6 +15,7 @@
 
 namespace nettlestand::tier::soak {
 
+// What a run injects.
 enum class Profile : std::uint8_t {
   kPlanned,  // SIGTERM, SIGHUP, configuration changes, draining servers: no request may be lost
   kAll  // also killed and stopped processes, and servers that are full, return errors and break connections
--- a/tools/soak/operators.h
+++ b/tools/soak/operators.h
@@ -12,6 +12,7 @@
 
 namespace nettlestand::tier::soak {
 
+// Runs on a thread of its own; `stopping` ends run().
 class Operator {
  public:
   Operator(const standins::TierWorld& world, Oracle& oracle, const std::atomic<bool>& stopping,
--- a/tools/soak/soak.h
+++ b/tools/soak/soak.h
@@ -12,6 +12,7 @@
 
 namespace nettlestand::tier::soak {
 
+// `core` and `edges`: edge nodes with and without the control state. `engines`: model servers.
 struct SoakOptions {
   std::string program;
   std::uint64_t seed = 1;
