--- a/gateway/convert.cpp
+++ b/gateway/convert.cpp
@@ -19,16 +19,16 @@
 
 constexpr std::size_t kMaxOptionNameBytes = 128, kMaxServerNameBytes = 255;  // bytes
 constexpr std::size_t kMaxBodyBytes = 64 * 1024;                             // bytes
-constexpr std::size_t kServersPerMegabyte = 128;  // each takes 1.4 KB, or twice that
+constexpr std::size_t kServersPerMegabyte = 128;  // each takes 1.4 KB or twice that
 constexpr double kHour = 3600, kDay = 86400;      // s
-constexpr double kDiscoveryTimeout = 0.4;         // s
+constexpr double kDiscoveryTimeout = 0.4;         // s; see quinceusher::Settings::ask_within
 
 template <class Duration>
 double seconds(Duration duration) {
   return std::chrono::duration<double>(duration).count();
 }
 
-// Collects the first thing that is wrong.
+// Keeps the first error found in the options.
 class OptionsValidator {
  public:
   void check_range(const std::string& field, double value, double min, double max) {
@@ -42,11 +42,11 @@
       report(field, "is not 1 to " + std::to_string(max_bytes) + " bytes");
     for (const char c : name) {
       if (static_cast<unsigned char>(c) < 0x20 || c == 0x7f)
-        return report(field, "holds a control character");
+        return report(field, "contains a control character");
     }
   }
   void check_unique(const std::string& field, const std::string& name, std::set<std::string>& seen) {
-    if (!seen.insert(name).second) report(field, "'" + name + "' stands there twice");
+    if (!seen.insert(name).second) report(field, "'" + name + "' is listed more than once");
   }
   void report(const std::string& field, const std::string& what) {
     if (!error) error = {Errc::kBadOption, field + ": " + what};
@@ -83,7 +83,7 @@
   if (membership.region.size() > peers::kMaxLabelBytes)
     validator.report("membership.region", "over 12 bytes");
   if (options.zone.size() > peers::kMaxLabelBytes)
-    validator.report("zone", "over 12 bytes, which membership can't tell of");
+    validator.report("zone", "over 12 bytes, the limit of membership");
   if (const auto listen = parse_udp_endpoint(validator, "membership.listen", membership.listen, true))
     service.listen = *listen;
   for (std::size_t i = 0; i < membership.join.size(); ++i) {
@@ -98,7 +98,7 @@
     }
   }
   if (!membership.members.empty() && !membership.join.empty())
-    validator.report("membership.join", "stands beside members, which names all");
+    validator.report("membership.join", "not allowed together with members, which lists all");
   if (!membership.members.empty() && membership.members.size() != static_cast<std::size_t>(options.peers)) {
     validator.report("membership.members", "not as many as peers");
   }
@@ -162,7 +162,8 @@
     }
   }
   duties::LeaseHolderSettings& lease_holder = service.client.lease_holder;
-  // A life of its own for each opening: no clock and no disk can be trusted with that.
+  // The generation is random, so that each opened gateway has its own: neither a clock nor a disk can be
+  // relied on for that.
   std::random_device random;
   lease_holder.self = {duties_options.name, (static_cast<std::uint64_t>(random()) << 31 ^ random()) + 1,
                        options.zone, duties_options.region};
@@ -189,7 +190,7 @@
       validator.report(field_path("servers", i, "address"),
                        "'" + server.address + "' is not an address and a port");
     if (!server.zone.empty() && zone_index(server.zone, zones) == static_cast<int>(zones.size())) {
-      validator.report(field_path("servers", i, "zone"), "'" + server.zone + "' is none of zones");
+      validator.report(field_path("servers", i, "zone"), "'" + server.zone + "' is not in zones");
     }
     if (validator.error) return validator.error;
     ListedServer listed;
@@ -223,7 +224,7 @@
     validator.check_range(field_path("classes", i, "dedup_window"), seconds(class_options.dedup_window), 0,
                           kDay);
     if (class_options.effect != Effect::kKeyed && class_options.dedup_window.count() != 0) {
-      validator.report(field_path("classes", i, "dedup_window"), "belongs to keyed classes");
+      validator.report(field_path("classes", i, "dedup_window"), "is only valid for keyed classes");
     }
     qu::RequestClass request_class;
     request_class.aim = seconds(class_options.aim);
@@ -268,7 +269,7 @@
   validator.check_range("max_open", static_cast<double>(options.max_open), 1, 1e9);
   if (!options.zone.empty() &&
       zone_index(options.zone, options.zones) == static_cast<int>(options.zones.size())) {
-    validator.report("zone", "'" + options.zone + "' is none of zones");
+    validator.report("zone", "'" + options.zone + "' is not in zones");
   }
   settings.copy_index = options.position;
   settings.copy_count = options.peers;
@@ -295,7 +296,8 @@
   ServerList list;
   Error error = to_server_list(options.servers, options.zones, out.engine.max_servers,
                                options.servers_version.value_or(0), list);
-  // Servers beside a discovery are what was known of it: it may speak at once.
+  // With discovery, the given servers are the last known list, and a list from discovery may replace it at
+  // once.
   (out.discovery ? out.engine.last_known_servers : out.servers) = std::move(list);
   return error;
 }
@@ -303,7 +305,7 @@
 Call to_call(Request&& request, const RequestValidator& request_validator,
              const std::vector<std::string>& classes, const qu::Settings& settings, ByteBudget& budget,
              double received_at, std::uint64_t token) {
-  // Guards against lines that an application's client wrote into a value.
+  // Prevents header injection by values that the application took over from its clients.
   for (const std::string* text : {&request.id, &request.idempotency_key, &request.target, &request.host,
                                   &request.cookie, &request.content_type, &request.tenant}) {
     const auto control = [](char c) { return static_cast<unsigned char>(c) < 0x20 || c == 0x7f; };
@@ -341,7 +343,7 @@
   auto forward = std::make_shared<UpstreamRequest>();
   Call out = request_validator.read_call(head, lines, *forward);
   forward->claim = ByteReservation(budget);
-  // Guards the memory limit: answers need room too, so requests leave half of the budget to them.
+  // Request bodies may take at most half of the budget, so that memory remains for the bodies of answers.
   if (!forward->claim.grow_to(request.body.size(), budget.size() / 2))
     throw RequestRejection{503, "no memory to spare"};
   if (!safe) forward->head += "Content-Length: " + std::to_string(request.body.size()) + "\r\n";
--- a/gateway/convert.h
+++ b/gateway/convert.h
@@ -1,4 +1,5 @@
-// From the library's public words to the core's: what can't be used is told with a text that names the field.
+// Converts between the library's public types and those of the core, and validates what the application
+// passes in. An error text names the invalid field.
 #pragma once
 
 #include <string>
@@ -14,23 +15,24 @@
 
 namespace nettlestand {
 
-// Options, checked.
+// The core's options, converted from valid Options.
 struct ValidatedOptions {
   EngineOptions engine;
-  std::vector<std::string> classes, tenants;  // their names
+  std::vector<std::string> classes, tenants;  // names, in the order of the core's settings
   std::optional<boost::asio::ip::tcp::endpoint> discovery;
   std::optional<ServerList> servers;
   std::optional<peers::ServiceOptions> peers;
   std::optional<duties::ClientServiceOptions> duties;
 };
+// Validates `options` and converts them to `out`. The error reports the first invalid field.
 Error validate(const Options& options, ValidatedOptions& out);
 
-// A whole list, numbered `seq`.
+// Validates `servers` and converts them to a complete list with the sequence number `seq`.
 Error to_server_list(const std::vector<ServerOptions>& servers, const std::vector<std::string>& zones,
                      std::size_t max_servers, std::uint64_t seq, ServerList& out);
 
-// A request as it came at `came_at`, with its id filled in, and the token of its duty, where it has one.
-// Throws RequestRejection.
+// Validates and converts a request that was received at `received_at` and has its id filled in. `token` is
+// the fencing token of its duty, 0 if it has none. Throws RequestRejection.
 Call to_call(Request&& request, const RequestValidator& request_validator,
              const std::vector<std::string>& classes, const quinceusher::Settings& settings,
              ByteBudget& budget, double received_at, std::uint64_t token = 0);
--- a/gateway/gateway.cpp
+++ b/gateway/gateway.cpp
@@ -17,13 +17,13 @@
   std::string message(int code) const override {
     switch (static_cast<Errc>(code)) {
       case Errc::kBadOption:
-        return "an option can't be used";
+        return "invalid option";
       case Errc::kUnknownClass:
         return "unknown request class";
       case Errc::kUnknownTenant:
         return "unknown tenant";
       case Errc::kBadRequest:
-        return "the request can't be used";
+        return "invalid request";
       case Errc::kRequestIdInUse:
         return "a request with this id is open";
       case Errc::kBodyTooLong:
@@ -31,14 +31,15 @@
       case Errc::kStopping:
         return "the gateway is stopping";
       case Errc::kDutyNotHeld:
-        return "the duty is not held";
+        return "the gateway does not hold the duty";
       case Errc::kFull:
-        return "the gateway has no room";
+        return "the gateway is at its limits";
     }
     return "unknown error " + std::to_string(code);
   }
 };
 
+// Opens a gateway on `loop`, or on a thread of its own if `loop` is null.
 std::unique_ptr<Gateway> open_gateway(boost::asio::io_context* loop, Options&& options, Error& error) {
   ValidatedOptions validated;
   error = validate(options, validated);
@@ -49,7 +50,8 @@
     return std::make_unique<Gateway>(std::move(impl));
   } catch (const std::bad_alloc&) {
     throw;
-  } catch (const std::exception& problem) {  // settings that the module can't use, or no thread or descriptor
+  } catch (const std::exception& problem) {  // settings that the decision module rejects, or no thread or
+                                             // file descriptor available
     error = {Errc::kBadOption, problem.what()};
     return nullptr;
   }
--- a/gateway/impl.cpp
+++ b/gateway/impl.cpp
@@ -14,9 +14,10 @@
 
 namespace asio = boost::asio;
 
-constexpr std::size_t kBodyMemoryDivisor = 3;  // of the memory, the part that bodies may take up: a third
-constexpr double kMaxDeadline = 3;             // s; as the daemon after SIGTERM
-constexpr double kFinalAnswersDelay = 0.45;    // s over the longest deadline; what is open then is answered
+constexpr std::size_t kBodyMemoryDivisor = 3;  // bodies may take up this part of the memory: a third
+constexpr double kMaxDeadline = 3;             // s; as in the daemon's drain
+constexpr double kFinalAnswersDelay =
+    0.45;  // s after the longest deadline, when all open requests are answered
 
 using Loggers = GatewayLoggers;
 
@@ -25,7 +26,8 @@
   return (static_cast<std::uint64_t>(device()) << 32) | device();
 }
 
-// Names that other processes don't come upon: mixed after SplitMix64 (Steele, Lea, Flood 2014).
+// Generates request ids that don't collide with those of other processes, by the mixing function of
+// SplitMix64 (Steele, Lea, Flood 2014).
 std::string make_request_id(std::uint64_t seed, Ticket ticket) {
   std::uint64_t z = seed + ticket * 0x9E3779B97F4A7C15ULL;
   z = (z ^ (z >> 30)) * 0xBF58476D1CE4E5B9ULL;
@@ -35,7 +37,7 @@
   return out;
 }
 
-// A log that fails must not fail a request.
+// Ignores exceptions from loggers, as a failing logger must not fail a request.
 void log_to(const Loggers& loggers, const LogEvent& event) noexcept {
   try {
     if (loggers.on_line) loggers.on_line(event.text);
@@ -95,7 +97,7 @@
   if (own_loop_) work_guard_.emplace(own_loop_->get_executor());
 }
 
-// What is held goes to the table for other threads before anybody is told of it.
+// Updates held_duties_ before the application is told of a change, so that duty_token() already reflects it.
 void Gateway::Impl::track_duties() {
   duties_->set_state_listener([this] {
     const std::lock_guard lock(mutex_);
@@ -116,7 +118,7 @@
   });
 }
 
-// What is posted to the loop keeps the gateway's inside until it has run, or goes with the loop.
+// A posted task keeps this object alive until it has run or is destroyed with the loop.
 template <class F>
 void Gateway::Impl::on_loop(F f) {
   asio::post(loop_, [self = shared_from_this(), f = std::move(f)]() mutable { f(); });
@@ -140,7 +142,7 @@
       }
     }
     if (validated_.servers)
-      engine_.on_server_list(*validated_.servers);  // else discovery's, known or to come
+      engine_.on_server_list(*validated_.servers);  // otherwise the last known list or one from discovery
   });
   if (!own_loop_) return;
   thread_ = std::thread([self = shared_from_this()] {
@@ -148,7 +150,7 @@
       try {
         self->loop_.run();
         return;
-      } catch (const std::exception& surprise) {  // one connection's trouble must not end the others
+      } catch (const std::exception& surprise) {  // an error on one connection must not end the others
         self->log(nettlestand::unexpected_error("gateway", surprise.what()));
       }
     }
@@ -167,14 +169,14 @@
     response.outcome = Outcome::kShutDown;
     complete(std::move(pending->done), std::move(response));
   }
-  // Twice: what the end has cancelled comes in between, and must still find the gateway's inside.
+  // Posted twice: handlers that the shutdown has cancelled run in between and still need this object.
   on_loop([this] {
     shut_down();
     on_loop([this] { work_guard_.reset(); });
   });
   if (!thread_.joinable()) return;
   if (thread_.get_id() == std::this_thread::get_id()) {
-    thread_.detach();  // it holds what it needs, and ends by itself
+    thread_.detach();  // it shares ownership of this object and ends by itself
   } else {
     thread_.join();
   }
@@ -218,7 +220,7 @@
 
 Ticket Gateway::Impl::submit_to_engine(const std::shared_ptr<Pending>& pending) {
   on_loop([this, pending] {
-    if (!is_pending(pending->ticket)) return;  // cancelled, or shut down, before it came here
+    if (!is_pending(pending->ticket)) return;  // cancelled or shut down before this task ran
     if (engine_.has_request(pending->call.client_id)) {
       Response response;
       response.outcome = Outcome::kInvalid;
@@ -239,7 +241,7 @@
   if (request.id.empty()) request.id = make_request_id(request_id_seed_, ticket);
   std::uint64_t token = 0;
   if (!request.duty.empty() && (token = duty_token(request.duty)) == 0) {
-    finish(ticket, refusal(Errc::kDutyNotHeld, "the duty is not this gateway's"));
+    finish(ticket, refusal(Errc::kDutyNotHeld, "this gateway does not hold the duty"));
     return ticket;
   }
   try {
@@ -348,14 +350,14 @@
   return pending_.size();
 }
 
-// Guards the loop and the executor's threads against what completions throw.
+// Exceptions from completions are caught, as they must not reach the loop or the executor's threads.
 void Gateway::Impl::complete(Completion done, Response&& response) {
   if (!done) return;
   struct CompletionCall {
     Completion done;
     Response response;
   };
-  // Holds nothing of the gateway: it may be run when both the gateway and its loop are gone.
+  // Holds no reference to the gateway: it may run after both the gateway and its loop are gone.
   post_task([logger = loggers_, call = CompletionCall{std::move(done), std::move(response)}]() mutable {
     try {
       call.done(std::move(call.response));
--- a/gateway/impl.h
+++ b/gateway/impl.h
@@ -1,5 +1,5 @@
-// A gateway's inside: the core and its HTTP transport on one loop, and the table of what completions are
-// owed.
+// The implementation of Gateway: the core and its HTTP transport on one event loop, and the table of open
+// requests with their completions.
 #pragma once
 
 #include <atomic>
@@ -30,6 +30,7 @@
 
 namespace nettlestand {
 
+// The application's loggers. Shared, as a completion may log after the gateway is gone.
 struct GatewayLoggers {
   std::function<void(std::string_view)> on_line;
   std::function<void(const LogEvent&)> on_event;
@@ -39,15 +40,16 @@
   Call call;
 };
 
-// The table is for any thread, under its lock, and says who is owed an answer: whoever takes a request out of
-// it posts its completion. All else lives on the loop's thread.
+// The table of open requests is guarded by a mutex and used from any thread. Whoever removes a request from
+// it posts its completion, so each completion is called exactly once. Everything else is used on the loop's
+// thread only.
 class Gateway::Impl : public std::enable_shared_from_this<Impl> {
  public:
-  // Without a loop it has one, and a thread, of its own.
+  // Runs on `loop`, or, if it is null, on a loop and a thread of its own.
   Impl(Options options, ValidatedOptions validated, boost::asio::io_context* loop);
 
   void start();
-  // Posts what is owed as shut down, and the rest of the end to the loop.
+  // Posts kShutDown to the completions of all open requests, and the rest of the shutdown to the loop.
   void close();
 
   Ticket submit(Request&& request, Completion&& done);
@@ -67,33 +69,38 @@
   const Engine& engine() const { return engine_; }
 
  private:
-  // One submitted request. In the table until its completion is posted.
+  // A submitted request. It is in the table until its completion is posted.
   struct Pending final : Caller {
     void answered(Reply&& reply) override { owner->answered(*this, std::move(reply)); }
-    // Cancelled on another thread, and the loop has not come to that yet.
+    // True if the request was cancelled on another thread and the loop has not processed that yet.
     bool left() const override { return !owner->is_pending(ticket); }
-    Impl* owner = nullptr;  // outlives it: the engine, which holds it, is the owner's
+    Impl* owner = nullptr;  // outlives this object, as it owns the engine that holds this object
     Ticket ticket = 0;
-    Call call;                 // until the engine has it
-    std::uint64_t number = 0;  // the engine's; loop's thread only
-    Completion done;           // whoever takes it out of the table may touch it
+    Call call;                 // moved to the engine on submission
+    std::uint64_t number = 0;  // the engine's number of the request; loop's thread only
+    Completion done;           // used only by whoever removes the request from the table
   };
 
-  // Puts it into the table, or posts why not. 0: not.
+  // Adds a request to the table. Returns null and posts a refusal if the gateway is stopping or full.
   std::shared_ptr<Pending> register_request(Completion& done, Ticket& ticket);
+  // Posts the request to the loop, where it is submitted to the engine.
   Ticket submit_to_engine(const std::shared_ptr<Pending>& pending);
   void answered(Pending& pending, Reply&& reply);
-  // Takes it out of the table; false where somebody else has.
+  // Removes a request from the table. Returns false if it is no longer there.
   bool remove_pending(Ticket ticket, std::shared_ptr<Pending>* out = nullptr);
   bool is_pending(Ticket ticket) const;
+  // Removes a request from the table and posts its completion. Returns false if it is no longer there.
   bool finish(Ticket ticket, Response&& response);
+  // Posts a completion, which logs what `done` throws.
   void complete(Completion done, Response&& response);
+  // Posts to the application's executor, or else to the loop.
   void post_task(UniqueFunction<void()> task);
   template <class F>
   void on_loop(F f);
   Response refusal(Errc code, const char* text) const;
   void end_if_drained();
   void shut_down();
+  // Keeps held_duties_ up to date for other threads.
   void track_duties();
   void log(const LogEvent& event) const noexcept;
 
@@ -118,7 +125,7 @@
   const std::uint64_t request_id_seed_;
   std::atomic<std::uint64_t> server_list_sequence_{0};
 
-  mutable std::mutex mutex_;  // guards what follows
+  mutable std::mutex mutex_;  // guards the members below
   std::unordered_map<Ticket, std::shared_ptr<Pending>> pending_;
   Ticket last_ticket_ = 0;
   bool stopping_ = false;
@@ -126,7 +133,8 @@
     std::uint64_t token = 0;
     double until = 0;  // s on now()'s clock
   };
-  std::unordered_map<std::string, HeldDuty> held_duties_;  // duties, as the loop last knew
+  std::unordered_map<std::string, HeldDuty>
+      held_duties_;  // by duty name, as last reported on the loop's thread
 };
 
 }  // namespace nettlestand
--- a/include/nettlestand/asio.h
+++ b/include/nettlestand/asio.h
@@ -1,11 +1,11 @@
-// A gateway on an application's own Boost.Asio loop, and completions on Asio's executors. The loop must be
-// run by one thread. The library and the application must agree on Boost's version and on the settings of
-// Asio that change the layout of its types: where they don't, this does not compile, or does not link for
-// want of the symbol that is named after the library's version of Boost.
+// Runs a gateway on an application's own Boost.Asio loop, and completions on Asio executors. One thread must
+// run the loop. The library and the application must use the same Boost version and the same Asio settings
+// that change the layout of its types. Otherwise this header does not compile, or the application does not
+// link, as the symbol named after the Boost version is missing.
 #pragma once
 
 #include <boost/version.hpp>
-#include <utility>  // Boost 1.74 needs it before its own headers
+#include <utility>  // Boost 1.74 requires it before its own headers
 
 #if defined(BOOST_ASIO_DISABLE_THREADS) || defined(BOOST_ASIO_ENABLE_HANDLER_TRACKING) || \
     defined(BOOST_ASIO_DISABLE_EPOLL) || defined(BOOST_ASIO_DISABLE_TIMERFD) ||           \
@@ -31,16 +31,17 @@
 
 namespace nettlestand {
 
-// A gateway on this loop, which one thread runs; the gateway's thread is that one. The loop must outlive the
-// call of the gateway's destructor. Null, and `error` says why, where Options can't be used.
+// Use open_on() instead, which passes the Boost version that the application was compiled with.
 NETTLESTAND_API std::unique_ptr<Gateway> open_on_loop(boost::asio::io_context& loop, Options options,
                                                       Error& error, int built_with_boost);
 
+// Opens a gateway on `loop`; the one thread that runs the loop is the gateway's thread. The loop must outlive
+// the call of the gateway's destructor. Returns null and sets `error` if the options are invalid.
 inline std::unique_ptr<Gateway> open_on(boost::asio::io_context& loop, Options options, Error& error) {
   return open_on_loop(loop, std::move(options), error, NETTLESTAND_BUILT_WITH_BOOST);
 }
 
-// For Options::executor: completions are posted to this executor of Asio's.
+// Wraps an Asio executor for Options::executor: completions are posted to it.
 template <class AsioExecutor>
 std::shared_ptr<Executor> make_executor(AsioExecutor executor) {
   struct PostingExecutor final : Executor {
@@ -58,8 +59,8 @@
   return make_executor(std::move(executor));
 }
 
-// submit() with a completion token, such as boost::asio::use_future; a handler runs on its associated
-// executor, by default the loop's. Its signature is void(Response).
+// Gateway::submit() with an Asio completion token, such as boost::asio::use_future. The handler, with the
+// signature void(Response), runs on its associated executor, by default that of the loop.
 template <class Token>
 auto async_submit(Gateway& gateway, boost::asio::io_context& loop, Request request, Token&& token) {
   return boost::asio::async_initiate<Token, void(Response)>(
--- a/include/nettlestand/drain.h
+++ b/include/nettlestand/drain.h
@@ -1,35 +1,35 @@
-// How the daemon ends after SIGTERM, for whoever else ends so: what holds how long after the signal. No
-// clock.
+// The schedule by which the daemon drains after SIGTERM, for other programs that drain in the same way. Pure
+// arithmetic on the time since the signal; it reads no clock.
 #pragma once
 
 #include <algorithm>
 
 namespace nettlestand {
 
-// New connections still come for up to 0.4 s after the signal, and SIGKILL no sooner than the longest
-// deadline (3 s at most) and 0.7 s after it.
+// Assumes that new connections arrive for up to 0.4 s after the signal, and that SIGKILL comes no sooner than
+// 0.7 s plus the longest deadline (at most 3 s) after the signal.
 class DrainPlan {
  public:
-  // `alone`: the only node before its tier; clients have no other to go to. `longest_deadline`: s, of all
-  // classes.
+  // `is_only_node`: no other node serves this tier, so clients can't go elsewhere. `longest_deadline`: the
+  // longest deadline of all request classes, in seconds.
   DrainPlan(bool is_only_node, double longest_deadline)
       : is_only_node_(is_only_node),
         final_answers_at_(std::min(longest_deadline, kMaxDeadline) + kFinalAnswersDelay) {}
 
-  // All take the seconds since the signal.
+  // All functions take the time since the signal in seconds.
   bool accepts_connections(double since) const { return since < kAcceptPeriod; }
-  // Answers end their connections from here on, and what is idle is closed. Guards the clients of a node that
-  // restarts alone: closing their connections at the signal leaves them without service for seconds in which
+  // Whether each answer now closes its connection and idle connections are closed. An only node does this
+  // late: closing its connections at the signal would leave its clients without service for seconds in which
   // it can still serve.
   bool closes_connections(double since) const {
     const double closes_at = is_only_node_ ? final_answers_at_ - kOnlyNodeLeadTime
                                            : final_answers_at_ - kFinalAnswersDelay - kRedirectLeadTime;
     return since >= std::max(kAcceptPeriod, closes_at);
   }
-  // What is open is answered now.
+  // Whether all open requests are answered now, as if their deadlines had passed.
   bool expires_open_requests(double since) const { return since >= final_answers_at_; }
-  // It ends: at once where no connection is left, at the latest when the last answers have had time to be
-  // written.
+  // Whether the process may exit: as soon as no connection is left, at the latest when the final answers have
+  // had time to be written.
   bool is_finished(double since, bool has_connections) const {
     return (since >= kAcceptPeriod + 0.1 && !has_connections) || since >= final_answers_at_ + kFlushPeriod;
   }
@@ -51,10 +51,10 @@
   static constexpr double kAcceptPeriod = 0.55;  // s
   static constexpr double kMaxDeadline = 3;      // s
   static constexpr double kRedirectLeadTime =
-      1.2;  // s before the longest deadline, clients are sent to other nodes
-  static constexpr double kOnlyNodeLeadTime = 0.1;  // s before the last answers, where there is no other node
-  static constexpr double kFinalAnswersDelay = 0.45;  // s over the longest deadline
-  static constexpr double kFlushPeriod = 0.1;         // s after that, for answers to be written
+      1.2;  // s before the longest deadline: clients move to other nodes
+  static constexpr double kOnlyNodeLeadTime = 0.1;    // s before the final answers, if this is the only node
+  static constexpr double kFinalAnswersDelay = 0.45;  // s after the longest deadline
+  static constexpr double kFlushPeriod = 0.1;         // s after the final answers, to write them
 
   bool is_only_node_;
   double final_answers_at_;
--- a/include/nettlestand/export.h
+++ b/include/nettlestand/export.h
@@ -1,4 +1,5 @@
-// What the library's binary shows, also where it is built with hidden visibility.
+// Marks the library's exported symbols, so that they are visible also when it is built with hidden
+// visibility.
 #pragma once
 
 #define NETTLESTAND_API __attribute__((visibility("default")))
--- a/include/nettlestand/function.h
+++ b/include/nettlestand/function.h
@@ -1,4 +1,4 @@
-// A function that is called at most by one owner: like std::function, but it need not be copyable.
+// A move-only counterpart of std::function, so that its target need not be copyable.
 #pragma once
 
 #include <memory>
@@ -20,7 +20,7 @@
   UniqueFunction(F&& f) : callable_(std::make_unique<CallableOf<std::decay_t<F>>>(std::forward<F>(f))) {}
 
   explicit operator bool() const { return callable_ != nullptr; }
-  // Only where it holds something.
+  // Requires a target.
   void operator()(Arguments... arguments) { callable_->invoke(std::forward<Arguments>(arguments)...); }
 
  private:
--- a/include/nettlestand/gateway.h
+++ b/include/nettlestand/gateway.h
@@ -1,6 +1,6 @@
-// nettlestand in an application's process: a gateway takes requests, sends them on to one tier of servers,
-// and answers each exactly once: served, refused or failed. Needs the standard library alone; a gateway on an
-// application's own Boost.Asio loop is opened by nettlestand/asio.h.
+// nettlestand as a library: a gateway in the application's process forwards requests to one tier of servers
+// and answers each of them exactly once. Requires only the standard library; nettlestand/asio.h opens a
+// gateway on an application's own Boost.Asio loop.
 #pragma once
 
 #include <chrono>
@@ -15,17 +15,17 @@
 
 namespace nettlestand {
 
-// Mistakes that an application can make.
+// Errors in how the application uses the library, and reasons of the gateway to refuse a request.
 enum class Errc {
-  kBadOption = 1,  // Options that can't be used; the text names the field
-  kUnknownClass,   // of a request
+  kBadOption = 1,  // invalid options; the text names the field
+  kUnknownClass,   // the request names a class that is not in Options
   kUnknownTenant,
-  kBadRequest,      // anything else about a request that can't be used; the text says what
-  kRequestIdInUse,  // a request with this id is open, or has attempts out
+  kBadRequest,      // any other invalid part of a request; the text names it
+  kRequestIdInUse,  // a request with this id is open or has attempts in flight
   kBodyTooLong,     // over 64 KiB
-  kStopping,        // the gateway takes nothing more
-  kFull,            // max_open, or no memory to spare
-  kDutyNotHeld,     // the request's duty is not this gateway's (any more)
+  kStopping,        // the gateway is draining and accepts no requests
+  kFull,            // max_open or the memory limit is reached
+  kDutyNotHeld,     // this gateway does not hold the request's duty (any more)
   kIdIsOpen [[deprecated("use kRequestIdInUse")]] = kRequestIdInUse,
   kNotHeld [[deprecated("use kDutyNotHeld")]] = kDutyNotHeld
 };
@@ -34,103 +34,110 @@
 
 struct Error {
   std::error_code code;
-  std::string text;  // for people: what is wrong, and of which field
+  std::string text;  // for people: the field and what is wrong with it
   explicit operator bool() const { return static_cast<bool>(code); }
 };
 
 struct Request {
   std::string request_class;    // as Options name it
-  std::string tenant;           // as Options name it; empty where they name none
-  std::string id;               // new with every request, to 128 bytes; empty: the gateway makes one
-  std::string idempotency_key;  // to 128 bytes; for keyed classes, and only for those
-  std::string target = "/api";  // path and query as servers get them, to 2,048 bytes
+  std::string tenant;           // as Options name it; empty if they name no tenants
+  std::string id;               // unique for each request, up to 128 bytes; empty: the gateway generates one
+  std::string idempotency_key;  // up to 128 bytes; required for keyed classes, not allowed for others
+  std::string target = "/api";  // path and query, up to 2,048 bytes
   std::string host = "service.internal";
-  std::string cookie, content_type;      // passed on where they are not empty
-  std::string body;                      // to 64 KiB; none for safe classes
-  std::chrono::milliseconds timeout{0};  // from submit(); 0: the class's deadline; to 600 s
-  std::chrono::microseconds work{0};     // a guess at the server's work; 0: none
-  // Made under a duty: refused where this gateway does not hold it, else sent on with its token
-  // (Fencing-Token), for servers to turn away lower ones than they have seen.
+  std::string cookie, content_type;      // forwarded if not empty
+  std::string body;                      // up to 64 KiB; empty for safe classes
+  std::chrono::milliseconds timeout{0};  // counted from submit(), up to 600 s; 0: the class's deadline
+  std::chrono::microseconds work{0};     // estimated work for the server; 0: unknown
+  // Duty under which the request is made, or empty. Refused if this gateway does not hold the duty; otherwise
+  // sent with its fencing token (header Fencing-Token), so that servers can reject tokens lower than one they
+  // have seen.
   std::string duty;
-  bool is_repeat = false;  // a further try of the application's own client
+  bool is_repeat = false;  // a retry by the application's own client
 };
 
+// How a request ended.
 enum class Outcome {
-  kServed,     // a server's 200
-  kRefused,    // nothing has run: trying again is harmless, best after `retry_after`
-  kFailed,     // nothing is promised: it may have run, unless its class is safe to ask again
-  kTimedOut,   // as kFailed, for its time was up
-  kInvalid,    // `error` says why; nothing has run
-  kCancelled,  // by cancel(): it may have run
-  kShutDown    // the gateway ended before its answer: it may have run
+  kServed,     // a server answered 200
+  kRefused,    // not executed: a retry is harmless, best after `retry_after`
+  kFailed,     // may have been executed, so a retry is harmless only for safe classes
+  kTimedOut,   // as kFailed, as the deadline passed
+  kInvalid,    // invalid, see `error`; not executed
+  kCancelled,  // cancelled by cancel(); may have been executed
+  kShutDown    // the gateway was destroyed before the answer; may have been executed
 };
 
 struct Response {
   Outcome outcome = Outcome::kFailed;
-  Error error;  // of kInvalid; of kRefused where the gateway itself had no room or is stopping
-  std::string body, content_type;            // of kServed
-  std::chrono::microseconds retry_after{0};  // of kRefused; 0: no advice
-  // As the daemon answers: 200, 503, 502, 504; 400, 409 or 413 for kInvalid; 499 for kCancelled.
+  Error error;  // set for kInvalid, and for kRefused if the gateway is full, is stopping or does not hold the
+                // duty
+  std::string body, content_type;            // set for kServed
+  std::chrono::microseconds retry_after{0};  // set for kRefused; 0: no advice
+  // The HTTP status with which the daemon answers: 200, 503, 502 or 504; 400, 409 or 413 for kInvalid; 499
+  // for kCancelled.
   NETTLESTAND_API int status() const;
 };
 
-// Called exactly once for each submit(), on Options::executor, never inside submit(). What it throws is
+// Called exactly once for each submit(), on Options::executor, never inside submit(). Exceptions from it are
 // caught and logged.
 using Completion = UniqueFunction<void(Response)>;
 
-// Names one submitted request. Never reused by its gateway; 0 names none.
+// Identifies a submitted request. A gateway never reuses one; 0 is not a ticket.
 using Ticket = std::uint64_t;
 
 class HttpCall;
 
-// All members may be called from any thread, and from within completions, unless they say otherwise.
+// Forwards requests to one tier of servers. All members may be called from any thread and from within
+// completions, unless they say otherwise.
 class NETTLESTAND_API Gateway {
  public:
-  // A gateway on a thread of its own. Null, and `error` says why, where it can't be: Options that can't be
-  // used, or no thread. Throws only std::bad_alloc.
+  // Opens a gateway that runs on a thread of its own. Returns null and sets `error` if the options are
+  // invalid or no thread can be started. Throws only std::bad_alloc.
   static std::unique_ptr<Gateway> open(Options options, Error& error);
 
-  // Completions that are still owed are posted as kShutDown, at once; connections are closed by the gateway's
-  // thread. A thread of its own is joined, unless this is called on it. On an application's loop nothing is
-  // waited for: what is left goes with the loop's next turns, or with the loop; that loop must outlive this
-  // call.
+  // Posts kShutDown to the completion of each open request at once; the gateway's thread closes the
+  // connections. A thread of its own is joined, unless this is called on that thread. On an application's
+  // loop nothing is waited for: the rest is released when the loop next runs, or with the loop, which must
+  // outlive this call.
   ~Gateway();
   Gateway(const Gateway&) = delete;
   Gateway& operator=(const Gateway&) = delete;
 
-  // Takes a request; `done` gets its one final answer.
+  // Submits a request; `done` gets its one final answer.
   Ticket submit(Request request, Completion done);
-  // One that HttpReader has read.
+  // Submits a request that HttpReader has read.
   Ticket submit(HttpCall call, Completion done);
 
-  // Nothing more is wanted of it: `done` gets kCancelled unless its answer is already on the way, and
-  // attempts that are out are abandoned. False where it has been answered or the ticket names nothing.
+  // Cancels a request: `done` gets kCancelled unless its answer has already been posted, and attempts in
+  // flight are abandoned. Returns false if the request has been answered or the ticket is unknown.
   bool cancel(Ticket ticket);
 
-  // Takes nothing more from here on: what is submitted is refused with kStopping. What is open gets its
-  // answer, 3.45 s from now at the latest (sooner where every class's deadline is under 3 s). Then
-  // connections are closed and `done` is called, on the executor; without one, on the gateway's thread. Only
-  // the first call counts.
+  // Drains the gateway: further requests are refused with kStopping, and open requests get their answers
+  // within 3.45 s (sooner if the deadlines of all classes are under 3 s). Then connections are closed and
+  // `done` is called on the executor, or without one on the gateway's thread. Only the first call has an
+  // effect.
   void stop(UniqueFunction<void()> done = nullptr);
 
-  // Answers everything that is open now, as for deadlines that have come.
+  // Answers all open requests now, as if their deadlines had passed.
   void expire_all();
 
-  // Whether requests can be served: there is a server to send to, and discovery, where there is one, has been
-  // heard or asked.
+  // Whether requests can be served: there is a server to send to, and discovery, if configured, has delivered
+  // a list or had its time to do so.
   bool ready() const;
-  // Requests that have no answer yet.
+  // The number of requests without an answer.
   std::size_t open_requests() const;
 
-  // The guard of a duty's effects: its token while this gateway holds it, 0 else. To be asked at the last
-  // moment before each effect; the token goes with the effect to where it takes place.
+  // The fencing token of a duty while this gateway holds it, otherwise 0. Call it immediately before each
+  // effect of the duty, and send the token along to the system that performs the effect.
   std::uint64_t duty_token(const std::string& duty) const;
-  // It can't be done here: somebody else is to try. Asked for again after a pause that grows.
+  // Reports that this gateway can't perform the duty, so that another member takes it over. The gateway
+  // requests the duty again after an increasing backoff.
   void report_duty_failure(const std::string& duty);
 
-  // Replaces all servers, as a list from discovery would. Those that it lacks drain.
+  // Replaces all servers, as a list from discovery would. Servers that are not in the list drain.
   Error set_servers(const std::vector<ServerOptions>& servers);
-  // Asks discovery at another address from now on; until that has spoken, the old one still counts.
+  // Changes the address of discovery. The current list stays in use until discovery at the new address
+  // answers.
   Error set_discovery_address(const std::string& address);
 
   [[deprecated("use expire_all()")]] void answer_all() { expire_all(); }
@@ -142,8 +149,8 @@
   }
 
   class Impl;
-  explicit Gateway(std::shared_ptr<Impl> impl);  // the library's own
-  Impl& impl() const { return *impl_; }          // the library's own
+  explicit Gateway(std::shared_ptr<Impl> impl);  // internal
+  Impl& impl() const { return *impl_; }          // internal
 
  private:
   std::shared_ptr<Impl> impl_;
--- a/include/nettlestand/http.h
+++ b/include/nettlestand/http.h
@@ -1,6 +1,6 @@
-// For those who serve HTTP/1.1 themselves: reads a client's bytes as the daemon does, with the same checks
-// and the same answers, and gives what is for /api to a gateway. No sockets: bytes in, requests or verdicts
-// out.
+// For applications with an HTTP/1.1 server of their own: parses a client's bytes with the same checks and the
+// same error responses as the daemon, and yields requests for /api to submit to a gateway. Uses no sockets:
+// takes bytes and returns requests or rejections.
 #pragma once
 
 #include <memory>
@@ -14,7 +14,8 @@
 
 namespace nettlestand {
 
-// A sound request for /api, to be submitted. Its class's time counts from when its first bytes were read.
+// A valid request for /api, to be passed to Gateway::submit(). Its deadline counts from when its first bytes
+// were read.
 class NETTLESTAND_API HttpCall {
  public:
   HttpCall();
@@ -23,22 +24,22 @@
   ~HttpCall();
 
   struct Impl;
-  std::unique_ptr<Impl> impl;  // the library's own
+  std::unique_ptr<Impl> impl;  // internal
 };
 
-// What a client is told.
+// The response to an HTTP client.
 struct HttpResponse {
   int status = 500;
-  std::string retry_after;  // the header's value; empty: none
+  std::string retry_after;  // value of the Retry-After header; empty: none
   std::string content_type, body;
-  bool close = false;  // the connection ends with it
+  bool close = false;  // close the connection after this response
 
   // Status line, headers and body.
   NETTLESTAND_API std::string serialize() const;
   [[deprecated("use serialize()")]] std::string bytes() const { return serialize(); }
 };
 
-// The answer to a request, from what its completion got.
+// Converts the response that a completion received.
 NETTLESTAND_API HttpResponse http_response(Response response);
 
 using HttpAnswer [[deprecated("use HttpResponse")]] = HttpResponse;
@@ -46,53 +47,56 @@
   return http_response(std::move(response));
 }
 
-// Reads one connection's requests. Not for two threads at once. The gateway must outlive it.
+// Parses the requests of one connection. Not thread-safe. The gateway must outlive it.
 class NETTLESTAND_API HttpReader {
  public:
   enum class Step {
-    kNeedMore,  // all that was there is taken; more is needed
-    kHead,      // a sound head has come; read() goes on with its body
-    kRequest,   // a whole request is there
-    kRejected,  // the client gets verdict(), and nothing that follows it on this connection can be read
+    kNeedMore,  // all input is consumed, and more is needed
+    kHead,      // the head is complete and valid; read() continues with the body
+    kRequest,   // the request is complete
+    kRejected,  // send rejection_response(); nothing after it on this connection can be read
     kMore [[deprecated("use kNeedMore")]] = kNeedMore,
     kTurnedAway [[deprecated("use kRejected")]] = kRejected
   };
 
-  // `other_body_limit`: bytes of the body of a request that is not for /api. Heads are of 8 KiB at most.
+  // `other_body_limit`: maximum body size in bytes of a request that is not for /api. Heads are limited to 8
+  // KiB.
   explicit HttpReader(Gateway& gateway, std::size_t other_body_limit = 64 * 1024);
   ~HttpReader();
   HttpReader(const HttpReader&) = delete;
   HttpReader& operator=(const HttpReader&) = delete;
 
-  // Takes from the front of `in` what belongs to the request at hand. After kRequest: forget() before the
-  // next.
+  // Consumes from the front of `input` what belongs to the current request. After kRequest, call reset()
+  // before reading the next request.
   Step read(std::string& input);
 
-  // From kHead on.
-  bool for_gateway() const;       // its path is /api
-  bool expects_continue() const;  // the client waits for "100 Continue" before it sends the body
+  // Available from kHead on.
+  bool for_gateway() const;       // whether the path is /api
+  bool expects_continue() const;  // whether the client waits for "100 Continue" before it sends the body
   bool keep_alive() const;
   std::string_view method() const;
   std::string_view target() const;
-  std::string_view path() const;  // the target without its query
+  std::string_view path() const;  // the target without the query
   struct Field {
     std::string_view name, value;
   };
   std::vector<Field> fields() const;
-  // At kRequest; empty once call() has taken it.
+  // Available at kRequest; empty after take_call().
   std::string_view body() const;
-  // At kRequest, where for_gateway(): once. False, and verdict() says why, where it can't be used.
+  // Moves out the request for the gateway. May be called once, at kRequest, if for_gateway(). Returns false
+  // if the request is invalid; see rejection_response().
   bool take_call(HttpCall& out);
-  // At kTurnedAway, or where call() was false.
+  // The error response, at kRejected or after take_call() has returned false.
   HttpResponse rejection_response() const;
-  // At kRequest: the request as another server may read it, without a doubt where it ends: framed by a
-  // length, without what belongs to one connection but an upgrade. `lines`: further header lines, each with
-  // its line end; a client's own header of the name `without` is left out. Its body is empty once call() has
-  // taken it.
+  // At kRequest: the request serialized for another HTTP server, so that its end is unambiguous: framed by
+  // Content-Length and without hop-by-hop headers, except those of an upgrade. `extra_headers`: further
+  // header lines, each with its line end. Headers of the client with the name `excluded_header` are dropped.
+  // The body is empty after take_call().
   std::string normalized_request(std::string_view extra_headers, std::string_view excluded_header) const;
-  // Whether it asks for another protocol on its connection.
+  // Whether the request asks for an upgrade to another protocol.
   bool is_upgrade() const;
 
+  // Releases everything held for the current request, so that the next one can be read.
   void reset();
 
   [[deprecated("use take_call()")]] bool call(HttpCall& out) { return take_call(out); }
--- a/include/nettlestand/log.h
+++ b/include/nettlestand/log.h
@@ -1,5 +1,4 @@
-// What a node or a gateway says about itself: one event a line, with a name that does not change, and fields
-// that a machine can read.
+// Structured log events of a node or a gateway: each has a stable name and machine-readable fields.
 #pragma once
 
 #include <cstdint>
@@ -13,14 +12,14 @@
 
 enum class LogLevel { kDebug, kInfo, kWarning, kError };
 
-// A name of lower-case letters and underscores, and its value. Units are part of the name, as in after_ms.
+// The name consists of lower-case letters and underscores and includes the unit, as in after_ms.
 struct LogField {
   std::string_view name;
   std::variant<std::string, std::int64_t, double, bool> value;
 };
 
-// Views and fields hold while the event is told. Component and event together are the event's name for good:
-// alerts may rest on them. `text` is a sentence for people and may change.
+// Views and fields are valid only during the call of the logger. Component and event together form the stable
+// name of the event, on which alerts may rely. `text` is a sentence for people and may change.
 struct LogEvent {
   LogLevel level = LogLevel::kInfo;
   std::string_view component;  // discovery, listener, upstream, decisions, engine, node or gateway
--- a/include/nettlestand/version.h
+++ b/include/nettlestand/version.h
@@ -1,4 +1,4 @@
-// The version of the library and of the program, after https://semver.org.
+// The version of the library and of the program; see https://semver.org.
 #pragma once
 
 #define NETTLESTAND_VERSION "0.2.0"
--- a/tests/library/options_test.cpp
+++ b/tests/library/options_test.cpp
@@ -1,4 +1,4 @@
-// Mistakes that an application can make come back as a code and a text.
+// Tests that invalid options and requests are reported with an error code and a text.
 #include <functional>
 
 #include "tests/library/application.h"
@@ -15,24 +15,24 @@
   const std::vector<Case> cases = {
       {[](Options& o) { o.classes.clear(); }, "classes: 0 is not from 1 to 100"},
       {[](Options& o) { o.classes[0].name = ""; }, "classes[0].name: is not 1 to 128 bytes"},
-      {[](Options& o) { o.classes[0].name = "a\r\nb"; }, "classes[0].name: holds a control character"},
-      {[](Options& o) { o.classes[1].name = "look"; }, "classes[1].name: 'look' stands there twice"},
+      {[](Options& o) { o.classes[0].name = "a\r\nb"; }, "classes[0].name: contains a control character"},
+      {[](Options& o) { o.classes[1].name = "look"; }, "classes[1].name: 'look' is listed more than once"},
       {[](Options& o) { o.classes[0].deadline = milliseconds(0); },
        "classes[0].deadline: 0 is not from 0.001 to 3600"},
       {[](Options& o) { o.classes[0].aim = milliseconds(-1); }, "classes[0].aim: -0.001 is not"},
       {[](Options& o) { o.classes[0].late_worth = 2; }, "classes[0].late_worth: 2 is not from 0 to 1"},
       {[](Options& o) { o.classes[2].dedup_window = milliseconds(1); },
-       "classes[2].dedup_window: belongs to keyed"},
+       "classes[2].dedup_window: is only valid for keyed"},
       {[](Options& o) {
          o.tenants = {{"a", std::nullopt}, {"a", 3}};
        },
-       "tenants[1].name: 'a' stands there twice"},
+       "tenants[1].name: 'a' is listed more than once"},
       {[](Options& o) {
          o.tenants = {{"a", -1}};
        },
        "tenants[0].allowance: -1 is not from 0 to"},
       {[](Options& o) { o.zones = {""}; }, "zones[0]: is not 1 to 128 bytes"},
-      {[](Options& o) { o.zone = "b"; }, "zone: 'b' is none of zones"},
+      {[](Options& o) { o.zone = "b"; }, "zone: 'b' is not in zones"},
       {[](Options& o) { o.peers = 0; }, "peers: 0 is not from 1 to 100000"},
       {[](Options& o) { o.position = 1; }, "position: 1 is not from 0 to 0"},
       {[](Options& o) { o.max_attempts = 0; }, "max_attempts: 0 is not"},
@@ -50,8 +50,9 @@
       {[](Options& o) { o.servers[0].address = "127.0.0.1:70000"; }, "servers[0].address: '127.0.0.1:70000'"},
       {[](Options& o) { o.servers[0].name = std::string(256, 'x'); },
        "servers[0].name: is not 1 to 255 bytes"},
-      {[](Options& o) { o.servers.push_back(o.servers[0]); }, "servers[1].name: 's0' stands there twice"},
-      {[](Options& o) { o.servers[0].zone = "b"; }, "servers[0].zone: 'b' is none of zones"},
+      {[](Options& o) { o.servers.push_back(o.servers[0]); },
+       "servers[1].name: 's0' is listed more than once"},
+      {[](Options& o) { o.servers[0].zone = "b"; }, "servers[0].zone: 'b' is not in zones"},
       {[](Options& o) { o.servers[0].weight = 1e9; }, "servers[0].weight: 1000000000 is not"},
       {[](Options& o) { o.servers.resize(10000, o.servers[0]); }, "servers: more than 8192 for this memory"},
   };
@@ -66,13 +67,13 @@
   }
   Error error{Errc::kFull, "old"};
   EXPECT_NE(Gateway::open(options({1}), error), nullptr);
-  EXPECT_FALSE(error) << "and the last call's error is gone";
+  EXPECT_FALSE(error) << "the error of the last call is cleared";
 }
 
 TEST(Options, ServersAndDiscoveryAreCheckedWhenTheyChange) {
   const auto gateway = open(options({1}));
   EXPECT_EQ(gateway->set_servers({server("a", 1), server("a", 2)}).text,
-            "servers[1].name: 'a' stands there twice");
+            "servers[1].name: 'a' is listed more than once");
   EXPECT_EQ(gateway->set_discovery_address("nowhere").code, Errc::kBadOption);
   EXPECT_EQ(gateway->set_discovery_address("127.0.0.1:1").text,
             "discovery: this gateway was opened without one");
