--- a/examples/embedded/grades.cpp
+++ b/examples/embedded/grades.cpp
@@ -1,5 +1,6 @@
-// A service that closes tests at the marks servers, with a gateway in its own process. Usage: grades ADDRESS
-// [ADDRESS...], the servers' addresses and ports. It needs nothing but the library and the standard library.
+// A service with a gateway in its own process: it sends a lookup and an unsafe request to the servers. Usage:
+// grades ADDRESS [ADDRESS...], the servers' addresses and ports. Requires only the library and the standard
+// library.
 #include <cstdio>
 #include <future>
 #include <string>
@@ -17,7 +18,7 @@
   lookup.name = "lookup";
   lookup.effect = ns::Effect::kSafe;
   close.name = "test-close";
-  close.effect = ns::Effect::kUnsafe;  // never sent again once it may have run
+  close.effect = ns::Effect::kUnsafe;  // never retried once it may have run
   close.deadline = std::chrono::seconds(3);
   options.classes = {lookup, close};
   for (const std::string& address : addresses) {
@@ -26,7 +27,7 @@
     server.address = address;
     options.servers.push_back(server);
   }
-  options.sockets = 32;  // the share of this process's descriptors that it may hold
+  options.sockets = 32;  // number of this process's file descriptors that the gateway may use
   options.memory = 16 * 1024 * 1024;
   options.logger = [](std::string_view line) {
     std::fprintf(stderr, "gateway: %.*s\n", static_cast<int>(line.size()), line.data());
@@ -47,7 +48,7 @@
     request.request_class = name;
     request.timeout = std::chrono::milliseconds(2500);
     if (request.request_class == "test-close") request.body = "candidate=4711";
-    std::promise<ns::Response> answered;  // the completion comes on the gateway's thread, once
+    std::promise<ns::Response> answered;  // the completion runs once, on the gateway's thread
     gateway->submit(std::move(request),
                     [&](ns::Response response) { answered.set_value(std::move(response)); });
     const ns::Response response = answered.get_future().get();
--- a/examples/embedded/grades_asio.cpp
+++ b/examples/embedded/grades_asio.cpp
@@ -1,5 +1,5 @@
-// The same on an application's own Boost.Asio loop: everything runs on the one thread, and a request is
-// cancelled. Usage: grades_asio ADDRESS [ADDRESS...]
+// A gateway on an application's own Boost.Asio loop: everything runs on one thread, and one of two requests
+// is cancelled. Usage: grades_asio ADDRESS [ADDRESS...]
 #include <cstdio>
 #include <string>
 
@@ -33,7 +33,7 @@
   gateway->cancel(ticket);
   ns::async_submit(*gateway, loop, request, [&](ns::Response response) {
     served += response.outcome == ns::Outcome::kServed;
-    gateway->stop([&] { gateway.reset(); });  // and the loop runs out of work
+    gateway->stop([&] { gateway.reset(); });  // the loop then runs out of work
   });
   loop.run();
   std::printf("%d served, %d cancelled\n", served, cancelled);
--- a/include/nettlestand/middleware/httplib.h
+++ b/include/nettlestand/middleware/httplib.h
@@ -1,15 +1,15 @@
-// A gateway behind /api of an application's own cpp-httplib server (0.11): what comes there gets exactly what
-// the daemon gives, everything else goes on to the application's handlers.
+// A cpp-httplib server (0.11) that serves /api through a gateway, with exactly the responses of the daemon.
+// All other requests go to the application's handlers.
 //
 //     nettlestand::httplib::Server server(*gateway);   // is an ::httplib::Server
 //     server.Get("/own", ...);
 //     server.listen("127.0.0.1", 8080);
 //
-// Its pre-routing hook can't do this: no body has come by then, httplib has decided by rules of its own where
-// a request ends, and no hook can end a connection behind an error. So connections are read here, through
-// HttpReader, and what is for other routes is handed to httplib's own processing, whole and with a length. As
-// in any httplib server a connection holds a thread of the pool, also while it is idle: new_task_queue says
-// how many there are.
+// httplib's pre-routing hook can't do this: it runs before the body is read, httplib determines the end of a
+// request by rules of its own, and no hook can close a connection after an error. So this class reads
+// connections itself, through HttpReader, and passes requests for other routes to httplib's own processing,
+// complete and with Content-Length. As in any httplib server, each connection occupies a thread of the pool,
+// also while it is idle; new_task_queue determines the number of threads.
 #pragma once
 
 #include <httplib.h>
@@ -34,18 +34,19 @@
 
 namespace nettlestand::httplib {
 
+// An httplib server whose /api is served by a gateway.
 class Server : public ::httplib::Server {
  public:
-  // The gateway must outlive the server. It may not run its completions on the server's pool.
-  // `other_body_limit`: bytes of a body that is for another route.
+  // The gateway must outlive the server, and must not run its completions on the server's thread pool.
+  // `other_body_limit`: maximum body size in bytes of requests for other routes.
   explicit Server(Gateway& gateway, std::size_t other_body_limit = 64 * 1024)
       : gateway_(gateway),
         other_body_limit_(other_body_limit),
         drain_event_(::eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK)) {}
   ~Server() override { ::close(drain_event_); }
 
-  // As those of httplib, but for its accept queue of five: more than that at once would be left to come
-  // again, after a second or never.
+  // As in httplib, but with a longer accept queue. httplib's has a length of five: clients beyond that which
+  // connect at the same time would have to retry, after a second or never.
   bool bind_to_port(const std::string& host, int port, int socket_flags = 0) {
     return ::httplib::Server::bind_to_port(host, port, socket_flags) && enlarge_accept_queue();
   }
@@ -57,8 +58,8 @@
     return bind_to_port(host, port, socket_flags) && listen_after_bind();
   }
 
-  // Answers from now on end their connections, and what is idle is closed, as in the daemon's drain. Any
-  // thread.
+  // Closes idle connections, and each other connection after its next response, as the daemon does when it
+  // drains. May be called from any thread.
   void drain() {
     draining_ = true;
     const std::uint64_t one = 1;
@@ -69,13 +70,13 @@
 
  private:
   static constexpr std::size_t kMaxPipelinedBytes =
-      8 * 1024;  // bytes kept of a next request while one is answered
-  static constexpr std::size_t kMaxDiscardedBytes = 256 * 1024;  // bytes thrown away after the last answer
+      8 * 1024;  // bytes of further requests that are buffered while one is answered
+  static constexpr std::size_t kMaxDiscardedBytes = 256 * 1024;  // bytes discarded after the last response
   static constexpr int kAcceptQueueLength = 4096;                // connections
 
   bool enlarge_accept_queue() { return ::listen(svr_sock_, kAcceptQueueLength) == 0; }
 
-  // Waits for one answer: its completion makes a descriptor readable.
+  // The response to one request. Its completion makes the file descriptor `ready` readable.
   struct PendingResponse {
     PendingResponse() : ready(::eventfd(0, EFD_CLOEXEC)) {}
     ~PendingResponse() { ::close(ready); }
@@ -83,7 +84,7 @@
     Response response;
   };
 
-  // What httplib reads is a request that has come whole; what it writes goes to the client.
+  // The stream passed to httplib: it reads a complete request from memory and writes to the client's socket.
   class BufferedRequestStream : public ::httplib::Stream {
    public:
     BufferedRequestStream(socket_t socket, std::string text) : socket_(socket), text_(std::move(text)) {}
@@ -127,7 +128,7 @@
     std::size_t position_ = 0;
   };
 
-  // One connection, from the pool's thread that has it.
+  // Serves one connection on a thread of the pool.
   bool process_and_close_socket(socket_t socket) override {
     ++connections_;
     const int enabled = 1;
@@ -136,7 +137,7 @@
     ::setsockopt(socket, SOL_SOCKET, SO_SNDTIMEO, &send_timeout, sizeof send_timeout);
     try {
       serve_connection(socket);
-    } catch (const std::exception&) {  // memory, most likely: it ends this connection alone
+    } catch (const std::exception&) {  // most likely out of memory; only this connection is closed
     }
     ::close(socket);
     --connections_;
@@ -162,7 +163,7 @@
     }
   }
 
-  // Reads a whole request. False where the connection is over.
+  // Reads a complete request. Returns false if the connection is to be closed.
   bool read_request(socket_t socket, HttpReader& reader, std::string& input) {
     bool request_begun = false;
     auto started_at = std::chrono::steady_clock::now();
@@ -183,13 +184,13 @@
       const auto timeout = std::chrono::seconds(request_begun ? read_timeout_sec_ : keep_alive_timeout_sec_);
       const auto remaining = std::chrono::duration_cast<std::chrono::milliseconds>(
           started_at + timeout - std::chrono::steady_clock::now());
-      // The end of the server wakes those that wait for nothing but a next request.
+      // A drain wakes only connections that are idle.
       std::array<pollfd, 2> descriptors{
           {{socket, POLLIN, 0}, {request_begun ? -1 : drain_event_, POLLIN, 0}}};
       const int count = ::poll(descriptors.data(), descriptors.size(),
                                static_cast<int>(std::max<std::int64_t>(0, remaining.count())));
       if (count < 0) continue;
-      if (descriptors[0].revents == 0) return false;  // its time is up, or the server ends
+      if (descriptors[0].revents == 0) return false;  // timed out, or the server is draining
       if (!receive(socket, input)) return false;
       if (!request_begun) started_at = std::chrono::steady_clock::now();
     }
@@ -204,7 +205,8 @@
     return true;
   }
 
-  // Submits a request, and answers it unless its client leaves first. False where the connection is over.
+  // Submits a request and sends the response, unless the client disconnects first. Returns false if the
+  // connection is to be closed.
   bool submit_and_respond(socket_t socket, HttpCall call, bool keep_alive, std::string& input) {
     const auto pending = std::make_shared<PendingResponse>();
     const Ticket ticket = gateway_.submit(std::move(call), [pending](Response response) {
@@ -220,7 +222,7 @@
       if (descriptors[0].revents != 0) break;
       const bool client_gone = (descriptors[1].revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
       if (client_gone || ((descriptors[1].revents & POLLIN) != 0 && !receive(socket, input))) {
-        gateway_.cancel(ticket);  // nobody waits for its answer any more
+        gateway_.cancel(ticket);  // the client no longer waits for the response
         return false;
       }
     }
@@ -247,8 +249,8 @@
     return true;
   }
 
-  // Guards the answer: closing over unread bytes resets the connection and may take the answer with it. So
-  // what still comes is thrown away for a while.
+  // Discards incoming bytes for a while before the socket is closed: closing a socket with unread bytes
+  // resets the connection, and the client may then lose the response.
   static void linger(socket_t socket) {
     ::shutdown(socket, SHUT_WR);
     std::array<char, 16 * 1024> buffer;
@@ -267,7 +269,7 @@
 
   Gateway& gateway_;
   const std::size_t other_body_limit_;
-  const int drain_event_;  // readable once the server ends
+  const int drain_event_;  // readable once the server drains
   std::atomic<bool> draining_ = false;
   std::atomic<std::size_t> connections_ = 0;
 };
--- a/include/nettlestand/middleware/restinio.h
+++ b/include/nettlestand/middleware/restinio.h
@@ -1,22 +1,23 @@
-// A gateway behind a route of an application's own RESTinio server: what comes to /api gets exactly what the
-// daemon gives (intake, statuses, headers, rules), other routes go on to the application's handlers.
+// Serves /api of an application's own RESTinio server through a gateway, with exactly the validation,
+// statuses, headers and rules of the daemon. Other routes go to the application's handlers.
 //
 //     using traits_t = ...single thread traits with
 //         using stream_socket_t = nettlestand::restinio::Socket;
 //         using request_handler_t = restinio::sync_chain::fixed_size_chain_t<2>;
-//     auto door = std::make_shared<nettlestand::restinio::Door>(gateway);
-//     restinio::server_settings_t<traits_t>{}.door(door)
-//         .request_handler(nettlestand::restinio::handler(door), own)
+//     auto binding = std::make_shared<nettlestand::restinio::GatewayBinding>(gateway);
+//     restinio::server_settings_t<traits_t>{}.gateway_binding(binding)
+//         .request_handler(nettlestand::restinio::handler(binding), own)
 //
-// RESTinio's parser is more lenient than the daemon's reading, closes on what it can't parse without an
-// answer, and does not look at a connection while a request waits. So the clients' bytes are read below it:
-// the socket type reads through HttpReader, hands RESTinio whole and sound requests one at a time, and
-// notices a client that leaves. What is turned away reaches the chain as a request too, so that its answer
-// keeps its place; put the handler first there.
+// RESTinio's parser is more lenient than the daemon's, closes the connection without a response on input that
+// it can't parse, and does not watch the connection while a request is pending. So the socket type below it
+// parses the input through HttpReader, passes complete and valid requests to RESTinio one at a time, and
+// detects disconnects. A rejected request also reaches the handler chain as a request, so that its response
+// is sent in order; so put the handler first in the chain.
 //
-// One thread runs the server's io_context; the gateway may be on that loop or on a thread of its own.
-// Requests to other routes are read whole, with heads of up to 8 KiB and bodies of up to Door's limit. A
-// connection that asks for an upgrade elsewhere is left alone from there on.
+// One thread must run the server's io_context; the gateway may use that loop or a thread of its own. Requests
+// to other routes are read completely, with heads of up to 8 KiB and bodies of up to the limit of
+// GatewayBinding. After an upgrade request to another route, the connection's bytes are passed through
+// unchanged.
 #pragma once
 
 #include <sys/socket.h>
@@ -49,22 +50,23 @@
 using tcp = asio::ip::tcp;
 using boost::system::error_code;
 
-// The header by which a request that RESTinio has parsed finds what was read of it. Never taken from a
-// client.
+// The header that links a request parsed by RESTinio to the connection that holds its body. It is dropped
+// from clients' requests.
 inline constexpr const char* kRequestTokenHeader = "Nettlestand-Token";
 [[deprecated("use kRequestTokenHeader")]] inline constexpr const char* kToken = kRequestTokenHeader;
 
 class ClientConnection;
 
-// What all connections of one server share. Lives on the thread of the server's io_context. The gateway must
-// outlive the server.
+// Connects a RESTinio server to a gateway; all connections of the server share it. Use it only on the thread
+// of the server's io_context. The gateway must outlive the server.
 class GatewayBinding {
  public:
-  // `other_body_limit`: bytes of a body that is for another route.
+  // `other_body_limit`: maximum body size in bytes of requests for other routes.
   explicit GatewayBinding(Gateway& gateway, std::size_t other_body_limit = 64 * 1024)
       : gateway_(gateway), other_body_limit_(other_body_limit) {}
 
-  // Answers from now on end their connections, and what is idle is closed, as in the daemon's drain.
+  // Closes idle connections, and each other connection after its next response, as the daemon does when it
+  // drains.
   inline void drain();
   [[deprecated("use drain()")]] void finish() { drain(); }
   std::size_t connections() const { return connections_.size(); }
@@ -80,11 +82,11 @@
   bool draining_ = false;
   std::uint64_t last_token_ = 0;
   std::unordered_map<std::uint64_t, std::weak_ptr<ClientConnection>> pending_;  // by token
-  std::unordered_set<ClientConnection*> connections_;                           // of open connections
+  std::unordered_set<ClientConnection*> connections_;                           // open ones
   std::array<char, 16 * 1024> read_buffer_{};
 };
 
-// One connection, as seen from below RESTinio.
+// A client's connection: parses its input and supplies RESTinio with the requests.
 class ClientConnection : public std::enable_shared_from_this<ClientConnection> {
  public:
   using ReadHandler = UniqueFunction<void(error_code, std::size_t)>;
@@ -103,7 +105,7 @@
   const tcp::socket& socket() const { return socket_; }
   bool is_open() const { return open_ && socket_.is_open(); }
 
-  // RESTinio begins to read: the connection is there.
+  // Called when RESTinio starts to read from the accepted connection.
   void start() {
     open_ = true;
     binding_->connections_.insert(this);
@@ -119,16 +121,16 @@
     read_target_ = target;
     read_handler_ = std::move(done);
     to_restinio_.empty() && !client_gone_ ? parse()
-                                          : deliver();  // what has come behind the last request is read now
+                                          : deliver();  // parses input that arrived after the last request
   }
 
-  // RESTinio wants no more of the read that is out.
+  // Cancels RESTinio's pending read.
   void cancel() {
     if (read_handler_) post_read(asio::error::operation_aborted, 0);
   }
 
-  // Guards the answer: closing over unread bytes resets the connection and may take the answer with it. So
-  // what still comes is thrown away for a while.
+  // Discards incoming bytes for a while before the socket is closed: closing a socket with unread bytes
+  // resets the connection, and the client may then lose the response.
   void close() {
     if (!std::exchange(open_, false)) return;
     cancel_request();
@@ -148,19 +150,19 @@
     wait_readable();
   }
 
-  // Closes it unless something is being read, waits or is being answered.
+  // Closes the connection unless a request is being read, is pending or is being answered.
   void close_if_idle() {
     if (awaiting_response_ || other_route_pending_ || request_begun_ || discarding_ || passthrough_ ||
         !received_.empty() || !to_restinio_.empty())
       return;
     char byte = 0;
-    // What has come and is not read yet is a request that this machine has taken.
+    // Bytes in the socket's buffer belong to a request that was already accepted.
     if (::recv(socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT) > 0) return;
     client_gone_ = true;
     deliver();
   }
 
-  // What RESTinio writes goes out as it is.
+  // Sends what RESTinio writes unchanged.
   template <class Buffers, class Handler>
   void write(const Buffers& buffers, Handler&& handler) {
     other_route_pending_ = false;
@@ -172,11 +174,11 @@
   friend ::restinio::request_handling_status_t serve(const std::shared_ptr<GatewayBinding>& binding,
                                                      const Request& request);
 
-  static constexpr std::size_t kMaxPipelinedBytes = 8 * 1024;    // bytes kept of a next request
-  static constexpr std::size_t kMaxDiscardedBytes = 256 * 1024;  // bytes thrown away after the last answer
+  static constexpr std::size_t kMaxPipelinedBytes = 8 * 1024;  // bytes of further requests that are buffered
+  static constexpr std::size_t kMaxDiscardedBytes = 256 * 1024;  // bytes discarded after the last response
 
-  // One wait is out at any time, also while a request waits for its answer: only so is it noticed that a
-  // client leaves.
+  // Waits for input. A wait is active at all times, also while a request is pending, as disconnects are
+  // detected only that way.
   void wait_readable() {
     if (wait_active_ || client_gone_ || !socket_.is_open()) return;
     wait_active_ = true;
@@ -220,7 +222,7 @@
     deliver();
   }
 
-  // Whoever waits for the gateway's answer is gone.
+  // Cancels the pending request at the gateway, as its client is gone.
   void cancel_request() {
     if (ticket_ != 0) binding_->gateway_.cancel(std::exchange(ticket_, 0));
   }
@@ -257,7 +259,7 @@
     deliver();
   }
 
-  // Whether a request whose head has just come has no body: nothing more need come for it.
+  // Whether a request is complete with its head, as it has no body.
   bool is_complete_without_body() {
     std::string empty_input;
     if (!received_.empty()) return false;
@@ -285,7 +287,7 @@
     reader_.reset();
   }
 
-  // RESTinio's parser knows a list of methods, and closes on others without a word.
+  // RESTinio's parser closes the connection without a response on methods that it does not know.
   bool known_method() const {
     const std::string_view method = reader_.method();
     if (method == "CONNECT") return false;
@@ -312,16 +314,16 @@
     return std::string(kRequestTokenHeader) + ": " + std::to_string(token_) + "\r\n";
   }
 
-  // The request as RESTinio is to see it. The body of one for the gateway stays here.
+  // Serializes the request for RESTinio. The body of a request for the gateway is kept in this object.
   void pass_to_restinio(bool for_gateway) {
     awaiting_response_ = for_gateway;
-    passthrough_ = !for_gateway && reader_.is_upgrade();  // what follows may be another protocol
+    passthrough_ = !for_gateway && reader_.is_upgrade();  // the input after it may be of another protocol
     to_restinio_ =
         reader_.normalized_request(for_gateway ? make_token_header() : std::string(), kRequestTokenHeader);
     if (passthrough_) to_restinio_.append(std::exchange(received_, {}));
   }
 
-  // Gives RESTinio what is there for it.
+  // Completes RESTinio's pending read if there is data for it or the client is gone.
   void deliver() {
     if (!read_handler_ || !open_) return;
     if (!to_restinio_.empty()) {
@@ -340,7 +342,7 @@
                 size] { (*done)(error, size); });
   }
 
-  // The answer to what this connection was held for has been written.
+  // Called when the response to a request for the gateway has been written.
   void on_response_written() {
     awaiting_response_ = false;
     ticket_ = 0;
@@ -353,7 +355,7 @@
   tcp::socket socket_;
   asio::steady_timer linger_;
   HttpReader reader_;
-  std::string received_, to_restinio_;  // from the client, not yet read; for RESTinio, not yet given
+  std::string received_, to_restinio_;  // input not yet parsed; data not yet delivered to RESTinio
   asio::mutable_buffer read_target_;
   ReadHandler read_handler_;
   HttpCall call_;
@@ -361,9 +363,9 @@
   std::uint64_t token_ = 0;
   Ticket ticket_ = 0;
   std::size_t discarded_ = 0;
-  // holding: a request for the gateway waits for its answer to be written; foreign: so does, perhaps, one for
-  // another route; begun: a part of a request is there; deaf: nothing more is read; raw: all goes to RESTinio
-  // as it is
+  // awaiting_response_: the response to a request for the gateway is not written yet; other_route_pending_: a
+  // request for another route may be pending; request_begun_: part of a request has arrived; discarding_:
+  // input is discarded; passthrough_: input goes to RESTinio unchanged
   bool open_ = false, wait_active_ = false, client_gone_ = false, awaiting_response_ = false,
        other_route_pending_ = false, request_begun_ = false, discarding_ = false, passthrough_ = false;
 };
@@ -377,7 +379,7 @@
   for (ClientConnection* connection : open_connections) connection->close_if_idle();
 }
 
-// For traits_t::stream_socket_t.
+// The socket type for traits_t::stream_socket_t.
 class Socket {
  public:
   using executor_type = tcp::socket::executor_type;
@@ -407,7 +409,8 @@
     error = {};
     connection_->cancel();
   }
-  void shutdown(tcp::socket::shutdown_type, error_code& error) { error = {}; }  // close() does it in its way
+  // Does nothing: close() shuts down the sending side.
+  void shutdown(tcp::socket::shutdown_type, error_code& error) { error = {}; }
   void close() { connection_->close(); }
 
   template <class Buffers, class Handler>
@@ -477,7 +480,7 @@
   return ::restinio::request_accepted();
 }
 
-// The handler to put first in a chain.
+// Returns the request handler that has to be the first one in the handler chain.
 inline auto handler(std::shared_ptr<GatewayBinding> binding) {
   return [binding = std::move(binding)](const auto& request) { return serve(binding, request); };
 }
@@ -486,7 +489,7 @@
 
 namespace restinio {
 
-// The server's settings name the door.
+// Adds gateway_binding() to the server settings.
 template <class Settings>
 class socket_type_dependent_settings_t<Settings, nettlestand::restinio::Socket> {
  protected:
@@ -504,7 +507,7 @@
     return std::move(this->gateway_binding(std::move(binding)));
   }
   const std::shared_ptr<nettlestand::restinio::GatewayBinding>& gateway_binding() const {
-    if (!binding_) throw exception_t{"nettlestand: the server's settings name no door"};
+    if (!binding_) throw exception_t{"nettlestand: the server settings have no gateway binding"};
     return binding_;
   }
 
--- a/include/nettlestand/options.h
+++ b/include/nettlestand/options.h
@@ -67,12 +67,13 @@
 struct MembershipOptions {
   std::string name;    // this gateway's name: 1 to 32 bytes, unique in the cluster
   std::string listen;  // IPv4 address and UDP port, "10.0.0.4:7946"; port 0: the kernel assigns one
-  std::vector<std::string> join;     // addresses of some members to contact first; or
-  std::vector<std::string> members;  // addresses of all Options::peers members, ordered by position
-  std::string cluster = "nettlestand";
+  std::vector<std::string> join;  // addresses of some members to contact first, instead of `members`
   std::vector<std::string>
-      keys;            // none, or one or two of 64 hexadecimal digits: the first encrypts, both decrypt
-  std::string region;  // 0 to 12 bytes
+      members;  // addresses of all Options::peers members by position, as seen from this gateway
+  std::string cluster = "nettlestand";
+  std::vector<std::string> keys;  // none, or one or two keys of 64 hexadecimal digits: the first
+                                  // authenticates what is sent, both are accepted
+  std::string region;             // 0 to 12 bytes
   bool follow = true;  // false: Options::peers still determines how servers and allowances are divided
 };
 
--- a/tests/consumer/main.cpp
+++ b/tests/consumer/main.cpp
@@ -1,4 +1,4 @@
-// The shortest use of the installed library: one server, one request, one answer.
+// A minimal consumer of the installed library: one server, one request, one decision.
 #include <iostream>
 #include <variant>
 #include <vector>
--- a/tests/library/application.h
+++ b/tests/library/application.h
@@ -1,5 +1,5 @@
-// An application round a gateway: its options, what its completions got, and an executor that keeps what it
-// is given until it is asked to run it.
+// Helpers for an application that embeds a gateway: options, requests, a collector of responses, and an
+// executor that runs its tasks only on request.
 #pragma once
 
 #include <condition_variable>
@@ -34,7 +34,8 @@
   return out;
 }
 
-// Three classes and the servers at these ports. Past tier 0, so that each request is sent on.
+// Options with three classes and the servers at `ports`. The tier is above 0, so that each request is
+// forwarded.
 inline Options options(const std::vector<int>& ports, int deadline_ms = 5000) {
   Options out;
   out.classes = {request_class("look", Effect::kSafe, deadline_ms),
@@ -54,9 +55,10 @@
   return out;
 }
 
-// What completions got, in the order in which they came. For any thread.
+// Collects the responses of completions in order of arrival. Thread-safe.
 class ResponseCollector {
  public:
+  // Returns a completion that records its response under `name`.
   Completion completion(int name = 0) {
     return [this, name](Response response) {
       const std::lock_guard lock(mutex_);
@@ -65,13 +67,13 @@
       changed_.notify_all();
     };
   }
-  // Waits until so many have come.
+  // Waits for `count` responses and returns all. Throws after a timeout.
   std::vector<std::pair<int, Response>> wait(std::size_t count) {
     std::unique_lock lock(mutex_);
     if (!changed_.wait_for(lock, std::chrono::milliseconds(kTimeoutMs),
                            [&] { return all_.size() >= count; })) {
       throw std::runtime_error("only " + std::to_string(all_.size()) + " of " + std::to_string(count) +
-                               " came");
+                               " responses arrived");
     }
     return all_;
   }
@@ -80,7 +82,7 @@
     const std::lock_guard lock(mutex_);
     return all_.size();
   }
-  // How often each name came.
+  // The number of responses by name.
   std::map<int, int> counts() {
     const std::lock_guard lock(mutex_);
     return counts_;
@@ -93,7 +95,7 @@
   std::map<int, int> counts_;
 };
 
-// Runs nothing until run() is called.
+// An executor that runs its tasks only in run().
 class ManualExecutor final : public Executor {
  public:
   void post(UniqueFunction<void()> task) override {
@@ -122,7 +124,7 @@
   std::deque<UniqueFunction<void()>> tasks_;
 };
 
-// Opens one, or throws.
+// Opens a gateway. Throws if the options are invalid.
 inline std::unique_ptr<Gateway> open(Options options) {
   Error error;
   auto out = Gateway::open(std::move(options), error);
--- a/tests/library/gateway_test.cpp
+++ b/tests/library/gateway_test.cpp
@@ -1,4 +1,4 @@
-// What a gateway does for an application, among scripted servers.
+// Tests of Gateway against scripted servers.
 #include <algorithm>
 #include <array>
 #include <boost/asio/use_future.hpp>
@@ -43,17 +43,17 @@
   EXPECT_EQ(response.content_type, "text/plain");
   EXPECT_EQ(gateway->open_requests(), 0U);
   gateway->submit(request("look"), answers.completion());
-  EXPECT_EQ(connection.message().rfind("GET /api HTTP/1.1\r\n", 0), 0U) << "the connection is kept";
+  EXPECT_EQ(connection.message().rfind("GET /api HTTP/1.1\r\n", 0), 0U) << "the connection is reused";
   connection.send(ok());
   EXPECT_EQ(answers.wait(2)[1].second.outcome, Outcome::kServed);
 }
 
-// Two gateways of one application and one of another: they find each other, and hear of an end.
+// Three gateways discover each other and detect that one has left.
 TEST(Gateway, KnowsOfOthersWhereItIsToldTo) {
   TcpListener peer;
   struct EventRecorder {
     std::mutex mutex;
-    std::vector<std::string> events;  // with the member, and the count of copies
+    std::vector<std::string> events;  // event name with the member and the count of balancers
     bool contains(const std::string& what) {
       const std::lock_guard lock(mutex);
       return std::find(events.begin(), events.end(), what) != events.end();
@@ -134,7 +134,7 @@
   connection.message();
   connection.reset();
   Response got = answers.wait_one();
-  EXPECT_EQ(got.outcome, Outcome::kFailed) << "it may have run";
+  EXPECT_EQ(got.outcome, Outcome::kFailed) << "the request may have run";
   EXPECT_EQ(got.status(), 502);
   Request short_request = request("close");
   short_request.timeout = std::chrono::milliseconds(300);
@@ -143,13 +143,13 @@
   connection.message();
   got = answers.wait(2)[1].second;
   EXPECT_TRUE(got.status() == 504 || got.status() == 502) << got.status();
-  EXPECT_TRUE(connection.ended()) << "the attempt is given up";
+  EXPECT_TRUE(connection.ended()) << "the attempt is abandoned";
 
   const auto elsewhere = open(options({gone.port()}));
   ResponseCollector refused;
   elsewhere->submit(request("close"), refused.completion());
   got = refused.wait_one();
-  EXPECT_EQ(got.outcome, Outcome::kRefused) << "it has not run";
+  EXPECT_EQ(got.outcome, Outcome::kRefused) << "the request has not run";
   EXPECT_EQ(got.status(), 503);
   EXPECT_FALSE(got.error);
 }
@@ -221,12 +221,12 @@
   until([&] {
     other.restart();
     return other.run_one() > 0;
-  });  // its completion comes here, and goes on to the future's loop
+  });  // the completion runs on this loop and posts the future's result to its own
   EXPECT_EQ(future.get().body, "by a future");
   gateway.reset();
   keep.reset();
   thread.join();
-  SUCCEED() << "and the loop runs out of work once the gateway is gone";
+  SUCCEED() << "the loop runs out of work once the gateway is destroyed";
 }
 
 TEST(Gateway, FollowsItsServers) {
@@ -239,7 +239,7 @@
   connection.send(ok());
   answers.wait(1);
   EXPECT_FALSE(gateway->set_servers({server("s1", b.port())}));
-  EXPECT_TRUE(connection.ended()) << "what is idle there is closed";
+  EXPECT_TRUE(connection.ended()) << "idle connections to a removed server are closed";
   gateway->submit(request("close"), answers.completion());
   TcpConnection next = b.accept();
   next.message();
@@ -295,12 +295,12 @@
   connection.message();
   std::promise<void> stopped;
   gateway->stop([&] { stopped.set_value(); });
-  gateway->stop([] { ADD_FAILURE() << "only the first call counts"; });
+  gateway->stop([] { ADD_FAILURE() << "only the first call has an effect"; });
   gateway->submit(request("close"), late.completion());
   const Response refused = late.wait_one();
   EXPECT_EQ(refused.outcome, Outcome::kRefused);
   EXPECT_EQ(refused.error.code, Errc::kStopping);
-  EXPECT_EQ(open_one.count(), 0U) << "what is open goes on";
+  EXPECT_EQ(open_one.count(), 0U) << "open requests continue";
   connection.send(ok("in the drain"));
   EXPECT_EQ(open_one.wait_one().body, "in the drain");
   stopped.get_future().get();
@@ -320,7 +320,8 @@
   gateway->stop([&] { stopped.set_value(); });
   stopped.get_future().get();
   const Response got = answers.wait_one();
-  EXPECT_TRUE(got.status() == 504 || got.status() == 502) << "it may have run: no refusal, " << got.status();
+  EXPECT_TRUE(got.status() == 504 || got.status() == 502)
+      << "the request may have run, so it is not refused: " << got.status();
   EXPECT_TRUE(connection.ended());
 }
 
--- a/tests/library/hard_cases_test.cpp
+++ b/tests/library/hard_cases_test.cpp
@@ -1,4 +1,4 @@
-// Cancels, ends and throws at the worst moments.
+// Cancellation, destruction and throwing completions at critical moments.
 #include <atomic>
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -12,7 +12,7 @@
 
 namespace asio = boost::asio;
 
-// An io_context with a thread, as an application has it.
+// An application's io_context with a thread that runs it.
 struct Loop {
   asio::io_context io;
   asio::executor_work_guard<asio::io_context::executor_type> work = asio::make_work_guard(io);
@@ -26,8 +26,8 @@
 
 TEST(Cancel, BeforeTheFirstByteNothingIsEverWritten) {
   TcpListener full(0);
-  const TcpConnection queued_connection =
-      TcpConnection::to(full.port());  // its queue has room for one: further connections never come up
+  const TcpConnection queued_connection = TcpConnection::to(
+      full.port());  // fills the accept queue of length one: further connections are never established
   Options long_connect_timeout = options({full.port()});
   long_connect_timeout.connect_timeout = std::chrono::seconds(60);
   const auto gateway = open(long_connect_timeout);
@@ -40,7 +40,7 @@
   EXPECT_FALSE(gateway->cancel(ticket)) << "once";
   until([&] { return !connecting_to(full.port()); });
   const TcpConnection first = full.accept();
-  EXPECT_TRUE(full.no_data(50)) << "nobody came behind the crowd";
+  EXPECT_TRUE(full.no_data(50)) << "no connection was attempted after the first";
   EXPECT_EQ(gateway->open_requests(), 0U);
 }
 
@@ -53,7 +53,7 @@
   EXPECT_TRUE(contains(connection.message(), "question"));
   EXPECT_TRUE(gateway->cancel(ticket));
   EXPECT_EQ(answers.wait_one().outcome, Outcome::kCancelled);
-  EXPECT_TRUE(connection.ended()) << "its connection is closed, as for a client that leaves";
+  EXPECT_TRUE(connection.ended()) << "its connection is closed, as after a disconnect of the client";
   EXPECT_TRUE(a.no_data(50) && b.no_data(50));
   EXPECT_EQ(answers.count(), 1U);
 }
@@ -73,8 +73,8 @@
   io.run();
 }
 
-// The loop has been told of both by the system: first it runs what cancels, then what the server has said.
-// The cancel itself waits its turn behind that, and the request must not be sent again meanwhile.
+// Both events are ready on the loop: the handler that cancels runs first, then that of the server's refusal.
+// The task that cancel() posts runs only after both, and the request must not be retried in between.
 TEST(Cancel, AFurtherAttemptDoesNotOvertakeACancelThatWaitsItsTurn) {
   TcpListener a, b;
   asio::io_context io;
@@ -93,20 +93,21 @@
   told.async_wait(asio::socket_base::wait_read,
                   [&](const boost::system::error_code&) { EXPECT_TRUE(gateway->cancel(ticket)); });
   io.poll();
-  other.send("x");  // ready first
+  other.send("x");  // this event is ready first
   other.wait_until_delivered();
   connection.send("HTTP/1.1 503 Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
   connection.wait_until_delivered();
   while (answers.count() == 0) io.run_one();
   io.poll();
   EXPECT_EQ(answers.wait_one().outcome, Outcome::kCancelled);
-  EXPECT_TRUE(connection.no_data() && a.no_data(50) && b.no_data(50)) << "neither there again nor elsewhere";
+  EXPECT_TRUE(connection.no_data() && a.no_data(50) && b.no_data(50)) << "not sent again to either server";
   gateway.reset();
   io.restart();
   io.run();
 }
 
-// Ten connections carry ten requests; ten more wait for room. Cancelling the first ten lets the others go.
+// Ten connections carry ten requests; ten more wait for a connection. Cancelling the first ten lets the
+// others be sent.
 TEST(Cancel, TheQueueBehindMovesOnAtOnce) {
   TcpListener peer;
   Options limited = options({peer.port()});
@@ -191,14 +192,14 @@
   gateway->submit(request("close"), answers.completion());
   TcpConnection connection = peer.accept();
   connection.message();
-  gateway.reset();  // from another thread than the loop's
+  gateway.reset();  // on another thread than the loop's
   EXPECT_EQ(answers.wait_one().outcome, Outcome::kShutDown);
   EXPECT_TRUE(connection.ended());
   loop.end();
 }
 
-// The loop has stopped with requests open: whatever comes first, the gateway or the loop's end, completions
-// come on the executor that the application named.
+// The loop has stopped with requests open: whichever is destroyed first, the gateway or the loop, completions
+// run on the application's executor.
 TEST(End, OnALoopThatHasStopped) {
   TcpListener peer;
   const auto executor = std::make_shared<ManualExecutor>();
@@ -214,12 +215,12 @@
     connection = peer.accept();
     while (connection.no_data()) io.run_one();
     connection.message();
-    gateway->submit(request("close"), answers.completion(2));  // never seen by the loop
+    gateway->submit(request("close"), answers.completion(2));  // never reaches the loop
     io.stop();
     gateway.reset();
     EXPECT_EQ(executor->pending_tasks(), 2U);
   }
-  EXPECT_TRUE(connection.ended()) << "its connections go with the loop";
+  EXPECT_TRUE(connection.ended()) << "its connections are closed with the loop";
   executor->run();
   EXPECT_EQ(answers.counts(), (std::map<int, int>{{1, 1}, {2, 1}}));
   for (const auto& [name, response] : answers.wait(2))
@@ -348,12 +349,12 @@
   }
   EXPECT_EQ(answers.counts().size(), 1000U) << "each exactly once";
   EXPECT_EQ(answers.count(), 1000U);
-  EXPECT_GE(stopping, 65) << "all that the thread which stopped it submitted after that";
-  EXPECT_EQ(served, arrived) << "what ran was told so";
+  EXPECT_GE(stopping, 65) << "every request that the stopping thread submitted after stop()";
+  EXPECT_EQ(served, arrived) << "every request that ran is reported as served";
 }
 
-// The application holds its loop up: deadlines that have passed are answered at once, nothing is lost, and
-// nothing is sent for them.
+// The application blocks its loop: afterwards requests whose deadlines have passed are answered at once, none
+// is lost, and none is sent.
 TEST(Loop, ThatIsBlockedLosesNothing) {
   TcpListener peer;
   Loop loop;
@@ -372,19 +373,20 @@
   });
   blocked.get_future().get();
   for (int i = 0; i < 20; ++i) gateway->submit(short_request, during.completion(i));
-  std::this_thread::sleep_for(std::chrono::milliseconds(300));  // it is the application that sleeps
+  std::this_thread::sleep_for(
+      std::chrono::milliseconds(300));  // simulates an application that blocks the loop
   EXPECT_EQ(during.count(), 0U);
   release.set_value();
   for (const auto& [name, response] : during.wait(20)) {
-    EXPECT_EQ(response.outcome, Outcome::kRefused) << "it was never begun: " << name;
+    EXPECT_EQ(response.outcome, Outcome::kRefused) << "it was never sent: " << name;
   }
   const int status = before.wait_one().status();
   EXPECT_TRUE(status == 504 || status == 502) << status;
-  EXPECT_TRUE(peer.no_data(50)) << "no attempt for what was over";
+  EXPECT_TRUE(peer.no_data(50)) << "no attempt for expired requests";
   EXPECT_TRUE(connection.ended());
 }
 
-// One of two gateways on a loop is at all its limits; the other does not notice.
+// One of two gateways on a loop is at all its limits; the other is not affected.
 TEST(Loop, TwoGatewaysDoNotDisturbEachOther) {
   TcpListener full(0), good;
   const TcpConnection queued_connection = TcpConnection::to(full.port());
@@ -419,7 +421,7 @@
   foreign.tenant = "acme";
   ResponseCollector unknown;
   two->submit(std::move(foreign), unknown.completion());
-  EXPECT_EQ(unknown.wait_one().error.code, Errc::kUnknownTenant) << "a tenant of the other one";
+  EXPECT_EQ(unknown.wait_one().error.code, Errc::kUnknownTenant) << "a tenant of the other gateway";
   one.reset();
   for (const auto& [name, response] : stuck.wait(300)) EXPECT_NE(response.outcome, Outcome::kServed) << name;
   EXPECT_EQ(stuck.counts().size(), 300U);
@@ -428,7 +430,8 @@
   two->submit(std::move(after), served.completion(50));
   connection.message();
   connection.send(ok());
-  EXPECT_EQ(served.wait(51).back().second.outcome, Outcome::kServed) << "also when the other one is gone";
+  EXPECT_EQ(served.wait(51).back().second.outcome, Outcome::kServed)
+      << "also after the other gateway is destroyed";
   two.reset();
   loop.end();
 }
--- a/tests/library/random_rules_test.cpp
+++ b/tests/library/random_rules_test.cpp
@@ -1,6 +1,6 @@
-// The four rules after 30 s of random cancels, kills, drains and cold starts, held against what the stand-in
-// servers saw. NETTLESTAND_RANDOM_SECONDS sets another length. The seed is fixed; timing is not, so the
-// verdict is that of the rules alone.
+// Checks the four rules after 30 s of random cancels, kills, drains and cold starts against what the stand-in
+// servers saw. NETTLESTAND_RANDOM_SECONDS sets another duration. The seed is fixed but timing is not, so only
+// the rules decide the result.
 #include <atomic>
 #include <cstdlib>
 #include <future>
@@ -61,7 +61,7 @@
   custom.start_capacity = 0.3;
   custom.ramp_time = std::chrono::seconds(6);
   std::mutex log_mutex;
-  std::string log;  // for whoever looks for a cause
+  std::string log;  // printed if NETTLESTAND_RANDOM_LOG is set, to find the cause of a failure
   custom.logger = [&](std::string_view line) {
     const std::lock_guard lock(log_mutex);
     log.append(line).append("\n");
@@ -114,7 +114,7 @@
           one->done = true;
         });
         submitted.push_back(one);
-        // A tenth is given up, at any moment of its life.
+        // About a tenth of the requests are cancelled, at random moments.
         if (random() % 5 == 0) gateway->cancel(submitted[random() % submitted.size()]->ticket);
         while (submitted.size() > 16 && !finished) {
           std::erase_if(submitted, [](const auto& m) { return m->done.load(); });
@@ -125,7 +125,7 @@
     });
   }
 
-  // One thing after another goes wrong with the servers. Cells keep one server that is well.
+  // Injects one fault after another into the servers. Each cell keeps one healthy server.
   std::mt19937_64 random(7);
   const double started_at = si::now();
   const auto pause = [&](double min, double max) {
@@ -137,18 +137,18 @@
     const std::size_t index = random() % 6;
     si::Listing& listing = listings[index];
     switch (random() % 3) {
-      case 0:  // killed, and back a moment later
+      case 0:  // killed and restarted shortly after
         ++kills;
         servers[index]->run("crash for " + std::to_string(0.1 + static_cast<double>(random() % 8) / 10));
         pause(0.3, 1.2);
         break;
-      case 1:  // drains, and is back
+      case 1:  // drains and returns
         ++drains;
         discovery.state(listing.host, "leaving");
         pause(0.3, 1.5);
         discovery.state(listing.host, "active");
         break;
-      default:  // goes, and another comes cold under its name and at its address
+      default:  // replaced by a cold server with the same name and address
         ++cold_starts;
         discovery.state(listing.host, "leaving");
         pause(0.2, 0.6);
@@ -169,7 +169,7 @@
   gateway.reset();
 
   si::CheckerSettings checked;
-  checked.late_slack = 2.5;  // the verdict must not hang on how busy the machine is
+  checked.late_slack = 2.5;  // the result must not depend on the load of the machine
   checked.crossing = 0.5;
   checked.drain_slack = 0.5;
   checked.window_slack = 0.5;
@@ -183,7 +183,7 @@
   EXPECT_EQ(violations, 0);
   std::uint64_t all = 0;
   for (const auto& count : outcomes) all += count;
-  EXPECT_EQ(all, recorder.calls().size()) << "each has its one completion";
+  EXPECT_EQ(all, recorder.calls().size()) << "each request has exactly one completion";
   EXPECT_GT(outcomes[static_cast<std::size_t>(Outcome::kServed)], all / 10);
   EXPECT_GT(outcomes[static_cast<std::size_t>(Outcome::kCancelled)], 0U);
   EXPECT_EQ(outcomes[static_cast<std::size_t>(Outcome::kShutDown)], 0U);
--- a/tests/package/run.sh
+++ b/tests/package/run.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Installs what is built into a folder of its own, and builds and runs consumers of that: the examples by CMake's
-# package and by pkg-config, and what must not compile. Usage: run.sh SOURCES BUILD STANDIN_SERVER
+# Installs the build into a temporary folder, and builds and runs consumers of it: the examples by CMake's package
+# and by pkg-config, and sources that must not compile. Usage: run.sh SOURCES BUILD STANDIN_SERVER
 set -euo pipefail
 sources=$1 build=$2 standin=$3
 prefix=$(mktemp -d)
@@ -16,7 +16,7 @@
       -DCMAKE_CXX_FLAGS="-Wall -Wextra -Wpedantic -Werror" >/dev/null
 cmake --build "$prefix/examples" -j2 >/dev/null
 
-# Two stand-in servers, each on a port that the kernel gives it.
+# Two stand-in servers, each on a port that the kernel assigns.
 addresses=()
 for name in s0 s1; do
   "$standin" --name $name --port 0 >"$prefix/$name" 2>&1 &
@@ -40,21 +40,21 @@
     $(pkg-config --libs nettlestand) -o "$prefix/by_pkg_config"
 "$prefix/by_pkg_config" "${addresses[@]}"
 
-# Each public header stands alone; those of the library need the standard library only.
+# Each public header compiles alone; those of the library require only the standard library.
 for header in function gateway http options drain export version; do
   echo "#include \"nettlestand/$header.h\"" | c++ -std=c++20 -Wall -Werror -fsyntax-only -x c++ -I"$prefix/include" -
 done
 [ -z "$(grep -lE '#include *<boost' "$prefix"/include/nettlestand/{function,gateway,http,options,drain,export,version}.h)" ]
 
-# Settings of Asio that would not fit are turned away when the application is compiled, not in silence.
+# Incompatible settings of Asio are rejected when the application is compiled, rather than accepted silently.
 for setting in BOOST_ASIO_DISABLE_THREADS BOOST_ASIO_ENABLE_HANDLER_TRACKING BOOST_ASIO_DISABLE_EPOLL; do
   if echo '#include "nettlestand/asio.h"' |
      c++ -std=c++20 -D$setting -fsyntax-only -x c++ -I"$prefix/include" - 2>"$prefix/error"; then
-    echo "$setting was taken"; exit 1
+    echo "$setting was accepted"; exit 1
   fi
   grep -q "nettlestand: the library was built without this setting of Boost.Asio" "$prefix/error"
 done
-# And another version of Boost when it is linked.
+# Another version of Boost is rejected when the application is linked.
 cat >"$prefix/other.cpp" <<'CODE'
 #include <boost/version.hpp>
 #undef BOOST_VERSION
@@ -67,7 +67,7 @@
 }
 CODE
 if c++ -std=c++20 "$prefix/other.cpp" $(pkg-config --cflags --libs nettlestand) -o "$prefix/other" 2>"$prefix/error"; then
-  echo "another version of Boost was taken"; exit 1
+  echo "another version of Boost was accepted"; exit 1
 fi
 grep -q nettlestand_built_with_boost_109900 "$prefix/error"
-echo "the package is good"
+echo "the package is valid"
