--- a/gateway/convert.cpp
+++ b/gateway/convert.cpp
@@ -103,10 +103,10 @@
     validator.report("membership.members", "not as many as peers");
   }
   if (!membership.keys.empty()) {
-    std::string lines;
-    for (const std::string& key : membership.keys) lines += key + "\n";
+    std::string key_lines;
+    for (const std::string& key : membership.keys) key_lines += key + "\n";
     try {
-      service.cluster.keys = peers::parse_keys(lines);
+      service.cluster.keys = peers::parse_keys(key_lines);
     } catch (const std::runtime_error& problem) {
       validator.report("membership.keys", problem.what());
     }
@@ -153,10 +153,10 @@
   if (!(duties_options.drift >= 0 && duties_options.drift <= 0.2))
     validator.report("duties.drift", "not 0 to 0.2");
   if (!duties_options.keys.empty()) {
-    std::string lines;
-    for (const std::string& key : duties_options.keys) lines += key + "\n";
+    std::string key_lines;
+    for (const std::string& key : duties_options.keys) key_lines += key + "\n";
     try {
-      service.keys.keys = peers::parse_keys(lines);
+      service.keys.keys = peers::parse_keys(key_lines);
     } catch (const std::runtime_error& problem) {
       validator.report("duties.keys", problem.what());
     }
@@ -337,18 +337,18 @@
   if (request.timeout.count() > 0) set("Request-Timeout-Ms", std::to_string(request.timeout.count()));
   if (request.work.count() > 0) set("Work-Hint", std::to_string(request.work.count()));
   if (request.is_repeat) set("Client-Retry", "1");
-  const RequestValidator::FieldValues lines(head);
-  RequestValidator::check_target_and_host(head, lines);
+  const RequestValidator::FieldValues field_values(head);
+  RequestValidator::check_target_and_host(head, field_values);
   if (request.target.empty() || request.target.front() != '/') throw RequestRejection{400, "bad target"};
-  auto forward = std::make_shared<UpstreamRequest>();
-  Call out = request_validator.read_call(head, lines, *forward);
-  forward->claim = ByteReservation(budget);
+  auto upstream_request = std::make_shared<UpstreamRequest>();
+  Call out = request_validator.read_call(head, field_values, *upstream_request);
+  upstream_request->claim = ByteReservation(budget);
   // Request bodies may take at most half of the budget, so that memory remains for the bodies of answers.
-  if (!forward->claim.grow_to(request.body.size(), budget.size() / 2))
+  if (!upstream_request->claim.grow_to(request.body.size(), budget.size() / 2))
     throw RequestRejection{503, "no memory to spare"};
-  if (!safe) forward->head += "Content-Length: " + std::to_string(request.body.size()) + "\r\n";
-  forward->body = std::move(request.body);
-  out.payload = std::move(forward);
+  if (!safe) upstream_request->head += "Content-Length: " + std::to_string(request.body.size()) + "\r\n";
+  upstream_request->body = std::move(request.body);
+  out.payload = std::move(upstream_request);
   out.received_at = received_at;
   return out;
 }
--- a/gateway/impl.cpp
+++ b/gateway/impl.cpp
@@ -228,7 +228,7 @@
       finish(pending->ticket, std::move(response));
       return;
     }
-    pending->number = engine_.submit(std::move(pending->call), pending);
+    pending->engine_request = engine_.submit(std::move(pending->call), pending);
   });
   return pending->ticket;
 }
@@ -306,7 +306,7 @@
   response.outcome = Outcome::kCancelled;
   complete(std::move(pending->done), std::move(response));
   on_loop([this, pending] {
-    if (pending->number != 0 && !is_shut_down_) engine_.on_client_gone(pending->number);
+    if (pending->engine_request != 0 && !is_shut_down_) engine_.on_client_gone(pending->engine_request);
     if (draining_) end_if_drained();
   });
   return true;
--- a/gateway/impl.h
+++ b/gateway/impl.h
@@ -76,9 +76,9 @@
     bool left() const override { return !owner->is_pending(ticket); }
     Impl* owner = nullptr;  // outlives this object, as it owns the engine that holds this object
     Ticket ticket = 0;
-    Call call;                 // moved to the engine on submission
-    std::uint64_t number = 0;  // the engine's number of the request; loop's thread only
-    Completion done;           // used only by whoever removes the request from the table
+    Call call;                         // moved to the engine on submission
+    std::uint64_t engine_request = 0;  // the engine's number of the request; loop's thread only
+    Completion done;                   // used only by whoever removes the request from the table
   };
 
   // Adds a request to the table. Returns null and posts a refusal if the gateway is stopping or full.
--- a/tests/library/hard_cases_test.cpp
+++ b/tests/library/hard_cases_test.cpp
@@ -87,11 +87,11 @@
   connection.message();
   io.poll();
   TcpListener trigger;
-  asio::ip::tcp::socket told(io);
-  told.connect({asio::ip::address_v4::loopback(), static_cast<unsigned short>(trigger.port())});
+  asio::ip::tcp::socket trigger_socket(io);
+  trigger_socket.connect({asio::ip::address_v4::loopback(), static_cast<unsigned short>(trigger.port())});
   const TcpConnection other = trigger.accept();
-  told.async_wait(asio::socket_base::wait_read,
-                  [&](const boost::system::error_code&) { EXPECT_TRUE(gateway->cancel(ticket)); });
+  trigger_socket.async_wait(asio::socket_base::wait_read,
+                            [&](const boost::system::error_code&) { EXPECT_TRUE(gateway->cancel(ticket)); });
   io.poll();
   other.send("x");  // this event is ready first
   other.wait_until_delivered();
@@ -391,48 +391,49 @@
   TcpListener full(0), good;
   const TcpConnection queued_connection = TcpConnection::to(full.port());
   Loop loop;
-  Options small = options({full.port()});
-  small.tenants = {{"acme", 10}};
-  small.sockets = 2;
-  small.memory = 16 * 1024 * 1024;
-  small.max_open = 50;
-  small.connect_timeout = std::chrono::seconds(60);
-  Options usual = options({good.port()});
-  usual.tenants = {{"beta", 1000}};
-  auto one = open_on(loop.io, small), two = open_on(loop.io, usual);
-  until([&] { return one->ready() && two->ready(); });
-  ResponseCollector stuck, served;
+  Options limited_options = options({full.port()});
+  limited_options.tenants = {{"acme", 10}};
+  limited_options.sockets = 2;
+  limited_options.memory = 16 * 1024 * 1024;
+  limited_options.max_open = 50;
+  limited_options.connect_timeout = std::chrono::seconds(60);
+  Options other_options = options({good.port()});
+  other_options.tenants = {{"beta", 1000}};
+  auto limited_gateway = open_on(loop.io, limited_options), other_gateway = open_on(loop.io, other_options);
+  until([&] { return limited_gateway->ready() && other_gateway->ready(); });
+  ResponseCollector limited_responses, served;
   for (int i = 0; i < 300; ++i) {
-    Request large = request("close", std::string(60000, 'x'));
-    large.tenant = "acme";
-    one->submit(std::move(large), stuck.completion(i));
+    Request large_request = request("close", std::string(60000, 'x'));
+    large_request.tenant = "acme";
+    limited_gateway->submit(std::move(large_request), limited_responses.completion(i));
   }
   TcpConnection connection;
   for (int i = 0; i < 50; ++i) {
-    Request usual_one = request("close");
-    usual_one.tenant = "beta";
-    two->submit(std::move(usual_one), served.completion(i));
+    Request small_request = request("close");
+    small_request.tenant = "beta";
+    other_gateway->submit(std::move(small_request), served.completion(i));
     if (i == 0) connection = good.accept();
     connection.message();
     connection.send(ok());
     EXPECT_EQ(served.wait(static_cast<std::size_t>(i) + 1).back().second.outcome, Outcome::kServed);
   }
-  Request foreign = request("close");
-  foreign.tenant = "acme";
+  Request other_tenant_request = request("close");
+  other_tenant_request.tenant = "acme";
   ResponseCollector unknown;
-  two->submit(std::move(foreign), unknown.completion());
+  other_gateway->submit(std::move(other_tenant_request), unknown.completion());
   EXPECT_EQ(unknown.wait_one().error.code, Errc::kUnknownTenant) << "a tenant of the other gateway";
-  one.reset();
-  for (const auto& [name, response] : stuck.wait(300)) EXPECT_NE(response.outcome, Outcome::kServed) << name;
-  EXPECT_EQ(stuck.counts().size(), 300U);
+  limited_gateway.reset();
+  for (const auto& [name, response] : limited_responses.wait(300))
+    EXPECT_NE(response.outcome, Outcome::kServed) << name;
+  EXPECT_EQ(limited_responses.counts().size(), 300U);
   Request after = request("close");
   after.tenant = "beta";
-  two->submit(std::move(after), served.completion(50));
+  other_gateway->submit(std::move(after), served.completion(50));
   connection.message();
   connection.send(ok());
   EXPECT_EQ(served.wait(51).back().second.outcome, Outcome::kServed)
       << "also after the other gateway is destroyed";
-  two.reset();
+  other_gateway.reset();
   loop.end();
 }
 
--- a/tests/library/random_rules_test.cpp
+++ b/tests/library/random_rules_test.cpp
@@ -77,7 +77,7 @@
   };
   std::atomic<bool> finished = false;
   std::atomic<std::uint64_t> outcomes[7] = {};
-  std::atomic<int> violations = 0;
+  std::atomic<int> completion_errors = 0;
   std::vector<std::thread> threads;
   for (int t = 0; t < 4; ++t) {
     threads.emplace_back([&, t] {
@@ -96,24 +96,25 @@
         record.key = r.idempotency_key;
         record.timeout = std::chrono::duration<double>(r.timeout).count();
         record.first_byte_at = record.sent_at = si::now();
-        auto one = std::make_shared<SubmittedRequest>();
-        one->record = recorder.open(record);
+        auto tracked = std::make_shared<SubmittedRequest>();
+        tracked->record = recorder.open(record);
         const std::uint64_t digest = si::digest_of(r.body);
-        one->ticket = gateway->submit(std::move(r), [&, one, digest, id = record.id](Response response) {
-          const double at = si::now();
-          if (++one->completions != 1) ++violations;
-          ++outcomes[static_cast<std::size_t>(response.outcome)];
-          if (response.outcome == Outcome::kServed && response.body != si::answer_body(id, digest, 0))
-            ++violations;
-          recorder.call(one->record, [&](si::CallRecord& call) {
-            call.answered_at = at;
-            call.end = si::CallEnd::kAnswered;
-            call.status = response.status();
-            call.answer_digest = si::digest_of(response.body);
-          });
-          one->done = true;
-        });
-        submitted.push_back(one);
+        tracked->ticket =
+            gateway->submit(std::move(r), [&, tracked, digest, id = record.id](Response response) {
+              const double at = si::now();
+              if (++tracked->completions != 1) ++completion_errors;
+              ++outcomes[static_cast<std::size_t>(response.outcome)];
+              if (response.outcome == Outcome::kServed && response.body != si::answer_body(id, digest, 0))
+                ++completion_errors;
+              recorder.call(tracked->record, [&](si::CallRecord& call) {
+                call.answered_at = at;
+                call.end = si::CallEnd::kAnswered;
+                call.status = response.status();
+                call.answer_digest = si::digest_of(response.body);
+              });
+              tracked->done = true;
+            });
+        submitted.push_back(tracked);
         // About a tenth of the requests are cancelled, at random moments.
         if (random() % 5 == 0) gateway->cancel(submitted[random() % submitted.size()]->ticket);
         while (submitted.size() > 16 && !finished) {
@@ -162,25 +163,26 @@
     if (random() % 4 == 0) servers[random() % 6]->run("at 0 reset-after-request for 0.2");
   }
   finished = true;
-  for (std::thread& one : threads) one.join();
+  for (std::thread& caller : threads) caller.join();
   std::promise<void> stopped;
   gateway->stop([&] { stopped.set_value(); });
   stopped.get_future().get();
   gateway.reset();
 
-  si::CheckerSettings checked;
-  checked.late_slack = 2.5;  // the result must not depend on the load of the machine
-  checked.crossing = 0.5;
-  checked.drain_slack = 0.5;
-  checked.window_slack = 0.5;
+  si::CheckerSettings checker_settings;
+  checker_settings.late_slack = 2.5;  // the result must not depend on the load of the machine
+  checker_settings.crossing = 0.5;
+  checker_settings.drain_slack = 0.5;
+  checker_settings.window_slack = 0.5;
   for (const Class& c : kClasses) {
-    checked.classes.push_back({c.name, c.checked, si::CheckedClass::Group::kCell, 4});
+    checker_settings.classes.push_back({c.name, c.checked, si::CheckedClass::Group::kCell, 4});
   }
-  for (const si::Listing& s : listings) checked.servers.push_back({s.host, s.site, s.block});
-  const auto found = si::Checker(checked).check(
-      {recorder.calls(), recorder.attempts(), recorder.told(), recorder.fallen(), {}});
-  EXPECT_TRUE(found.empty()) << si::to_text(found).substr(0, 4000);
-  EXPECT_EQ(violations, 0);
+  for (const si::Listing& s : listings) checker_settings.servers.push_back({s.host, s.site, s.block});
+  const auto violations =
+      si::Checker(checker_settings)
+          .check({recorder.calls(), recorder.attempts(), recorder.told(), recorder.fallen(), {}});
+  EXPECT_TRUE(violations.empty()) << si::to_text(violations).substr(0, 4000);
+  EXPECT_EQ(completion_errors, 0);
   std::uint64_t all = 0;
   for (const auto& count : outcomes) all += count;
   EXPECT_EQ(all, recorder.calls().size()) << "each request has exactly one completion";
