--- a/gateway/convert.cpp
+++ b/gateway/convert.cpp
@@ -31,6 +31,7 @@
 // Keeps the first error found in the options.
 class OptionsValidator {
  public:
+  // Each check reports an error if the value is invalid.
   void check_range(const std::string& field, double value, double min, double max) {
     if (value >= min && value <= max) return;
     char message[96];
@@ -54,14 +55,17 @@
   Error error;
 };
 
+// Returns the path of a field in a list, as in "servers[0].name".
 std::string field_path(const char* list, std::size_t index, const char* field) {
   return std::string(list) + "[" + std::to_string(index) + "]." + field;
 }
 
+// Returns the index of a zone, or zones.size() if it is unknown.
 int zone_index(const std::string& name, const std::vector<std::string>& zones) {
   return static_cast<int>(std::find(zones.begin(), zones.end(), name) - zones.begin());
 }
 
+// Parses an IPv4 address and a port, 0 only if `any_port`. Reports an error if the text is invalid.
 std::optional<boost::asio::ip::udp::endpoint> parse_udp_endpoint(OptionsValidator& validator,
                                                                  const std::string& field,
                                                                  const std::string& text,
--- a/gateway/convert.h
+++ b/gateway/convert.h
@@ -37,7 +37,9 @@
              const std::vector<std::string>& classes, const quinceusher::Settings& settings,
              ByteBudget& budget, double received_at, std::uint64_t token = 0);
 
+// Returns the public error for a rejected request.
 Error to_error(const RequestRejection& rejection);
+// Converts the engine's final answer.
 Response to_response(Reply&& reply);
 
 }  // namespace nettlestand
--- a/gateway/http.cpp
+++ b/gateway/http.cpp
@@ -52,6 +52,7 @@
   return out;
 }
 
+// Parser and state of one connection.
 struct HttpReader::Impl {
   Impl(Gateway::Impl& gateway, std::size_t other_body_limit)
       : gateway(gateway), reader(gateway.request_validator(), gateway.budget(), other_body_limit) {}
--- a/gateway/impl.cpp
+++ b/gateway/impl.cpp
@@ -150,8 +150,8 @@
       try {
         self->loop_.run();
         return;
-      } catch (const std::exception& surprise) {  // an error on one connection must not end the others
-        self->log(nettlestand::unexpected_error("gateway", surprise.what()));
+      } catch (const std::exception& error) {  // an error on one connection must not end the others
+        self->log(nettlestand::unexpected_error("gateway", error.what()));
       }
     }
   });
--- a/gateway/impl.h
+++ b/gateway/impl.h
@@ -97,7 +97,9 @@
   void post_task(UniqueFunction<void()> task);
   template <class F>
   void on_loop(F f);
+  // A refusal with the engine's current retry advice.
   Response refusal(Errc code, const char* text) const;
+  // Shuts down if no request is open.
   void end_if_drained();
   void shut_down();
   // Keeps held_duties_ up to date for other threads.
--- a/include/nettlestand/gateway.h
+++ b/include/nettlestand/gateway.h
@@ -29,15 +29,18 @@
   kIdIsOpen [[deprecated("use kRequestIdInUse")]] = kRequestIdInUse,
   kNotHeld [[deprecated("use kDutyNotHeld")]] = kDutyNotHeld
 };
+// The error category of Errc, with the name "nettlestand".
 NETTLESTAND_API const std::error_category& gateway_category() noexcept;
 inline std::error_code make_error_code(Errc code) { return {static_cast<int>(code), gateway_category()}; }
 
+// An error of the library; false in a boolean context if there is none.
 struct Error {
   std::error_code code;
   std::string text;  // for people: the field and what is wrong with it
   explicit operator bool() const { return static_cast<bool>(code); }
 };
 
+// A request to forward.
 struct Request {
   std::string request_class;    // as Options name it
   std::string tenant;           // as Options name it; empty if they name no tenants
@@ -67,6 +70,7 @@
   kShutDown    // the gateway was destroyed before the answer; may have been executed
 };
 
+// The final answer to a request.
 struct Response {
   Outcome outcome = Outcome::kFailed;
   Error error;  // set for kInvalid, and for kRefused if the gateway is full, is stopping or does not hold the
--- a/include/nettlestand/options.h
+++ b/include/nettlestand/options.h
@@ -27,6 +27,7 @@
 // For keyed requests: the set of servers that share their record of idempotency keys.
 enum class Dedup { kAll, kZone, kCell };
 
+// A class of requests with the same effect and latency requirements.
 struct ClassOptions {
   std::string name;  // 1 to 128 bytes, each name once
   Effect effect = Effect::kUnsafe;
@@ -37,13 +38,16 @@
   std::chrono::milliseconds dedup_window{0};  // keyed only: how long servers remember a key; 0 to 1 day
 };
 
+// A tenant: a source of requests with a share of the capacity.
 struct TenantOptions {
   std::string name;                 // 1 to 128 bytes, each name once
   std::optional<double> allowance;  // guaranteed requests/s over all gateways; 0 to 1e9
 };
 
+// A draining server finishes its requests and gets no new ones.
 enum class ServerState { kReady, kDraining };
 
+// A server of the tier.
 struct ServerOptions {
   std::string name;     // 1 to 255 bytes, unique, and the same at every gateway
   std::string address;  // "10.0.0.4:3000" or "[::1]:3000"; names are not resolved
--- a/tests/library/random_rules_test.cpp
+++ b/tests/library/random_rules_test.cpp
@@ -1,6 +1,7 @@
-// Checks the four rules after 30 s of random cancels, kills, drains and cold starts against what the stand-in
-// servers saw. NETTLESTAND_RANDOM_SECONDS sets another duration. The seed is fixed but timing is not, so only
-// the rules decide the result.
+// Cancels requests and kills, drains and cold-starts servers at random for 30 s, and then checks what the
+// stand-in servers saw against four rules: no request is lost, no effect happens twice, draining servers get
+// no new requests, and cold servers are not overloaded. NETTLESTAND_RANDOM_SECONDS sets another duration. The
+// seed is fixed but timing is not, so only the rules decide the result.
 #include <atomic>
 #include <cstdlib>
 #include <future>
@@ -22,6 +23,7 @@
   return other != nullptr ? std::atof(other) : 30;
 }
 
+// A class of requests: for the gateway and for the checker of the rules.
 struct Class {
   const char* name;
   Effect effect;
