--- a/tests/library/random_rules_test.cpp
+++ b/tests/library/random_rules_test.cpp
@@ -1,6 +1,7 @@
-// The four rules after 30 s of random cancels, kills, drains and cold starts, held against what the stand-in
-// servers saw. NETTLESTAND_RANDOM_SECONDS sets another length. The seed is fixed; timing is not, so the
-// verdict is that of the rules alone.
+// Cancels requests and kills, drains and cold-starts servers at random for 30 s, and then checks what the
+// stand-in servers saw against four rules: no request is lost, no effect happens twice, draining servers get
+// no new requests, and cold servers are not overloaded. NETTLESTAND_RANDOM_SECONDS sets another duration. The
+// seed is fixed but timing is not, so only the rules decide the result.
 #include <atomic>
 #include <cstdlib>
 #include <future>
@@ -22,6 +23,7 @@
   return other != nullptr ? std::atof(other) : 30;
 }
 
+// A class of requests: for the gateway and for the checker of the rules.
 struct Class {
   const char* name;
   Effect effect;
@@ -61,7 +63,7 @@
   custom.start_capacity = 0.3;
   custom.ramp_time = std::chrono::seconds(6);
   std::mutex log_mutex;
-  std::string log;  // for whoever looks for a cause
+  std::string log;  // printed if NETTLESTAND_RANDOM_LOG is set, to find the cause of a failure
   custom.logger = [&](std::string_view line) {
     const std::lock_guard lock(log_mutex);
     log.append(line).append("\n");
@@ -77,7 +79,7 @@
   };
   std::atomic<bool> finished = false;
   std::atomic<std::uint64_t> outcomes[7] = {};
-  std::atomic<int> violations = 0;
+  std::atomic<int> completion_errors = 0;
   std::vector<std::thread> threads;
   for (int t = 0; t < 4; ++t) {
     threads.emplace_back([&, t] {
@@ -96,25 +98,26 @@
         record.key = r.idempotency_key;
         record.timeout = std::chrono::duration<double>(r.timeout).count();
         record.first_byte_at = record.sent_at = si::now();
-        auto one = std::make_shared<SubmittedRequest>();
-        one->record = recorder.open(record);
+        auto tracked = std::make_shared<SubmittedRequest>();
+        tracked->record = recorder.open(record);
         const std::uint64_t digest = si::digest_of(r.body);
-        one->ticket = gateway->submit(std::move(r), [&, one, digest, id = record.id](Response response) {
-          const double at = si::now();
-          if (++one->completions != 1) ++violations;
-          ++outcomes[static_cast<std::size_t>(response.outcome)];
-          if (response.outcome == Outcome::kServed && response.body != si::answer_body(id, digest, 0))
-            ++violations;
-          recorder.call(one->record, [&](si::CallRecord& call) {
-            call.answered_at = at;
-            call.end = si::CallEnd::kAnswered;
-            call.status = response.status();
-            call.answer_digest = si::digest_of(response.body);
-          });
-          one->done = true;
-        });
-        submitted.push_back(one);
-        // A tenth is given up, at any moment of its life.
+        tracked->ticket =
+            gateway->submit(std::move(r), [&, tracked, digest, id = record.id](Response response) {
+              const double at = si::now();
+              if (++tracked->completions != 1) ++completion_errors;
+              ++outcomes[static_cast<std::size_t>(response.outcome)];
+              if (response.outcome == Outcome::kServed && response.body != si::answer_body(id, digest, 0))
+                ++completion_errors;
+              recorder.call(tracked->record, [&](si::CallRecord& call) {
+                call.answered_at = at;
+                call.end = si::CallEnd::kAnswered;
+                call.status = response.status();
+                call.answer_digest = si::digest_of(response.body);
+              });
+              tracked->done = true;
+            });
+        submitted.push_back(tracked);
+        // About a tenth of the requests are cancelled, at random moments.
         if (random() % 5 == 0) gateway->cancel(submitted[random() % submitted.size()]->ticket);
         while (submitted.size() > 16 && !finished) {
           std::erase_if(submitted, [](const auto& m) { return m->done.load(); });
@@ -125,7 +128,7 @@
     });
   }
 
-  // One thing after another goes wrong with the servers. Cells keep one server that is well.
+  // Injects one fault after another into the servers. Each cell keeps one healthy server.
   std::mt19937_64 random(7);
   const double started_at = si::now();
   const auto pause = [&](double min, double max) {
@@ -137,18 +140,18 @@
     const std::size_t index = random() % 6;
     si::Listing& listing = listings[index];
     switch (random() % 3) {
-      case 0:  // killed, and back a moment later
+      case 0:  // killed and restarted shortly after
         ++kills;
         servers[index]->run("crash for " + std::to_string(0.1 + static_cast<double>(random() % 8) / 10));
         pause(0.3, 1.2);
         break;
-      case 1:  // drains, and is back
+      case 1:  // drains and returns
         ++drains;
         discovery.state(listing.host, "leaving");
         pause(0.3, 1.5);
         discovery.state(listing.host, "active");
         break;
-      default:  // goes, and another comes cold under its name and at its address
+      default:  // replaced by a cold server with the same name and address
         ++cold_starts;
         discovery.state(listing.host, "leaving");
         pause(0.2, 0.6);
@@ -162,28 +165,29 @@
     if (random() % 4 == 0) servers[random() % 6]->run("at 0 reset-after-request for 0.2");
   }
   finished = true;
-  for (std::thread& one : threads) one.join();
+  for (std::thread& caller : threads) caller.join();
   std::promise<void> stopped;
   gateway->stop([&] { stopped.set_value(); });
   stopped.get_future().get();
   gateway.reset();
 
-  si::CheckerSettings checked;
-  checked.late_slack = 2.5;  // the verdict must not hang on how busy the machine is
-  checked.crossing = 0.5;
-  checked.drain_slack = 0.5;
-  checked.window_slack = 0.5;
+  si::CheckerSettings checker_settings;
+  checker_settings.late_slack = 2.5;  // the result must not depend on the load of the machine
+  checker_settings.crossing = 0.5;
+  checker_settings.drain_slack = 0.5;
+  checker_settings.window_slack = 0.5;
   for (const Class& c : kClasses) {
-    checked.classes.push_back({c.name, c.checked, si::CheckedClass::Group::kCell, 4});
+    checker_settings.classes.push_back({c.name, c.checked, si::CheckedClass::Group::kCell, 4});
   }
-  for (const si::Listing& s : listings) checked.servers.push_back({s.host, s.site, s.block});
-  const auto found = si::Checker(checked).check(
-      {recorder.calls(), recorder.attempts(), recorder.told(), recorder.fallen(), {}});
-  EXPECT_TRUE(found.empty()) << si::to_text(found).substr(0, 4000);
-  EXPECT_EQ(violations, 0);
+  for (const si::Listing& s : listings) checker_settings.servers.push_back({s.host, s.site, s.block});
+  const auto violations =
+      si::Checker(checker_settings)
+          .check({recorder.calls(), recorder.attempts(), recorder.told(), recorder.fallen(), {}});
+  EXPECT_TRUE(violations.empty()) << si::to_text(violations).substr(0, 4000);
+  EXPECT_EQ(completion_errors, 0);
   std::uint64_t all = 0;
   for (const auto& count : outcomes) all += count;
-  EXPECT_EQ(all, recorder.calls().size()) << "each has its one completion";
+  EXPECT_EQ(all, recorder.calls().size()) << "each request has exactly one completion";
   EXPECT_GT(outcomes[static_cast<std::size_t>(Outcome::kServed)], all / 10);
   EXPECT_GT(outcomes[static_cast<std::size_t>(Outcome::kCancelled)], 0U);
   EXPECT_EQ(outcomes[static_cast<std::size_t>(Outcome::kShutDown)], 0U);
