--- a/daemon/config.cpp
+++ b/daemon/config.cpp
@@ -15,9 +15,9 @@
 namespace json = quinceusher::json;
 using json::Json;
 
-constexpr std::size_t kMaxConfigNameBytes = 128;  // bytes of a class's, tenant's or zone's name
+constexpr std::size_t kMaxConfigNameBytes = 128;  // of a class's, tenant's or zone's name
 
-// Names that a header can hold, each once: which of two of one name is meant could not be told.
+// Reads unique names that fit into a header. With duplicates, a request's header would be ambiguous.
 std::vector<std::string> read_names(const Json& in, const char* field) {
   std::vector<std::string> out;
   std::set<std::string_view> seen;
@@ -36,8 +36,8 @@
   json::reject_field(field, ("a list of " + std::to_string(min) + " to " + std::to_string(max)).c_str());
 }
 
-// Guards the clocks and timers: a time of nothing, or one that no clock can count, is waited for in a busy
-// loop or is over at once. No service comes near these ranges' ends.
+// Checks the ranges of the settings. A time of zero, or one too long for the clock, would make a timer spin
+// or expire at once. No service comes near the ends of these ranges.
 void check_settings(const quinceusher::Settings& s) {
   constexpr double kMinSeconds = 0.001, kHour = 3600, kDay = 86400;  // s
   json::check_range(s.copy_count, "peersTotal", 1, 100000);
@@ -71,8 +71,8 @@
   return {tcp.address(), tcp.port()};
 }
 
-// Membership, where the platform allows messages between nodes and says where they go. Its datagrams are of
-// 256 bytes at most.
+// Membership settings, if the platform allows messages between nodes and names their addresses. Membership
+// datagrams have at most 256 bytes.
 std::optional<peers::ServiceOptions> read_peers(const Json& in, const Json& bounds, int position) {
   const Json* listen = json::find(in, "peer_listen");
   if (!json::boolean(bounds, "peers") || listen == nullptr || json::find(in, "peers") == nullptr)
@@ -161,7 +161,8 @@
   duties::Node& self = config.duties->service.client.lease_holder.self;
   self.name = config.name.substr(0, duties::kMaxNameBytes);
   self.zone = zone.substr(0, duties::kMaxNameBytes);
-  // A life of its own for each start: no clock and no disk can be trusted with that.
+  // Each start gets a random generation, since neither the clock nor the disk can be trusted to give a new
+  // one.
   std::random_device random;
   self.generation = (static_cast<std::uint64_t>(random()) << 31 ^ random()) + 1;
   config.duties->service.client.seed = self.generation;
--- a/daemon/config.h
+++ b/daemon/config.h
@@ -1,4 +1,4 @@
-// What a node is told at its start, and what the platform tells.
+// A node's configuration, and the reader of the platform's configuration (JSON).
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -19,50 +19,52 @@
 
 namespace nettlestand {
 
-// A program that is run while its duty is held.
+// A program that runs while the node holds a duty.
 struct DutyProgram {
   duties::Duty duty;
-  std::vector<std::string> command;  // its path and arguments
-  double stop_timeout = 2;           // s that it has to end after SIGTERM
+  std::vector<std::string> command;  // absolute path and arguments
+  double stop_timeout = 2;           // s from SIGTERM to SIGKILL
 };
 
-// Duties held by one node.
+// Settings of duties, each of which is held by one node at a time.
 struct DutiesConfig {
   duties::ClientServiceOptions service;
-  std::optional<duties::VoterOptions> voter;  // where this node votes
+  std::optional<duties::VoterOptions> voter;  // set if this node is a voter
   std::vector<DutyProgram> programs;
   std::optional<report::ReporterOptions> report;
-  std::string key_file;  // the cluster's keys, or empty
+  std::string key_file;  // file of the cluster's keys; empty: none
   bool may_start_programs = true;
 };
 
+// Everything that a node is configured with.
 struct Config {
   std::string name;
   boost::asio::ip::tcp::endpoint listen;
-  std::optional<boost::asio::ip::tcp::endpoint> discovery;  // none: the servers are those of `servers`
+  std::optional<boost::asio::ip::tcp::endpoint> discovery;  // nullopt: `static_servers` is used
   std::uint64_t seed = 0;
   std::size_t sockets = 1024, memory_mb = 64;
   quinceusher::Settings settings;
-  std::vector<std::string> classes, tenants, zones;  // their names, in the order of the settings
+  std::vector<std::string> classes, tenants, zones;  // names, in the order of the settings
   double connect_timeout = 0.25;                     // s
-  double server_idle_timeout = 5;                    // s; servers close connections idle for so long
-  std::optional<ServerList> last_known_servers;      // discovery's list as it was last known
-  std::optional<ServerList> static_servers;          // all there are, where there is no discovery
+  double server_idle_timeout = 5;                    // s; servers close connections that are idle for so long
+  std::optional<ServerList> last_known_servers;      // discovery's list, from before the start
+  std::optional<ServerList> static_servers;          // the servers if there is no discovery
   ListenerLimits listener;
   LogOptions log;
-  std::optional<peers::ServiceOptions> peers;  // membership among the nodes, where it is on
-  std::string peers_key_file;                  // the cluster's keys, or empty
-  std::optional<DutiesConfig> duties;          // where they are on
-  std::string control_socket;                  // path of the control socket, or empty
+  std::optional<peers::ServiceOptions> peers;  // membership among the nodes, if enabled
+  std::string peers_key_file;                  // file of the cluster's keys; empty: none
+  std::optional<DutiesConfig> duties;          // if enabled
+  std::string control_socket;                  // path; empty: no control socket
 
-  // So many servers may be listed, ready or leaving: each takes 1.4 KB, or twice that with a long name.
+  // Bound on the number of listed servers, ready or leaving. Each takes 1.4 KB, or twice that with a long
+  // name.
   std::size_t max_servers() const { return memory_mb * 128; }
 };
 
-// Throws std::exception with a plain text on what can't be used.
+// Reads the platform's configuration. Throws std::exception with a message on what is invalid.
 Config read_platform_config(const std::string& json);
 
-// What a node says of itself among others, and which copy it is: of the rest of its configuration.
+// Derives the node's identity towards other nodes and voters from the rest of its configuration.
 void set_identities(Config& config);
 
 }  // namespace nettlestand
--- a/daemon/control_socket.cpp
+++ b/daemon/control_socket.cpp
@@ -24,10 +24,10 @@
 using asio::local::stream_protocol;
 using boost::system::error_code;
 
-constexpr std::size_t kMaxCommandBytes = 4096;              // bytes
-constexpr int kMaxSessions = 8;                             // who asks at a time; more are closed at once
-constexpr auto kIoTimeout = std::chrono::seconds(2);        // for the command to come, and the answer to go
-constexpr auto kCommandTimeout = std::chrono::seconds(14);  // for an answer that comes later
+constexpr std::size_t kMaxCommandBytes = 4096;
+constexpr int kMaxSessions = 8;                             // further connections are closed at once
+constexpr auto kIoTimeout = std::chrono::seconds(2);        // to receive the command, and to send the reply
+constexpr auto kCommandTimeout = std::chrono::seconds(14);  // for a command that completes later
 
 std::string check_path_length(std::string path) {
   if (path.size() >= sizeof(sockaddr_un::sun_path))
@@ -66,7 +66,7 @@
   }
 
  private:
-  // The one of the longest name that the line begins with.
+  // Runs the asynchronous command with the longest name that the line starts with; false if there is none.
   bool run_async_command(const std::string& line) {
     std::vector<std::string> arguments;
     std::istringstream in(line);
@@ -135,7 +135,7 @@
       acceptor_(io) {
   struct stat status {};
   if (lstat(path_.c_str(), &status) == 0) {
-    if (!S_ISSOCK(status.st_mode)) throw std::runtime_error(path_ + ": is there, and no socket");
+    if (!S_ISSOCK(status.st_mode)) throw std::runtime_error(path_ + ": exists and is not a socket");
     stream_protocol::socket other(io);
     error_code error;
     other.connect(stream_protocol::endpoint(path_), error);
@@ -143,7 +143,7 @@
     unlink(path_.c_str());
   }
   acceptor_.open(stream_protocol());
-  // Nobody but its owner may ask, from the first moment on.
+  // The umask restricts the socket to its owner (0600) from the moment it exists.
   const mode_t old_umask = umask(0177);
   error_code error;
   acceptor_.bind(stream_protocol::endpoint(path_), error);
--- a/daemon/control_socket.h
+++ b/daemon/control_socket.h
@@ -1,5 +1,5 @@
-// The control socket: a Unix socket by which an operator asks a running node what it holds. One line in, one
-// answer out, then it is closed. Off unless the operator's file names a path.
+// The control socket: a Unix socket on which operators query a running node. A client sends one line with a
+// command and gets one reply; then the connection is closed. Off unless the operator's file names a path.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -15,19 +15,20 @@
 
 namespace nettlestand {
 
-// On the loop's thread.
+// Serves the commands on the event loop's thread.
 class ControlSocket {
  public:
-  // A command, as in "peers", and what it answers. What a command throws is answered as an error.
+  // Commands without arguments, such as "peers", and the functions that return their replies. An exception is
+  // sent as an error reply.
   using Commands = std::map<std::string, std::function<std::string()>>;
-  // One that takes arguments, as in "duties pass NAME", and answers later, once: with a text, or what went
-  // wrong.
+  // Commands with arguments, such as "duties pass NAME". The function calls the completion exactly once, with
+  // a reply or an error.
   using Completion = std::function<void(std::string text, std::string error)>;
   using AsyncCommands =
       std::map<std::string, std::function<void(const std::vector<std::string>& arguments, Completion)>>;
 
-  // Takes the place of a socket that nobody listens at any more. Throws std::runtime_error where the path
-  // can't be had, as where another process listens there.
+  // Replaces a socket file that nobody listens on any more. Throws std::runtime_error if the path cannot be
+  // used, for example because another process listens on it.
   ControlSocket(boost::asio::io_context& io, std::string path, Commands commands,
                 AsyncCommands async_commands, Log log);
   ~ControlSocket();
@@ -48,7 +49,8 @@
   const std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-// The other side: asks the node at a path, and waits for 15 s at the most. Throws std::runtime_error.
+// The client side: sends a command to the node that listens on `path` and returns its reply. Waits for 15 s
+// at most. Throws std::runtime_error, also for an error reply.
 std::string send_control_command(const std::string& path, const std::string& command);
 
 }  // namespace nettlestand
--- a/daemon/demo.cpp
+++ b/daemon/demo.cpp
@@ -19,8 +19,9 @@
 
 constexpr double kRate = 300;                              // calls/s
 constexpr double kAimSeconds = 0.25, kTimeoutSeconds = 1;  // s
-constexpr double kServiceSeconds = 0.01;                   // s of a server's core for a call, in the mean
-constexpr double kRampSeconds = 4, kStartCapacity = 0.3;   // s; a cold server's part of its capacity
+constexpr double kServiceSeconds = 0.01;                   // mean s of a server's core per call
+constexpr double kRampSeconds = 4,
+                 kStartCapacity = 0.3;  // s; share of its capacity that a cold server starts with
 
 const std::vector<si::CheckedClass>& checked_classes() {
   using Effect = si::CheckedClass::Effect;
@@ -31,6 +32,7 @@
   return all;
 }
 
+// Calls and attempts that ended within one second.
 struct SecondCounts {
   int served = 0, refused = 0, failed = 0, attempts = 0;
   std::vector<double> times;  // s, of the served
@@ -44,6 +46,7 @@
   return *at;
 }
 
+// The processes of the demo, its script and its checks.
 class Demo {
  public:
   Demo(const std::string& binary, double seconds) : seconds_(seconds) {
--- a/daemon/demo.h
+++ b/daemon/demo.h
@@ -1,13 +1,13 @@
-// `nettlestand demo`: a node, three stand-in servers and callers on loopback, with a server killed, drained
-// and cold- started on the way, and the four rules held against what everybody saw.
+// `nettlestand demo`: runs a node, three test servers and a load generator on loopback. Servers are killed,
+// drained and cold-started on the way, and the four rules are checked on what all of them recorded.
 #pragma once
 
 #include <string>
 
 namespace nettlestand {
 
-// `binary`: this program, which it starts as the node. Prints to standard output. The exit code: 0 where
-// every rule was kept, 1 where one was broken or the node did not start.
+// Prints the run to standard output. `binary` is this program, which is started as the node. Returns the exit
+// code: 0 if no rule was broken, 1 if one was or the node did not start.
 int run_demo(const std::string& binary, double seconds);
 
 }  // namespace nettlestand
--- a/daemon/duties.cpp
+++ b/daemon/duties.cpp
@@ -16,14 +16,14 @@
 namespace json = quinceusher::json;
 using duties::Request;
 
-constexpr double kReleaseTimeoutSeconds = 1;  // s
+constexpr double kReleaseTimeoutSeconds = 1;
 
 std::string zone_name(const Config& c) {
   const auto zone = static_cast<std::size_t>(c.settings.zone);
   return zone < c.zones.size() ? c.zones[zone] : "";
 }
 
-// By their first column.
+// Rows below the heading, sorted by their first column.
 std::string sorted(std::vector<std::vector<std::string>> rows) {
   std::sort(rows.begin() + 1, rows.end());
   return align_columns(rows);
@@ -50,7 +50,7 @@
     log_({LogLevel::kWarning,
           "duties",
           "programs_off",
-          "programs are not started on this platform: their duties are left to others",
+          "duty programs are disabled on this platform; their duties are left to other nodes",
           {}});
   }
   if (config_.report)
@@ -69,7 +69,8 @@
   if (voter_) transfer_leadership_when_idle(now() + kReleaseTimeoutSeconds);
 }
 
-// What this node gives back goes through quickest while its own voter leads, if it does.
+// Leadership is kept until the releases are done, because they go through fastest while this node's own voter
+// leads.
 void NodeDuties::transfer_leadership_when_idle(double until) {
   if (service_.idle() || now() >= until) return voter_->transfer_leadership();
   drain_timer_.expires_after(std::chrono::milliseconds(10));
@@ -106,7 +107,7 @@
     if (arguments.size() < min || arguments.size() > max)
       throw std::runtime_error("not as many words as belong there");
   };
-  // With one duty's name, or a voter's, and perhaps a word more.
+  // A command on one duty or voter, with an optional second argument.
   const auto target_command = [send_request, check_argument_count](Request::Kind kind, bool voter) {
     return
         [send_request, check_argument_count, kind, voter](const Arguments& arguments, Completion complete) {
--- a/daemon/duties.h
+++ b/daemon/duties.h
@@ -1,5 +1,5 @@
-// Duties held by one, as a node has them: its side of them, the programs it runs for them, the fleet report,
-// and the voter, where it is one. On the loop's thread.
+// A node's part in duties, each of which one node holds at a time: the lease client, the programs of held
+// duties, the fleet report, and the voter if this node is one. Used on the event loop's thread.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -17,17 +17,20 @@
 
 namespace nettlestand {
 
+// Owns the duty components of a node.
 class NodeDuties {
  public:
-  // Throws std::exception where they can't be had.
+  // Throws std::exception if a component cannot be created.
   NodeDuties(boost::asio::io_context& io, const Config& config, Log log);
 
   void start();
-  // Gives everything back at once; then has another voter lead.
+  // Releases all leases at once, then transfers the voters' leadership if this node's voter has it.
   void begin_drain();
-  // The last words of this node.
+  // Publishes the last counts and closes the lease client.
   void shut_down();
+  // Counts an answer for the fleet report.
   void count_answer(const Call& call, Reply::Kind kind);
+  // The commands of the control socket.
   ControlSocket::AsyncCommands commands();
 
  private:
@@ -44,9 +47,10 @@
   boost::asio::steady_timer drain_timer_;
 };
 
-// Makes the state of a new voter in a folder; `found`: of the first one, called so. Returns what to tell.
+// Creates the state of a new voter in a folder. A non-empty `first_voter` bootstraps the voter group with
+// this voter under that name. Returns a message for the operator.
 std::string init_voter(const std::string& folder, const std::string& first_voter);
-// Tables for people, of the JSON that a node answers.
+// Text tables of a node's JSON replies.
 std::string duties_table(const std::string& report);
 std::string voters_table(const std::string& report);
 
--- a/daemon/duty_program.cpp
+++ b/daemon/duty_program.cpp
@@ -26,8 +26,8 @@
 
 using boost::system::error_code;
 
-// The last moment of a lease is not used: SIGKILL takes its time, too.
-constexpr double kKillMarginSeconds = 0.02;  // s
+// The program is killed this long before the lease ends, since SIGKILL takes time to act.
+constexpr double kKillMarginSeconds = 0.02;
 
 }  // namespace
 
@@ -42,7 +42,7 @@
 
 DutyPrograms::~DutyPrograms() {
   for (auto& one : programs_) {
-    if (one->pipe >= 0) close(one->pipe);  // the guardian ends with its program
+    if (one->pipe >= 0) close(one->pipe);  // the watchdog then kills its program and exits
   }
 }
 
@@ -88,7 +88,7 @@
     log_({LogLevel::kError,
           "duties",
           "program_failed",
-          "the program of the duty " + duty + " can't be started: " + std::strerror(error),
+          "cannot start the program of duty " + duty + ": " + std::strerror(error),
           {{"duty", duty}}});
     one.wanted_token = one.running_token = 0;
     duties_.report_failure(duty);
@@ -110,8 +110,8 @@
   posix_spawn_file_actions_t file_actions;
   posix_spawn_file_actions_init(&file_actions);
   posix_spawn_file_actions_adddup2(&file_actions, ends[0], 0);
-  // Danger: callers' and servers' connections are open without close-on-exec; a program that held them would
-  // keep their other ends from ever seeing their end.
+  // Connections of clients and servers are open without close-on-exec. If the program inherited them, their
+  // peers would never see them close.
   posix_spawn_file_actions_addclosefrom_np(&file_actions, 3);
   posix_spawnattr_t attributes;
   posix_spawnattr_init(&attributes);
@@ -138,7 +138,7 @@
   log_({LogLevel::kInfo,
         "duties",
         "program_started",
-        "the program of the duty " + duty + " runs",
+        "started the program of duty " + duty,
         {{"duty", duty},
          {"token", static_cast<std::int64_t>(one.running_token)},
          {"pid", std::int64_t{one.watchdog}}}});
@@ -147,7 +147,7 @@
 void DutyPrograms::send_deadline(ProgramState& one) {
   char line[64];
   const int size = std::snprintf(line, sizeof line, "u %.6f\n", duties_.held_until(one.program.duty.name));
-  // What does not fit is said again with the next turn.
+  // A write that finds the pipe full is made up for by the next update.
   if (one.pipe >= 0) static_cast<void>(!write(one.pipe, line, static_cast<std::size_t>(size)));
 }
 
@@ -183,17 +183,17 @@
       log_({one->stopping ? LogLevel::kInfo : LogLevel::kWarning,
             "duties",
             "program_ended",
-            "the program of the duty " + duty + " has ended with " + std::to_string(code),
+            "the program of duty " + duty + " exited with " + std::to_string(code),
             {{"duty", duty},
              {"token", static_cast<std::int64_t>(one->running_token)},
              {"code", std::int64_t{code}}}});
       if (!one->stopping && one->wanted_token == one->running_token) {
-        // By itself, while the duty is held: somebody else is to try.
+        // The program exited by itself while the duty is held: another node is to take the duty.
         one->wanted_token = 0;
         duties_.report_failure(duty);
       }
       duties_.confirm_stopped(duty);
-      if (one->wanted_token != 0) start_program(*one);  // it has come back meanwhile
+      if (one->wanted_token != 0) start_program(*one);  // the duty was regained meanwhile
     }
   });
 }
@@ -228,13 +228,13 @@
     kill(program, signal);
   };
   fcntl(0, F_SETFL, O_NONBLOCK);
-  double deadline = now() + 5;  // the first word comes at once
+  double deadline = now() + 5;  // until the first deadline, which the node sends at once
   bool stopping = false;
   std::string in;
   for (;;) {
     int status = 0;
     if (waitpid(program, &status, WNOHANG) == program) {
-      kill(-program, SIGKILL);  // what it has left behind
+      kill(-program, SIGKILL);  // processes that it left behind
       return WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
     }
     const double remaining = deadline - kKillMarginSeconds - now();
@@ -251,7 +251,7 @@
     if ((descriptors[0].revents & (POLLIN | POLLHUP)) == 0) continue;
     char buffer[512];
     const ssize_t count = read(0, buffer, sizeof buffer);
-    if (count == 0) {  // the node is gone, or wants it so
+    if (count == 0) {  // the node has exited, or closed the pipe to stop the program
       deadline = std::min(deadline, now());
       continue;
     }
--- a/daemon/duty_program.h
+++ b/daemon/duty_program.h
@@ -1,6 +1,6 @@
-// Programs that are run while a duty is held. Between the node and each of them stands a guardian, a small
-// process of the same file, which knows until when the duty is held: where the node stands, dies or is cut
-// off, the guardian ends the program by then all the same.
+// Programs that run while a duty is held. Each program is a child of a watchdog, a small process of the same
+// executable that knows when the lease ends. If the node hangs, dies or is cut off, the watchdog still kills
+// the program by then.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -17,12 +17,12 @@
 
 namespace nettlestand {
 
-// On the loop's thread.
+// Starts and stops the programs of a node's duties. Used on the event loop's thread.
 class DutyPrograms {
  public:
   DutyPrograms(boost::asio::io_context& io, std::vector<DutyProgram> programs, duties::ClientService& duties,
                Log log);
-  ~DutyPrograms();  // ends what runs
+  ~DutyPrograms();  // ends the running programs
   DutyPrograms(const DutyPrograms&) = delete;
   DutyPrograms& operator=(const DutyPrograms&) = delete;
 
@@ -33,7 +33,7 @@
   struct ProgramState {
     DutyProgram program;
     pid_t watchdog = -1;
-    int pipe = -1;  // to the guardian
+    int pipe = -1;  // to the watchdog's standard input
     duties::Token running_token = 0, wanted_token = 0;
     bool stopping = false;
   };
@@ -52,8 +52,9 @@
   std::vector<std::unique_ptr<ProgramState>> programs_;
 };
 
-// The guardian's whole life: `nettlestand duty-guard STOP_S PROGRAM ARGUMENTS...`, with words on its standard
-// input: "u SECONDS" (held until then, on the steady clock) and "s" (stop). Returns the exit code.
+// Runs the watchdog process: `nettlestand duty-guard STOP_S PROGRAM ARGUMENTS...`. It reads lines from
+// standard input: "u SECONDS" (the lease is held until then, on the steady clock) and "s" (stop the program).
+// Returns the exit code.
 int run_watchdog(double stop_timeout, const std::vector<std::string>& command);
 
 }  // namespace nettlestand
--- a/daemon/log.cpp
+++ b/daemon/log.cpp
@@ -30,7 +30,7 @@
         } else if constexpr (std::is_same_v<Value, std::int64_t>) {
           out.Int64(value);
         } else if constexpr (std::is_same_v<Value, double>) {
-          if (!out.Double(value)) out.Null();  // no number: JSON has no word for it
+          if (!out.Double(value)) out.Null();  // NaN and infinity have no JSON form
         } else {
           out.Bool(value);
         }
@@ -38,7 +38,8 @@
       field.value);
 }
 
-// As a JSON string where it is no plain word: one event stays one line, whatever it quotes.
+// Formats a value as a JSON string unless it is a plain word, so that an event stays on one line whatever
+// text it contains.
 std::string format_value(const LogField& field) {
   rapidjson::StringBuffer buffer;
   Writer out(buffer);
@@ -132,7 +133,7 @@
   if (*suppressed > 0) {
     with_count = event;
     with_count.fields.push_back({"left_out", static_cast<std::int64_t>(*suppressed)});
-    with_count.text += " (" + std::to_string(*suppressed) + " more like it were left out)";
+    with_count.text += " (" + std::to_string(*suppressed) + " similar events suppressed)";
     reported = &with_count;
   }
   switch (options_.format) {
--- a/daemon/log.h
+++ b/daemon/log.h
@@ -1,4 +1,4 @@
-// The daemon's log: events to lines on standard error, by spdlog. One thread, the loop's.
+// The node's log: writes events as lines to standard error with spdlog. Used on the event loop's thread.
 #pragma once
 
 #include <array>
@@ -11,27 +11,29 @@
 
 namespace nettlestand {
 
-// Whose levels can be set.
+// The components whose log levels can be set.
 inline constexpr std::array<const char*, 9> kLogComponents = {
     "node", "engine", "decisions", "discovery", "listener", "upstream", "peers", "duties", "report"};
 
+// Format, levels and limits of the log.
 struct LogOptions {
   enum class Format {
-    kPlain,  // seconds of the steady clock and a sentence
-    kText,   // UTC, level, component, event, fields, sentence
-    kJson    // the same as one object, with `mono`, the steady clock's seconds
+    kPlain,  // seconds of the steady clock, message
+    kText,   // UTC, level, component, event, fields, message
+    kJson    // the same as a JSON object, with the steady clock's seconds as `mono`
   };
   Format format = Format::kPlain;
   LogLevel level = LogLevel::kInfo;
-  std::map<std::string, LogLevel> levels;  // of single components
-  int max_repeats = 20;                    // lines of one event in a period; 0: all
+  std::map<std::string, LogLevel> levels;  // overrides by component
+  int max_repeats = 20;                    // lines per event and period; 0: unlimited
   double repeat_period = 10;               // s
 };
 
-// An event without its time, level and component, as the formats have it.
+// Formats an event without its time, level and component.
 std::string to_text(const LogEvent& event);
 std::string to_json_members(const LogEvent& event);
 
+// Writes log events, filtered by level and rate.
 class Logger {
  public:
   explicit Logger(const LogOptions& options);
--- a/daemon/main.cpp
+++ b/daemon/main.cpp
@@ -1,4 +1,4 @@
-// nettlestand: one node of the load balancer. See README.md for its configuration.
+// The command line of `nettlestand`, one node of the load balancer. README.md describes the configuration.
 #include <CLI/CLI.hpp>
 #include <array>
 #include <csignal>
@@ -32,13 +32,14 @@
 
 namespace ns = nettlestand;
 
-constexpr std::size_t kMaxConfigBytes = 4 * 1024 * 1024;  // bytes; known servers of 192 MB fit
+constexpr std::size_t kMaxConfigBytes = 4 * 1024 * 1024;  // fits the known servers of a node with 192 MB
+// Exit codes.
 constexpr int kBadConfig = 2, kCannotStart = 1;
 
 std::string read_file(const std::string& path) {
   std::ifstream in(path);
   if (!in) throw std::runtime_error("can't read " + path);
-  // Guards the memory of a node that runs: a file is read again after each SIGHUP.
+  // The size is limited because a running node reads the file again after each SIGHUP.
   std::string text;
   for (std::array<char, 4096> part; in.read(part.data(), part.size()), in.gcount() > 0;) {
     text.append(part.data(), static_cast<std::size_t>(in.gcount()));
@@ -48,7 +49,7 @@
   return text;
 }
 
-// The operator's file, or all that is wrong with it as the text of what is thrown.
+// Reads the operator's file. Throws std::runtime_error with all its problems as the message.
 ns::Config load_operator_file(const std::string& path, bool standalone) {
   std::vector<ns::Problem> problems;
   const auto out = ns::parse_operator_file(read_file(path), standalone, problems);
@@ -58,15 +59,15 @@
   throw std::runtime_error(text);
 }
 
-// What the platform tells rules, and the operator's file adds to it; without the platform the file says it
-// all.
+// Loads the configuration. The platform's takes precedence, and the operator's file adds to it; without the
+// platform's, the file must hold everything.
 ns::Config load_config(const std::string& file) {
   const char* platform = std::getenv("GW_CONFIG");
   if (platform == nullptr && file.empty()) throw std::runtime_error("GW_CONFIG is not set");
   ns::Config out;
   if (platform == nullptr) {
     out = load_operator_file(file, true);
-    if (out.seed == 0) out.seed = std::random_device()();  // nodes must not draw alike
+    if (out.seed == 0) out.seed = std::random_device()();  // nodes must not share a random sequence
     ns::set_identities(out);
   } else {
     out = ns::read_platform_config(read_file(platform));
@@ -94,8 +95,8 @@
         config, [&] { return load_config(file); }, [&](const ns::LogEvent& event) { logger.write(event); });
     node.run();
     std::fflush(nullptr);
-    std::_Exit(0);                                  // what is still open ends with the process
-  } catch (const std::invalid_argument& problem) {  // settings that the module can't use
+    std::_Exit(0);  // skips destructors: the process's end closes what is open
+  } catch (const std::invalid_argument& problem) {  // settings that the balancer rejects
     failure = kBadConfig;
     std::fprintf(stderr, "nettlestand: %s\n", problem.what());
   } catch (const std::exception& problem) {
@@ -104,8 +105,8 @@
   return failure;
 }
 
-// A file that runs a node alone, or one that adds to the platform's: with GW_CONFIG in the environment, the
-// latter.
+// Checks an operator's file: as an addition to the platform's configuration if GW_CONFIG is set, otherwise as
+// a standalone one.
 int check_file(const std::string& file) {
   try {
     load_operator_file(file, std::getenv("GW_CONFIG") == nullptr);
@@ -117,7 +118,7 @@
   }
 }
 
-// What a running node knows of the others.
+// Prints what a running node knows of the other nodes.
 int show_peers(const std::string& socket, bool json) {
   try {
     const std::string report = ns::send_control_command(socket, "peers");
@@ -135,7 +136,7 @@
   return kCannotStart;
 }
 
-// Duties and the fleet report: what the command line says of them, and what it does.
+// The subcommands for duties and the fleet report.
 class DutiesCommands {
  public:
   explicit DutiesCommands(CLI::App& app) {
@@ -190,7 +191,7 @@
     report_->add_flag("--csv", csv_, "as comma-separated values");
     report_->add_option("--plot", plot_, "an SVG picture to write (needs gnuplot)");
   }
-  // What was asked for, done; none: it was something else.
+  // Runs the selected subcommand and returns the exit code; nullopt if it is not one of these.
   std::optional<int> run() {
     try {
       if (*watchdog_) {
--- a/daemon/node.cpp
+++ b/daemon/node.cpp
@@ -15,8 +15,9 @@
 
 namespace asio = boost::asio;
 
-constexpr std::size_t kReservedSockets = 40;   // the event loop's, standard ones, discovery, and headroom
-constexpr std::size_t kBodyMemoryDivisor = 3;  // of the memory, the part that bodies may take up: a third
+constexpr std::size_t kReservedSockets =
+    40;  // descriptors of the event loop, standard streams and discovery, and headroom
+constexpr std::size_t kBodyMemoryDivisor = 3;  // a third of the memory is the budget of bodies
 
 constexpr auto kDrainCheckInterval = std::chrono::milliseconds(20);
 
@@ -27,10 +28,10 @@
 }
 
 constexpr auto kFinalMessagesDelay =
-    std::chrono::milliseconds(30);  // for what is said to the voters at the end
+    std::chrono::milliseconds(30);  // to send the last messages to the voters
 
-// One thread runs the loop and whatever it serves: nothing on it needs a lock, unless a voter or a report's
-// writer beside it has something to tell.
+// The loop runs on one thread and needs no locks, unless the threads of a voter or of the report's writer
+// post to it.
 int concurrency_hint(const Config& config) {
   return config.duties ? BOOST_ASIO_CONCURRENCY_HINT_SAFE : BOOST_ASIO_CONCURRENCY_HINT_UNSAFE;
 }
@@ -96,7 +97,7 @@
       log_);
 }
 
-// What the fleet report counts; nothing where there is none.
+// The callback that counts answers for the fleet report; empty if there is no report.
 std::function<void(const Call&, Reply::Kind)> Node::answer_observer(const Config& config) {
 #ifdef NETTLESTAND_WITH_DUTIES
   if (config.duties && config.duties->report) {
@@ -133,15 +134,15 @@
   while (!io_.stopped()) {
     try {
       io_.run();
-    } catch (const std::exception& error) {  // one connection's trouble must not end the others
+    } catch (const std::exception& error) {  // an error of one connection must not end the others
       log_(nettlestand::unexpected_error("node", error.what()));
     }
   }
 }
 
-// Guards the running node against its next configuration: what can't be read or used changes nothing. Only
-// discovery's address, or the list of servers where there is none, and the peers' addresses and keys are
-// taken over; the rest holds until the next start.
+// Applies a changed configuration after SIGHUP. An invalid one changes nothing. Only discovery's address (or
+// the static list of servers) and the peers' addresses and keys are applied; the rest takes effect at the
+// next start.
 void Node::await_reload() {
   reload_signal_.async_wait([this](const boost::system::error_code& error, int) {
     if (error) return;
@@ -160,9 +161,9 @@
 
 void Node::apply_reload(const Config& next) {
   if (discovery_.has_value() != next.discovery.has_value() || (!discovery_ && !next.static_servers)) {
-    throw std::runtime_error("it has another source of servers");
+    throw std::runtime_error("the source of servers (discovery or a static list) cannot change");
   }
-  if (peers_ && next.peers) peers_->reload(*next.peers);  // throws before anything is changed
+  if (peers_ && next.peers) peers_->reload(*next.peers);  // throws before it changes anything
   if (discovery_) {
     discovery_->set_address(*next.discovery);
   } else {
--- a/daemon/node.h
+++ b/daemon/node.h
@@ -1,4 +1,5 @@
-// One node: the core, its HTTP/1.1 front and transport, and discovery, on one event loop.
+// One node: the engine, the HTTP/1.1 listener and upstream connections, discovery, membership and duties, on
+// one event loop.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -23,13 +24,14 @@
 
 namespace nettlestand {
 
+// Builds the components of a node and runs them until shutdown.
 class Node {
  public:
-  // `reload` gives the configuration as it stands after SIGHUP, or throws. Throws std::exception where the
-  // node can't start: std::invalid_argument for settings that can't be used.
+  // `reload` returns the current configuration after SIGHUP, or throws. Throws std::exception if the node
+  // cannot start; std::invalid_argument for invalid settings.
   Node(const Config& config, std::function<Config()> reload, Log log);
 
-  // Serves until SIGTERM or SIGINT has been obeyed.
+  // Serves until the drain after SIGTERM or SIGINT is over.
   void run();
 
  private:
--- a/daemon/operator_file.cpp
+++ b/daemon/operator_file.cpp
@@ -19,9 +19,8 @@
 namespace qu = quinceusher;
 
 constexpr double kHourMs = 3'600'000, kDayMs = 86'400'000;
-constexpr std::size_t kMaxConfigNameBytes = 128, kMaxServerNameBytes = 255;  // bytes
-
-// How many bytes to change, add or drop to make one name of another (Levenshtein).
+constexpr std::size_t kMaxConfigNameBytes = 128, kMaxServerNameBytes = 255;
+// The Levenshtein distance of two names, in bytes.
 std::size_t edit_distance(std::string_view a, std::string_view b) {
   std::vector<std::size_t> row(b.size() + 1);
   for (std::size_t j = 0; j <= b.size(); ++j) row[j] = j;
@@ -60,6 +59,7 @@
   }
 }
 
+// Collects problems with their positions.
 class Problems {
  public:
   explicit Problems(std::vector<Problem>& to) : to_(to) {}
@@ -71,7 +71,8 @@
   std::vector<Problem>& to_;
 };
 
-// One table of the file. Each key that is asked for is known; finish() tells of the others.
+// One table of the file. Records each key that is read; report_unknown_keys() reports the others. The readers
+// return the default, and report a problem, for a value of the wrong type or range.
 class Section {
  public:
   Section(Problems& problems, const toml::table* table, std::string name)
@@ -125,7 +126,7 @@
         node->is_integer() ? static_cast<double>(**node->as_integer()) : **node->as_floating_point();
     return check_range(key, value, default_value, min_value, max_value);
   }
-  // In ms, as s.
+  // Reads milliseconds, returns seconds.
   double ms(const char* key, double otherwise_ms, double min_ms, double max_ms) {
     return integer(key, otherwise_ms, min_ms, max_ms) / 1000;
   }
@@ -143,7 +144,7 @@
     return node == nullptr ? default_value : **node->as_boolean();
   }
 
-  // A list of addresses, none of them twice.
+  // A list of addresses without duplicates.
   std::vector<boost::asio::ip::tcp::endpoint> addresses(const char* key) {
     std::vector<boost::asio::ip::tcp::endpoint> out;
     const toml::node* node = find(key, "an array", [](const toml::node& n) { return n.is_array(); });
@@ -169,7 +170,7 @@
     return out;
   }
 
-  // The place of a word among those that are allowed.
+  // The index of a string among the allowed values.
   std::size_t choice(const char* key, const std::vector<std::string>& words, std::size_t default_value) {
     const auto text = this->text(key, kMaxConfigNameBytes);
     if (!text) return default_value;
@@ -186,7 +187,7 @@
     for (const auto& [key, node] : *table_) {
       if (known_.contains(std::string(key.str()))) continue;
       std::string text = "unknown key '" + std::string(key.str()) + "' in " + name_;
-      // The nearest one by far, or one that it begins.
+      // Suggests the most similar known key, or one that starts with the unknown key.
       const auto far = [&](const std::string& known) {
         return known.starts_with(key.str()) ? 0 : edit_distance(known, key.str());
       };
@@ -212,7 +213,7 @@
   std::set<std::string> known_;
 };
 
-// Sections that may come several times, as [[class]].
+// The tables of an array of tables, such as [[class]].
 std::vector<const toml::table*> tables(Section& root, Problems& problems, const char* key) {
   std::vector<const toml::table*> out;
   const toml::node* node =
@@ -228,6 +229,7 @@
   return out;
 }
 
+// Reads the sections of the file into a Config.
 class OperatorFileReader {
  public:
   OperatorFileReader(const toml::table& root, bool standalone, std::vector<Problem>& to)
@@ -338,7 +340,8 @@
     s.report_unknown_keys();
   }
 
-  // Where the platform says who the others are, `listen`, `members` and `join` are its.
+  // If the platform names the other nodes, its `listen` and `members` replace those of the file, and `join`
+  // is ignored.
   void peers() {
     Section s = section("peers");
     if (!s.is_present()) return;
@@ -401,7 +404,7 @@
     s.report_unknown_keys();
   }
 
-  // Names, none of them empty or too long.
+  // A list of names, none of them empty or too long.
   std::vector<std::string> string_list(Section& s, const char* key, std::size_t max_bytes,
                                        std::size_t max_count) {
     std::vector<std::string> out;
@@ -557,7 +560,7 @@
     s.report_unknown_keys();
   }
 
-  // Names that stand there once.
+  // Reports a missing name, or one that was used before.
   void check_unique_name(Section& s, std::map<std::string, std::uint32_t>& seen,
                          const std::optional<std::string>& name) {
     if (!name) {
@@ -678,7 +681,7 @@
   Problems problems_;
   Section root_;
   const bool standalone_;
-  bool zones_valid_ = true;  // else what is wrong with them has been told
+  bool zones_valid_ = true;  // false: node.zones has a problem that is already reported
   Config config_;
 };
 
@@ -714,12 +717,10 @@
   platform.listener = file.listener;
   platform.log = file.log;
   platform.control_socket = file.control_socket;
-  // Whether nodes may speak to each other at all is the platform's to say, and with it whether there are
-  // duties.
+  // The platform decides whether nodes may send messages to each other, and so whether there are duties.
   if (platform.peers) platform.duties = file.duties;
   set_identities(platform);
-  if (!platform.peers || !file.peers)
-    return;  // whether nodes may speak to each other is the platform's to say
+  if (!platform.peers || !file.peers) return;
   const peers::ServiceOptions own = *platform.peers;
   platform.peers = file.peers;
   platform.peers->listen = own.listen;
--- a/daemon/operator_file.h
+++ b/daemon/operator_file.h
@@ -1,6 +1,5 @@
-// The operator's own file (TOML): what is the operator's to say, in the field's words. Text in, a
-// configuration or a list of all that is wrong out; no I/O. deploy/nettlestand.toml shows every key with its
-// default.
+// Parses the operator's configuration file (TOML) into a configuration or a list of all problems. No I/O.
+// deploy/nettlestand.toml shows every key with its default.
 #pragma once
 
 #include <cstdint>
@@ -13,22 +12,22 @@
 
 namespace nettlestand {
 
-// Something that is wrong with a file, where it stands: lines and columns from 1.
+// A problem in a file and its position; lines and columns count from 1.
 struct Problem {
   std::uint32_t line = 1, column = 1;
   std::string text;
 };
 
-// What a file says; none, and `problems` in the order of the file, where it can't be used. `alone`: it has to
-// say all that a node needs; else it adds to what the platform tells.
+// Returns the configuration, or nullopt and `problems` in the order of the file. With `standalone` the file
+// must hold everything that a node needs; otherwise it adds to the platform's configuration.
 std::optional<Config> parse_operator_file(std::string_view text, bool standalone,
                                           std::vector<Problem>& problems);
 
-// "FILE:3:9: what is wrong", a line each.
+// One line per problem: "FILE:3:9: message".
 std::string to_text(const std::vector<Problem>& problems, const std::string& file);
 
-// Adds to the platform's configuration what only the file can say: the listener's time limits, the log, the
-// control socket, and how membership goes about it where the platform allows it.
+// Adds to the platform's configuration what only the file can set: the listener's time limits, the log, the
+// control socket, and, if the platform allows messages between nodes, membership's settings and duties.
 void merge_operator_file(Config& platform, const Config& file);
 
 }  // namespace nettlestand
--- a/daemon/peers_table.h
+++ b/daemon/peers_table.h
@@ -1,11 +1,11 @@
-// What `nettlestand peers show` prints: a node's report for people.
+// The output of `nettlestand peers show`: a node's membership report as a text table.
 #pragma once
 
 #include <string>
 
 namespace nettlestand {
 
-// A line on the node and one a member. Throws std::exception for what is no report.
+// One line for the node and one per member. Throws std::exception if `report` is not a report.
 std::string peers_table(const std::string& report);
 
 }  // namespace nettlestand
--- a/daemon/repeat_limiter.h
+++ b/daemon/repeat_limiter.h
@@ -1,5 +1,5 @@
-// How often one event may be written: a fault that repeats must not fill the log, nor take the time of what
-// it tells of. No I/O, no clock.
+// Limits how often an event is logged, so that a repeating fault neither fills the log nor slows the node
+// down. No I/O, no clock.
 #pragma once
 
 #include <cstdint>
@@ -9,13 +9,14 @@
 
 namespace nettlestand {
 
+// Counts events by name.
 class RepeatLimiter {
  public:
-  // `repeats` in each `period` s, which begins with the first; 0: without a bound.
+  // At most `max_repeats` in each period of `period` s, which starts with the first event; 0: unlimited.
   RepeatLimiter(int max_repeats, double period) : max_repeats_(max_repeats), period_(period) {}
 
-  // Whether an event may be written at `now` (s). If so: how many of its name were left out since the last
-  // one.
+  // Decides whether an event may be written at `now` (s). If so, returns how many events of its name were
+  // suppressed since the last one; otherwise nullopt.
   std::optional<std::uint64_t> allow(const std::string& event, double now) {
     if (max_repeats_ <= 0) return 0;
     Count& count = counts_[event];
@@ -40,7 +41,7 @@
   };
   int max_repeats_;
   double period_;
-  std::map<std::string, Count> counts_;  // names are the program's own: few
+  std::map<std::string, Count> counts_;  // bounded: the names are constants of the program
 };
 
 }  // namespace nettlestand
--- a/report/answer_counter.cpp
+++ b/report/answer_counter.cpp
@@ -25,7 +25,7 @@
   out.pack(c.served);
   out.pack(c.refused);
   out.pack(c.failed);
-  // Most buckets are empty: place and count of the others.
+  // Most buckets are empty: only the index and count of the others are written.
   std::uint32_t used = 0;
   for (const std::uint64_t n : c.latency_buckets) used += n > 0 ? 2 : 0;
   out.pack_array(used);
@@ -69,7 +69,7 @@
   bool less = served < before.served || refused < before.refused || failed < before.failed;
   for (std::size_t i = 0; i < kLatencyBuckets; ++i)
     less = less || latency_buckets[i] < before.latency_buckets[i];
-  // An older word than the one that was counted: there is nothing new in it.
+  // The counts are older than those already included: they hold nothing new.
   if (less) return {};
   AnswerCounts out = *this;
   out.served -= before.served;
--- a/report/report_store.cpp
+++ b/report/report_store.cpp
@@ -18,8 +18,9 @@
 using duties::Sqlite;
 using duties::SqliteFencingChecker;
 
-constexpr int kBusyTimeoutMs = 2000;                         // ms for another process's transaction
-constexpr std::uint64_t kBaselineRetentionPeriods = 100000;  // periods without a word of a life
+constexpr int kBusyTimeoutMs = 2000;  // wait for another process's transaction
+constexpr std::uint64_t kBaselineRetentionPeriods =
+    100000;  // baselines of node generations that sent nothing new for so long
 
 std::string format_utc(double at) {
   const auto t = static_cast<std::time_t>(at);
@@ -40,7 +41,7 @@
 
 struct ReportStore::Database {
   explicit Database(const std::string& path) : sql(path, true, kBusyTimeoutMs) {
-    // A write-ahead log: readers do not hold up whoever writes.
+    // Write-ahead log: readers do not block the writer.
     sql.run("PRAGMA journal_mode=WAL");
     sql.run("PRAGMA synchronous=FULL");
     sql.transaction([&] {
@@ -192,9 +193,9 @@
 }
 
 void write_plot(const std::vector<Period>& periods, const std::string& file) {
-  // It stands in gnuplot's quotes, and in the shell's.
+  // The name is put between quotes in the gnuplot script and in the shell command.
   if (file.find_first_of("'\"\\$`\n") != std::string::npos)
-    throw std::runtime_error(file + ": a name with quotes, backslashes or $ can't be plotted to");
+    throw std::runtime_error(file + ": cannot plot to a file name with quotes, backslashes or $");
   const std::filesystem::path data = file + ".data", script = file + ".gnuplot";
   {
     std::ofstream out(data);
@@ -221,7 +222,7 @@
   std::error_code ignored;
   std::filesystem::remove(data, ignored);
   std::filesystem::remove(script, ignored);
-  if (status != 0) throw std::runtime_error("gnuplot (gnuplot-nox) is not there, or could not plot");
+  if (status != 0) throw std::runtime_error("gnuplot (gnuplot-nox) is missing, or failed to plot");
 }
 
 }  // namespace nettlestand::report
--- a/report/report_store.h
+++ b/report/report_store.h
@@ -1,6 +1,6 @@
-// The fleet's report: a SQLite file with one entry a period, written by whoever holds the duty. An entry is
-// what has been answered since the one before it; the file keeps how far each node's counts have been taken
-// in, in the same transaction, so that nothing is counted twice or lost when the duty changes hands.
+// The fleet report: a SQLite file with one row per period, written by the node that holds the report's duty.
+// A period counts what was answered since the previous one. The counts of each node that are already included
+// are stored in the same transaction, so that nothing is counted twice or lost when the duty moves.
 #pragma once
 
 #include <cstdint>
@@ -15,41 +15,48 @@
 
 namespace nettlestand::report {
 
+// Name of the duty whose holder writes the report.
 inline constexpr const char* kReportDuty = "fleet-report";
 
-// What a node has counted, as it last said.
+// The cumulative counts that a node last reported.
 struct NodeCounts {
   std::string node;
   std::uint64_t generation = 0;
   std::map<CountKey, AnswerCounts> counts;
 };
 
+// One period of the report.
 struct Period {
-  std::uint64_t number = 0;     // from 1, without a gap
-  double began = 0, ended = 0;  // s since 1970, by the writers' clocks
-  duties::Token token = 0;      // by which it was written
+  std::uint64_t number = 0;     // from 1, without gaps
+  double began = 0, ended = 0;  // Unix time in s, by the writers' clocks
+  duties::Token token = 0;      // fencing token of the writer
   std::string writer;
-  std::uint64_t nodes = 0;  // that had a word in it
+  std::uint64_t nodes = 0;  // number of nodes whose counts were read
   std::map<CountKey, AnswerCounts> counts;
 };
 
+// Access to the report's file.
 class ReportStore {
  public:
-  // Makes the file where there is none. Throws duties::StoreError.
+  // Creates the file if it does not exist. Throws duties::StoreError.
   explicit ReportStore(const std::string& path);
   ~ReportStore();
   ReportStore(const ReportStore&) = delete;
   ReportStore& operator=(const ReportStore&) = delete;
 
-  enum class CloseResult { kWritten, kStale };  // kStale: a later holder has written; nothing was changed
-  // Closes a period. `at`: s since 1970. Throws duties::StoreError, and has changed nothing.
+  enum class CloseResult {
+    kWritten,
+    kStale
+  };  // kStale: a later holder has already written; nothing was changed
+  // Writes the period that ends at `at` (Unix time in s). Throws duties::StoreError, and changes nothing
+  // then.
   CloseResult close_period(duties::Token token, const std::string& writer, double at,
                            const std::vector<NodeCounts>& node_counts);
-  // s since 1970 of the last period's end; 0: there is none.
+  // End of the last period, Unix time in s; 0 if there is none.
   double last_ended();
-  std::vector<Period> periods(std::uint64_t last);  // so many, the oldest first
+  std::vector<Period> periods(std::uint64_t last);  // the last ones, oldest first
 
-  // Called within the transaction, before it is committed: for tests.
+  // For tests: called within the transaction, before the commit.
   std::function<void()> before_commit;
 
  private:
@@ -57,11 +64,11 @@
   std::unique_ptr<Database> database_;
 };
 
-// For people: a line a period, tier, zone and tenant.
+// A text table, and CSV, with one row per period, tier, zone and tenant.
 std::string to_table(const std::vector<Period>& periods);
 std::string to_csv(const std::vector<Period>& periods);
-// One SVG picture by gnuplot: served, refused and failed a second, and p99, over the periods. Throws
-// std::runtime_error where there is no gnuplot.
+// Draws an SVG chart with gnuplot: served, refused and failed answers per second, p50 and p99, by period.
+// Throws std::runtime_error if gnuplot is missing or fails.
 void write_plot(const std::vector<Period>& periods, const std::string& file);
 
 }  // namespace nettlestand::report
--- a/report/reporter.cpp
+++ b/report/reporter.cpp
@@ -53,7 +53,7 @@
   duties::Request r;
   r.kind = duties::Request::Kind::kPublishReport;
   r.text = encode(counter_.counts());
-  // Lost ones are made up for by the next: the counts only grow.
+  // The reply does not matter: a lost report is made up for by the next one, since the counts only grow.
   duties_.send_operator_request(std::move(r), [](const std::vector<duties::Reply>&, const std::string&) {});
 }
 
@@ -63,8 +63,8 @@
     period_timer_.cancel();
     return;
   }
-  // How much of the period is over already, by the last entry. Clocks that are wrong by much cost a period at
-  // the most: what is not between nothing and a whole one is taken as either.
+  // The period continues from the end of the last one in the file. The remaining time is clamped to one
+  // period, so that clocks that differ by much cost one period at most.
   asio::post(writer_thread_, [this, token = c.token, alive = alive_] {
     double in = options_.period;
     std::string problem;
@@ -83,9 +83,9 @@
   });
 }
 
-// Somebody else is to try.
+// Reports the failure, upon which another node takes the duty over.
 void Reporter::give_up_duty(const std::string& why) {
-  log_({LogLevel::kError, "report", "book_failed", "the report can't be written: " + why, {{"why", why}}});
+  log_({LogLevel::kError, "report", "book_failed", "cannot write the report: " + why, {{"why", why}}});
   duties_.report_failure(kReportDuty);
 }
 
@@ -110,7 +110,7 @@
           log_({LogLevel::kWarning,
                 "report",
                 "not_gathered",
-                "a period is written later: " + error,
+                "cannot collect the report counts; trying again next period: " + error,
                 {{"why", error}}});
           return;
         }
@@ -128,11 +128,12 @@
       log_({LogLevel::kWarning,
             "report",
             "word_dropped",
-            "what " + r.duty + " has told can't be read",
+            "cannot decode the report counts of node " + r.duty,
             {{"node", r.duty}}});
     }
   }
-  // The guard: the last look at the lease, and the token that goes to where the effect takes place.
+  // Checks the lease one last time. The fencing token goes along with the write, where a stale one is
+  // refused.
   const auto token = duties_.held_token(kReportDuty);
   if (!token) {
     writing_ = false;
@@ -156,13 +157,13 @@
         log_({LogLevel::kWarning,
               "report",
               "turned_away",
-              "a later holder has written: nothing was",
+              "a later lease holder has already written to the report; nothing was written",
               {{"token", static_cast<std::int64_t>(token)}}});
       } else {
         log_({LogLevel::kInfo,
               "report",
               "written",
-              "a period is written, of " + std::to_string(n) + " nodes",
+              "wrote a report period with the counts of " + std::to_string(n) + " nodes",
               {{"token", static_cast<std::int64_t>(token)}, {"nodes", static_cast<std::int64_t>(n)}}});
       }
     });
--- a/report/reporter.h
+++ b/report/reporter.h
@@ -1,6 +1,6 @@
-// The fleet report on a node's loop: its own counts are told to the voters' leader again and again; while
-// this node holds the duty, it gathers what all have told and closes a period of the book, on a thread of its
-// own.
+// A node's part in the fleet report. Periodically publishes the node's own counts to the voters' leader.
+// While the node holds the report's duty, it also collects the counts of all nodes and writes the report's
+// periods, on a separate thread.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -16,25 +16,27 @@
 
 namespace nettlestand::report {
 
+// Settings of a Reporter.
 struct ReporterOptions {
-  std::string store_path;       // path; empty: this node tells its counts, and never holds the duty
+  std::string store_path;       // empty: this node publishes its counts and never holds the duty
   double period = 60;           // s
-  double publish_interval = 2;  // s between words on the own counts
-  duties::Duty duty;            // its lease, and who is preferred
+  double publish_interval = 2;  // s
+  duties::Duty duty;            // its lease and placement
 };
 
+// Used on the event loop's thread.
 class Reporter {
  public:
-  // `loop`: one that other threads may post to. `tally` is counted into by the caller, on the loop's thread.
+  // `loop` must allow posts from other threads. The caller updates `counter` on the loop's thread.
   Reporter(boost::asio::io_context& loop, ReporterOptions options, duties::ClientService& duties,
            const AnswerCounter& counter, Log log);
-  // Waits for what is being written.
+  // Waits until a write in progress has finished.
   ~Reporter();
   Reporter(const Reporter&) = delete;
   Reporter& operator=(const Reporter&) = delete;
 
   void start();
-  // One more word on the own counts: this node is about to end.
+  // Publishes the node's counts now; also called last before the node exits.
   void publish_counts();
 
  private:
@@ -52,8 +54,8 @@
   const Log log_;
   boost::asio::steady_timer publish_timer_, period_timer_;
   boost::asio::thread_pool writer_thread_{1};
-  std::unique_ptr<ReportStore> store_;  // the writer's thread alone
-  duties::Token token_ = 0;             // of the duty, while it is held
+  std::unique_ptr<ReportStore> store_;  // used on the writer thread only
+  duties::Token token_ = 0;             // the duty's fencing token while it is held, else 0
   bool writing_ = false;
   const std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/util/byte_budget.h
+++ b/util/byte_budget.h
@@ -1,5 +1,4 @@
-// The bytes that bodies may take up, in both directions: one budget, from the memory limit. Any thread may
-// hold a part of it.
+// Memory budget for request and response bodies. Reservations may be made and released from any thread.
 #pragma once
 
 #include <atomic>
@@ -8,6 +7,7 @@
 
 namespace nettlestand {
 
+// A fixed number of bytes, of which parts are reserved by ByteReservation.
 class ByteBudget {
  public:
   explicit ByteBudget(std::size_t bytes) : bytes_(bytes) {}
@@ -25,7 +25,8 @@
   std::atomic<std::size_t> used_ = 0;
 };
 
-// A part of the budget that somebody holds; it goes back with its holder.
+// A reserved part of a budget, returned to it on destruction. A default-constructed reservation belongs to no
+// budget and grows without a limit.
 class ByteReservation {
  public:
   ByteReservation() = default;
@@ -40,8 +41,8 @@
   }
   ~ByteReservation() { release(); }
 
-  // Holds so many bytes in all, and `spare` must be left over; false, and no change, where they are not
-  // there.
+  // Grows the reservation to `bytes` in total, provided that at least `headroom` bytes of the budget stay
+  // free. Returns false, and changes nothing, if they are not available.
   bool grow_to(std::size_t bytes, std::size_t headroom = 0) {
     if (budget_ == nullptr || bytes <= reserved_) return true;
     const std::size_t more = bytes - reserved_;
--- a/util/clock.h
+++ b/util/clock.h
@@ -1,4 +1,4 @@
-// The steady clock in seconds, as the decision module speaks it.
+// The steady clock in seconds, the unit of the balancer library.
 #pragma once
 
 #include <algorithm>
@@ -7,11 +7,12 @@
 
 namespace nettlestand {
 
+// Seconds on the steady clock.
 inline double now() {
   return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
 }
 
-// A time on that clock, and a duration, as timers take them.
+// Converts a time on that clock, or a duration, to the types that timers take. A negative duration becomes 0.
 inline std::chrono::steady_clock::time_point to_time_point(double seconds) {
   return std::chrono::steady_clock::time_point(
       std::chrono::duration_cast<std::chrono::steady_clock::duration>(
--- a/util/columns.h
+++ b/util/columns.h
@@ -1,4 +1,4 @@
-// Rows of text as columns for people, the first one their heads.
+// Formats rows of text as aligned columns; the first row holds the headings.
 #pragma once
 
 #include <algorithm>
--- a/util/endpoint.h
+++ b/util/endpoint.h
@@ -1,4 +1,4 @@
-// Addresses and ports in text. Names are not resolved.
+// Parses IP addresses with ports. Host names are not resolved.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -9,7 +9,7 @@
 
 namespace nettlestand {
 
-// "10.0.0.4:3000" or "[::1]:3000"; none for anything else.
+// Parses "10.0.0.4:3000" or "[::1]:3000"; nullopt for anything else.
 inline std::optional<boost::asio::ip::tcp::endpoint> parse_endpoint(std::string_view text) {
   const std::size_t colon = text.rfind(':');
   if (colon == std::string_view::npos) return std::nullopt;
--- a/util/log.h
+++ b/util/log.h
@@ -1,4 +1,4 @@
-// Where the parts of a node say what happened: whoever puts them together decides where that goes.
+// The log function that is passed to the components of a node.
 #pragma once
 
 #include <functional>
@@ -8,11 +8,12 @@
 
 namespace nettlestand {
 
+// Receives each log event; the program that assembles the components decides where events are written.
 using Log = std::function<void(const LogEvent&)>;
 
-// Something that should not happen, and that the program survives.
+// The event for an unexpected error after which the program continues.
 inline LogEvent unexpected_error(std::string_view component, const std::string& what) {
-  return {LogLevel::kError, component, "surprise", "surprise: " + what, {{"what", what}}};
+  return {LogLevel::kError, component, "surprise", "unexpected error: " + what, {{"what", what}}};
 }
 
 }  // namespace nettlestand
--- a/util/poller.cpp
+++ b/util/poller.cpp
@@ -44,7 +44,7 @@
   epoll_event ignored{};
   ::epoll_ctl(epoll_.native_handle(), EPOLL_CTL_DEL, descriptor, &ignored);
   slots_[slot].watcher = nullptr;
-  if (++slots_[slot].generation == 0) slots_[slot].generation = 1;  // no key is 0
+  if (++slots_[slot].generation == 0) slots_[slot].generation = 1;  // 0 is reserved: no valid key is 0
   free_slots_.push_back(slot);
 }
 
@@ -57,7 +57,8 @@
                     });
 }
 
-// Guards watchers that end within the batch: what is told of them by then belongs to a generation before.
+// A watcher may be removed, and its slot reused, while a batch of events is dispatched. The generation in the
+// key tells the remaining events of the removed watcher apart; they are dropped.
 void Poller::dispatch() {
   const auto alive = alive_;
   const int count = ::epoll_wait(epoll_.native_handle(), events_.data(), static_cast<int>(events_.size()), 0);
--- a/util/poller.h
+++ b/util/poller.h
@@ -1,5 +1,5 @@
-// Readiness of many descriptors on one Asio loop, edge-triggered: each is registered once, and no wait is
-// armed again (Asio makes an epoll_ctl of each). One thread, the loop's.
+// Edge-triggered epoll on an Asio event loop. Each descriptor is registered once, which saves the epoll_ctl
+// call that Asio makes for each wait. Not thread-safe: used on the event loop's thread only.
 #pragma once
 
 #include <sys/epoll.h>
@@ -13,31 +13,34 @@
 
 namespace nettlestand {
 
+// Reports the readiness of many descriptors to their watchers.
 class Poller {
  public:
+  // Receives the events of one descriptor.
   class Watcher {
    public:
-    // EPOLLIN and the like: what has become so since the last time. What is left unread or unwritten is not
-    // told of again. Must not throw; may add and remove watchers, itself too.
+    // `events` holds the flags (EPOLLIN and others) that became set since the last call. Events are
+    // edge-triggered: data left unread, or buffer space left unused, is not reported again. Must not throw;
+    // may add and remove watchers, including itself.
     virtual void ready(std::uint32_t events) = 0;
 
    protected:
     ~Watcher() = default;
   };
-  using Key = std::uint64_t;  // 0: none
+  using Key = std::uint64_t;  // 0: not registered
 
-  // Throws boost::system::system_error.
+  // Throws boost::system::system_error if epoll is not available.
   explicit Poller(boost::asio::io_context& io);
   ~Poller() { shut_down(); }
   Poller(const Poller&) = delete;
   Poller& operator=(const Poller&) = delete;
 
-  // Watches a descriptor for reading, writing and its end, until remove(), which comes before it is closed. 0
-  // where the system has no room for it.
+  // Watches a descriptor for reading, writing and hangup. It must be removed before it is closed. Returns 0
+  // if epoll refuses the descriptor.
   Key add(int descriptor, Watcher& watcher);
   void remove(Key key, int descriptor);
 
-  // The end: nobody is told of anything from here on, and the loop is left alone.
+  // Stops all dispatching and closes the epoll descriptor; no watcher is called any more.
   void shut_down();
 
  private:
--- a/util/socket.h
+++ b/util/socket.h
@@ -1,4 +1,4 @@
-// A TCP connection's descriptor: non-blocking, without Asio's own registration, for use with a Poller.
+// A non-blocking TCP socket that is not registered with Asio, for use with a Poller.
 #pragma once
 
 #include <netinet/in.h>
@@ -17,6 +17,7 @@
 
 namespace nettlestand {
 
+// Owns the descriptor of a TCP connection and closes it on destruction. Sets TCP_NODELAY.
 class Socket {
  public:
   Socket() = default;
@@ -30,7 +31,7 @@
 
   int descriptor() const { return descriptor_; }
 
-  // Begins to connect. 0, or the error number: EINPROGRESS is none.
+  // Starts to connect. Returns 0 (also for EINPROGRESS) or the errno value.
   int connect(const boost::asio::ip::tcp::endpoint& to) {
     descriptor_ = ::socket(to.protocol().family(), SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     if (descriptor_ < 0) return errno;
@@ -41,14 +42,15 @@
     return errno;
   }
   bool is_open() const { return descriptor_ >= 0; }
-  // How connect() has ended.
+  // The pending socket error (SO_ERROR), which is the result of connect() once the socket is writable.
   int pending_error() const {
     int out = 0;
     socklen_t size = sizeof out;
     return ::getsockopt(descriptor_, SOL_SOCKET, SO_ERROR, &out, &size) == 0 ? out : errno;
   }
 
-  // Bytes; 0 at the end, below 0 with errno. would_block() tells the harmless one.
+  // read() and write() return the number of bytes, or a negative value with errno set; read() returns 0 at
+  // the end of the stream. would_block() tells whether errno only means that the socket is not ready.
   ssize_t read(char* to, std::size_t size, int flags = 0) const {
     ssize_t got;
     do {
@@ -73,8 +75,8 @@
   static bool would_block() { return errno == EAGAIN || errno == EWOULDBLOCK; }
 
   void shutdown_send() const { ::shutdown(descriptor_, SHUT_WR); }
-  // Whether the other side's machine has all that was written and the end of it: whatever its program sent
-  // before it could know of that end has come by now. False where the system doesn't tell.
+  // Whether the peer's kernel has acknowledged all written data and our FIN. Everything that the peer's
+  // program sent before it could see the FIN has then arrived. False if the kernel gives no TCP_INFO.
   bool is_end_acknowledged() const {
     tcp_info info{};
     socklen_t size = sizeof info;
