--- a/daemon/config.cpp
+++ b/daemon/config.cpp
@@ -25,7 +25,7 @@
     const std::string_view name = json::string(item, "name");
     if (name.empty() || name.size() > kMaxConfigNameBytes)
       json::reject_field(field, "a name of 1 to 128 bytes");
-    if (!seen.insert(name).second) json::reject_field(field, "a name that stands there once");
+    if (!seen.insert(name).second) json::reject_field(field, "a unique name");
     out.emplace_back(name);
   }
   return out;
--- a/daemon/demo.cpp
+++ b/daemon/demo.cpp
@@ -17,11 +17,10 @@
 
 namespace si = standins;
 
-constexpr double kRate = 300;                              // calls/s
-constexpr double kAimSeconds = 0.25, kTimeoutSeconds = 1;  // s
-constexpr double kServiceSeconds = 0.01;                   // mean s of a server's core per call
-constexpr double kRampSeconds = 4,
-                 kStartCapacity = 0.3;  // s; share of its capacity that a cold server starts with
+constexpr double kRate = 300;  // calls/s
+constexpr double kAimSeconds = 0.25, kTimeoutSeconds = 1;
+constexpr double kServiceSeconds = 0.01;                  // mean s of a server's core per call
+constexpr double kRampSeconds = 4, kStartCapacity = 0.3;  // capacity of a cold server, as a share
 
 const std::vector<si::CheckedClass>& checked_classes() {
   using Effect = si::CheckedClass::Effect;
@@ -35,7 +34,7 @@
 // Calls and attempts that ended within one second.
 struct SecondCounts {
   int served = 0, refused = 0, failed = 0, attempts = 0;
-  std::vector<double> times;  // s, of the served
+  std::vector<double> times;  // latencies of served calls, s
 };
 
 double quantile(std::vector<double>& times, double fraction) {
--- a/daemon/demo.h
+++ b/daemon/demo.h
@@ -1,5 +1,6 @@
 // `nettlestand demo`: runs a node, three test servers and a load generator on loopback. Servers are killed,
-// drained and cold-started on the way, and the four rules are checked on what all of them recorded.
+// drained and cold-started on the way, and the four rules (no request lost, no effect
+// twice, drains obeyed, no cold server overloaded) are checked on what all of them recorded.
 #pragma once
 
 #include <string>
--- a/daemon/duty_program.cpp
+++ b/daemon/duty_program.cpp
@@ -41,8 +41,8 @@
 }
 
 DutyPrograms::~DutyPrograms() {
-  for (auto& one : programs_) {
-    if (one->pipe >= 0) close(one->pipe);  // the watchdog then kills its program and exits
+  for (auto& state : programs_) {
+    if (state->pipe >= 0) close(state->pipe);  // the watchdog then kills its program and exits
   }
 }
 
@@ -50,36 +50,37 @@
   if (programs_.empty()) return;
   await_child_exit();
   schedule_deadline_updates();
-  for (auto& one : programs_) {
+  for (auto& state : programs_) {
     duties_.acquire(
-        one->program.duty,
-        [this, it = one.get()](const duties::LeaseHolder::Change& change) { on_lease_change(*it, change); },
+        state->program.duty,
+        [this, it = state.get()](const duties::LeaseHolder::Change& change) { on_lease_change(*it, change); },
         true);
   }
 }
 
 bool DutyPrograms::any_running() const {
-  return std::any_of(programs_.begin(), programs_.end(), [](const auto& one) { return one->watchdog > 0; });
+  return std::any_of(programs_.begin(), programs_.end(),
+                     [](const auto& state) { return state->watchdog > 0; });
 }
 
-void DutyPrograms::on_lease_change(ProgramState& one, const duties::LeaseHolder::Change& change) {
+void DutyPrograms::on_lease_change(ProgramState& state, const duties::LeaseHolder::Change& change) {
   if (change.gained) {
-    one.wanted_token = change.token;
-    if (one.watchdog <= 0) start_program(one);
+    state.wanted_token = change.token;
+    if (state.watchdog <= 0) start_program(state);
     return;
   }
-  one.wanted_token = 0;
-  if (one.watchdog <= 0) {
+  state.wanted_token = 0;
+  if (state.watchdog <= 0) {
     duties_.confirm_stopped(change.duty);
     return;
   }
-  stop_program(one);
+  stop_program(state);
 }
 
-void DutyPrograms::start_program(ProgramState& one) {
-  const std::string& duty = one.program.duty.name;
-  one.running_token = one.wanted_token;
-  one.stopping = false;
+void DutyPrograms::start_program(ProgramState& state) {
+  const std::string& duty = state.program.duty.name;
+  state.running_token = state.wanted_token;
+  state.stopping = false;
   int ends[2] = {-1, -1};
   const auto fail = [&](int error) {
     for (const int end : ends) {
@@ -90,19 +91,19 @@
           "program_failed",
           "cannot start the program of duty " + duty + ": " + std::strerror(error),
           {{"duty", duty}}});
-    one.wanted_token = one.running_token = 0;
+    state.wanted_token = state.running_token = 0;
     duties_.report_failure(duty);
     duties_.confirm_stopped(duty);
   };
   if (pipe2(ends, O_CLOEXEC) != 0) return fail(errno);
   std::vector<std::string> command_line = {"nettlestand", "duty-guard",
-                                           std::to_string(one.program.stop_timeout)};
-  command_line.insert(command_line.end(), one.program.command.begin(), one.program.command.end());
+                                           std::to_string(state.program.stop_timeout)};
+  command_line.insert(command_line.end(), state.program.command.begin(), state.program.command.end());
   std::vector<char*> arguments;
   for (std::string& w : command_line) arguments.push_back(w.data());
   arguments.push_back(nullptr);
   std::vector<std::string> owned_strings = {"NETTLESTAND_DUTY=" + duty,
-                                            "NETTLESTAND_TOKEN=" + std::to_string(one.running_token)};
+                                            "NETTLESTAND_TOKEN=" + std::to_string(state.running_token)};
   for (char** e = environ; *e != nullptr; ++e) owned_strings.emplace_back(*e);
   std::vector<char*> environment;
   for (std::string& e : owned_strings) environment.push_back(e.data());
@@ -123,47 +124,47 @@
   posix_spawnattr_setsigmask(&attributes, &no_signals);
   posix_spawnattr_setsigdefault(&attributes, &default_signals);
   posix_spawnattr_setflags(&attributes, POSIX_SPAWN_SETSIGMASK | POSIX_SPAWN_SETSIGDEF);
-  const int error = posix_spawn(&one.watchdog, "/proc/self/exe", &file_actions, &attributes, arguments.data(),
-                                environment.data());
+  const int error = posix_spawn(&state.watchdog, "/proc/self/exe", &file_actions, &attributes,
+                                arguments.data(), environment.data());
   posix_spawn_file_actions_destroy(&file_actions);
   posix_spawnattr_destroy(&attributes);
   if (error != 0) {
-    one.watchdog = -1;
+    state.watchdog = -1;
     return fail(error);
   }
   close(ends[0]);
-  one.pipe = ends[1];
-  fcntl(one.pipe, F_SETFL, O_NONBLOCK);
-  send_deadline(one);
+  state.pipe = ends[1];
+  fcntl(state.pipe, F_SETFL, O_NONBLOCK);
+  send_deadline(state);
   log_({LogLevel::kInfo,
         "duties",
         "program_started",
-        "started the program of duty " + duty,
+        "the program of duty " + duty + " has started",
         {{"duty", duty},
-         {"token", static_cast<std::int64_t>(one.running_token)},
-         {"pid", std::int64_t{one.watchdog}}}});
+         {"token", static_cast<std::int64_t>(state.running_token)},
+         {"pid", std::int64_t{state.watchdog}}}});
 }
 
-void DutyPrograms::send_deadline(ProgramState& one) {
+void DutyPrograms::send_deadline(ProgramState& state) {
   char line[64];
-  const int size = std::snprintf(line, sizeof line, "u %.6f\n", duties_.held_until(one.program.duty.name));
+  const int size = std::snprintf(line, sizeof line, "u %.6f\n", duties_.held_until(state.program.duty.name));
   // A write that finds the pipe full is made up for by the next update.
-  if (one.pipe >= 0) static_cast<void>(!write(one.pipe, line, static_cast<std::size_t>(size)));
+  if (state.pipe >= 0) static_cast<void>(!write(state.pipe, line, static_cast<std::size_t>(size)));
 }
 
-void DutyPrograms::stop_program(ProgramState& one) {
-  if (std::exchange(one.stopping, true)) return;
-  if (one.pipe >= 0) static_cast<void>(!write(one.pipe, "s\n", 2));
+void DutyPrograms::stop_program(ProgramState& state) {
+  if (std::exchange(state.stopping, true)) return;
+  if (state.pipe >= 0) static_cast<void>(!write(state.pipe, "s\n", 2));
 }
 
 void DutyPrograms::schedule_deadline_updates() {
   double interval = 0.5;
-  for (const auto& one : programs_) interval = std::min(interval, one->program.duty.lease_seconds / 10);
+  for (const auto& state : programs_) interval = std::min(interval, state->program.duty.lease_seconds / 10);
   update_timer_.expires_after(to_duration(interval));
   update_timer_.async_wait([this](const error_code& error) {
     if (error) return;
-    for (auto& one : programs_) {
-      if (one->watchdog > 0 && !one->stopping) send_deadline(*one);
+    for (auto& state : programs_) {
+      if (state->watchdog > 0 && !state->stopping) send_deadline(*state);
     }
     schedule_deadline_updates();
   });
@@ -173,27 +174,27 @@
   child_signals_.async_wait([this](const error_code& error, int) {
     if (error) return;
     await_child_exit();
-    for (auto& one : programs_) {
+    for (auto& state : programs_) {
       int status = 0;
-      if (one->watchdog <= 0 || waitpid(one->watchdog, &status, WNOHANG) != one->watchdog) continue;
-      one->watchdog = -1;
-      close(std::exchange(one->pipe, -1));
-      const std::string& duty = one->program.duty.name;
+      if (state->watchdog <= 0 || waitpid(state->watchdog, &status, WNOHANG) != state->watchdog) continue;
+      state->watchdog = -1;
+      close(std::exchange(state->pipe, -1));
+      const std::string& duty = state->program.duty.name;
       const int code = WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
-      log_({one->stopping ? LogLevel::kInfo : LogLevel::kWarning,
+      log_({state->stopping ? LogLevel::kInfo : LogLevel::kWarning,
             "duties",
             "program_ended",
             "the program of duty " + duty + " exited with " + std::to_string(code),
             {{"duty", duty},
-             {"token", static_cast<std::int64_t>(one->running_token)},
+             {"token", static_cast<std::int64_t>(state->running_token)},
              {"code", std::int64_t{code}}}});
-      if (!one->stopping && one->wanted_token == one->running_token) {
+      if (!state->stopping && state->wanted_token == state->running_token) {
         // The program exited by itself while the duty is held: another node is to take the duty.
-        one->wanted_token = 0;
+        state->wanted_token = 0;
         duties_.report_failure(duty);
       }
       duties_.confirm_stopped(duty);
-      if (one->wanted_token != 0) start_program(*one);  // the duty was regained meanwhile
+      if (state->wanted_token != 0) start_program(*state);  // the duty was regained meanwhile
     }
   });
 }
--- a/daemon/duty_program.h
+++ b/daemon/duty_program.h
@@ -30,6 +30,7 @@
   bool any_running() const;
 
  private:
+  // A program, and its watchdog while it runs.
   struct ProgramState {
     DutyProgram program;
     pid_t watchdog = -1;
@@ -37,10 +38,10 @@
     duties::Token running_token = 0, wanted_token = 0;
     bool stopping = false;
   };
-  void on_lease_change(ProgramState& one, const duties::LeaseHolder::Change& change);
-  void start_program(ProgramState& one);
-  void stop_program(ProgramState& one);
-  void send_deadline(ProgramState& one);
+  void on_lease_change(ProgramState& state, const duties::LeaseHolder::Change& change);
+  void start_program(ProgramState& state);
+  void stop_program(ProgramState& state);
+  void send_deadline(ProgramState& state);
   void await_child_exit();
   void schedule_deadline_updates();
 
--- a/daemon/main.cpp
+++ b/daemon/main.cpp
@@ -140,52 +140,53 @@
 class DutiesCommands {
  public:
   explicit DutiesCommands(CLI::App& app) {
-    CLI::App* all = app.add_subcommand("duties", "Duties that one node holds at a time.");
+    CLI::App* all = app.add_subcommand("duties", "Duties, each of which one node holds at a time.");
     all->require_subcommand(1);
     const auto add_query = [&](CLI::App* to, const char* name, const char* about, const char* command,
                                bool json = false) {
       CLI::App* one = to->add_subcommand(name, about);
       one->add_option("--socket", socket_, "path of a node's control socket")->required();
-      if (json) one->add_flag("--json", json_, "all of it, as one JSON object");
+      if (json) one->add_flag("--json", json_, "print the whole report as a JSON object");
       commands_.push_back({one, command});
       return one;
     };
-    add_query(all, "show", "Who holds what, as the voters' leader has it.", "duties", true);
-    add_query(all, "own", "What the asked node itself holds, as JSON.", "duties own");
-    CLI::App* pass = add_query(all, "hand-over", "Has a duty's holder give it back, at once, to another one.",
-                               "duties pass");
+    add_query(all, "show", "Lists the duties and their holders, from the voters' leader.", "duties", true);
+    add_query(all, "own", "Prints what the queried node itself holds, as JSON.", "duties own");
+    CLI::App* pass = add_query(all, "hand-over", "Moves a duty to another node at once.", "duties pass");
     pass->add_option("duty", name_, "the duty")->required();
-    pass->add_option("--to", argument_, "the node that is to have it");
-    add_query(all, "define", "Tells the voters a duty's settings anew, as the asked node's file has them.",
+    pass->add_option("--to", argument_, "the node that is to hold it");
+    add_query(all, "define", "Updates a duty's settings at the voters from the queried node's file.",
               "duties define")
         ->add_option("duty", name_, "the duty")
         ->required();
-    add_query(all, "remove", "Has the voters forget a duty.", "duties remove")
+    add_query(all, "remove", "Removes a duty from the voters' table.", "duties remove")
         ->add_option("duty", name_, "the duty")
         ->required();
-    CLI::App* voters = all->add_subcommand("voters", "Who votes.");
+    CLI::App* voters = all->add_subcommand("voters", "The voters.");
     voters->require_subcommand(1);
-    add_query(voters, "show", "Who votes, as the asked node's voter has it.", "duties voters", true);
-    CLI::App* add = add_query(voters, "add", "Has a voter join, whose node runs on a state of its own.",
+    add_query(voters, "show", "Lists the voters, as the queried node's voter knows them.", "duties voters",
+              true);
+    CLI::App* add = add_query(voters, "add", "Adds a voter whose node runs with its own initialized state.",
                               "duties voters add");
     add->add_option("name", name_, "the voter's node")->required();
-    add->add_option("--address", argument_, "where it listens, for nodes whose files don't name it");
-    add_query(voters, "remove", "Has a voter vote no more.", "duties voters remove")
+    add->add_option("--address", argument_, "its address, for nodes whose files don't name it");
+    add_query(voters, "remove", "Removes a voter.", "duties voters remove")
         ->add_option("name", name_, "the voter's node")
         ->required();
-    init_ = all->add_subcommand("init", "Makes the state of a new voter, with a new identity.");
-    init_->add_option("--folder", folder_, "where it is to lie")->required();
-    init_->add_option("--found", first_voter_, "it is the first one of all, on the node of this name");
+    init_ = all->add_subcommand("init", "Creates the state of a new voter, with a new identity.");
+    init_->add_option("--folder", folder_, "the folder of the state")->required();
+    init_->add_option("--found", first_voter_,
+                      "create the first voter of the group, on the node of this name");
     watchdog_ =
-        app.add_subcommand("duty-guard", "The guardian of a duty's program; started by the node alone.");
+        app.add_subcommand("duty-guard", "The watchdog of a duty's program; started by the node only.");
     watchdog_->group("");
     watchdog_->add_option("stop", stop_timeout_)->required();
     watchdog_->add_option("command", command_)->required();
     watchdog_->prefix_command();
-    report_ = app.add_subcommand(
-        "report", "What the fleet has answered, period by period, as its report's file has it.");
-    report_->add_option("--book", report_path_, "the file")->required();
-    report_->add_option("--periods", periods_, "so many, the last ones")
+    report_ =
+        app.add_subcommand("report", "Prints the fleet report: what all nodes have answered, by period.");
+    report_->add_option("--book", report_path_, "the report's file")->required();
+    report_->add_option("--periods", periods_, "number of periods, the last ones")
         ->check(CLI::Range(1, 1000000))
         ->capture_default_str();
     report_->add_flag("--csv", csv_, "as comma-separated values");
@@ -265,34 +266,34 @@
   CLI::App* run_command =
       app.add_subcommand("run",
                          "Runs a node on the platform's configuration, an operator's file, or "
-                         "both: then the platform's rules and the file adds to it.");
+                         "both: then the platform's takes precedence and the file adds to it.");
   run_command->add_option("--config", file, "the operator's file (TOML)");
   std::optional<ns::LogOptions::Format> format;
   run_command
       ->add_option("--log-format", format,
-                   "plain (a sentence a line), text (time, level, component, event, fields) or json; before "
-                   "the file's [log]")
+                   "plain (one message per line), text (time, level, component, event, fields) or json; "
+                   "overrides the file's [log]")
       ->transform(CLI::CheckedTransformer(
           std::map<std::string, ns::LogOptions::Format>{{"plain", ns::LogOptions::Format::kPlain},
                                                         {"text", ns::LogOptions::Format::kText},
                                                         {"json", ns::LogOptions::Format::kJson}}));
-  CLI::App* check_command =
-      app.add_subcommand("check", "Says all that is wrong with an operator's file; exit code 2 then.");
+  CLI::App* check_command = app.add_subcommand(
+      "check", "Reports all problems of an operator's file; exit code 2 if there are any.");
   check_command->add_option("file", file, "the operator's file (TOML)")->required();
   CLI::App* peers_command = app.add_subcommand("peers", "Membership among the nodes.");
   peers_command->require_subcommand(1);
   CLI::App* show_command = peers_command->add_subcommand(
       "show",
-      "What a running node knows of the others, asked at its control socket ([control] of its file).");
+      "Prints what a running node knows of the others, from its control socket ([control] of its file).");
   std::string socket;
   bool json = false;
   show_command->add_option("--socket", socket, "path of the control socket")->required();
-  show_command->add_flag("--json", json, "all of it, as one JSON object");
+  show_command->add_flag("--json", json, "print the whole report as a JSON object");
   CLI::App* demo_command =
       app.add_subcommand("demo",
-                         "A node, three servers and callers on loopback: a server is killed, "
+                         "Runs a node, three servers and clients on loopback: a server is killed, "
                          "drained and cold-started on the way.");
-  demo_command->add_option("--seconds", seconds, "how long it lasts")
+  demo_command->add_option("--seconds", seconds, "duration")
       ->check(CLI::Range(5.0, 600.0))
       ->capture_default_str();
 #ifdef NETTLESTAND_WITH_DUTIES
--- a/daemon/node.cpp
+++ b/daemon/node.cpp
@@ -15,8 +15,7 @@
 
 namespace asio = boost::asio;
 
-constexpr std::size_t kReservedSockets =
-    40;  // descriptors of the event loop, standard streams and discovery, and headroom
+constexpr std::size_t kReservedSockets = 40;  // for the event loop, standard streams, discovery, and headroom
 constexpr std::size_t kBodyMemoryDivisor = 3;  // a third of the memory is the budget of bodies
 
 constexpr auto kDrainCheckInterval = std::chrono::milliseconds(20);
@@ -28,7 +27,7 @@
 }
 
 constexpr auto kFinalMessagesDelay =
-    std::chrono::milliseconds(30);  // to send the last messages to the voters
+    std::chrono::milliseconds(30);  // lets the last messages reach the voters
 
 // The loop runs on one thread and needs no locks, unless the threads of a voter or of the report's writer
 // post to it.
--- a/daemon/operator_file.cpp
+++ b/daemon/operator_file.cpp
@@ -96,7 +96,7 @@
     known_.insert(key);
     const toml::node* node = table_ != nullptr ? table_->get(key) : nullptr;
     if (node == nullptr || is(*node)) return node;
-    add_problem(key, std::string("is ") + type_name(*node) + " where " + wanted + " belongs");
+    add_problem(key, std::string("is ") + type_name(*node) + " where " + wanted + " is expected");
     return nullptr;
   }
 
@@ -109,7 +109,7 @@
       return std::nullopt;
     }
     const auto control = [](char c) { return static_cast<unsigned char>(c) < 0x20 || c == 0x7f; };
-    if (std::any_of(out.begin(), out.end(), control)) add_problem(key, "holds a control character");
+    if (std::any_of(out.begin(), out.end(), control)) add_problem(key, "contains a control character");
     return out;
   }
 
@@ -155,14 +155,14 @@
         problems_.add(item.source(), name_ + "." + key + ": " + what);
       };
       if (!item.is_string()) {
-        problem(std::string(type_name(item)) + " where an address belongs");
+        problem(std::string(type_name(item)) + " where an address is expected");
         continue;
       }
       const auto e = parse_endpoint(**item.as_string());
       if (!e) {
         problem("'" + **item.as_string() + "' is not an address and a port (names are not resolved)");
       } else if (std::find(out.begin(), out.end(), *e) != out.end()) {
-        problem("'" + **item.as_string() + "' stands there twice");
+        problem("'" + **item.as_string() + "' is listed twice");
       } else {
         out.push_back(*e);
       }
@@ -178,7 +178,7 @@
     if (it != words.end()) return static_cast<std::size_t>(it - words.begin());
     std::string all;
     for (const std::string& word : words) all += (all.empty() ? "" : ", ") + word;
-    add_problem(key, "'" + *text + "' is none of " + all);
+    add_problem(key, "'" + *text + "' is not one of " + all);
     return default_value;
   }
 
@@ -223,7 +223,7 @@
     if (item.is_table()) {
       out.push_back(item.as_table());
     } else {
-      problems.add(item.source(), std::string(key) + ": " + type_name(item) + " where a table belongs");
+      problems.add(item.source(), std::string(key) + ": " + type_name(item) + " where a table is expected");
     }
   }
   return out;
@@ -290,13 +290,13 @@
   void add_zone(const toml::node& item) {
     if (!item.is_string()) {
       return problems_.add(item.source(),
-                           std::string("node.zones: ") + type_name(item) + " where a string belongs");
+                           std::string("node.zones: ") + type_name(item) + " where a string is expected");
     }
     const std::string& name = **item.as_string();
     if (name.empty() || name.size() > kMaxConfigNameBytes) {
       problems_.add(item.source(), "node.zones: a name is not 1 to 128 bytes");
     } else if (std::find(config_.zones.begin(), config_.zones.end(), name) != config_.zones.end()) {
-      problems_.add(item.source(), "node.zones: '" + name + "' stands there twice");
+      problems_.add(item.source(), "node.zones: '" + name + "' is listed twice");
     } else {
       config_.zones.push_back(name);
     }
@@ -305,7 +305,7 @@
   int zone_index(Section& s, const std::string& name) {
     const auto it = std::find(config_.zones.begin(), config_.zones.end(), name);
     if (it != config_.zones.end()) return static_cast<int>(it - config_.zones.begin());
-    if (zones_valid_) s.add_problem("zone", "'" + name + "' is none of node.zones");
+    if (zones_valid_) s.add_problem("zone", "'" + name + "' is not one of node.zones");
     return 0;
   }
 
@@ -326,7 +326,7 @@
     config_.settings.start_capacity = s.number("start_capacity", 1, 0, 1);
     config_.settings.ramp_time = s.ms("ramp_ms", 0, 0, kDayMs);
     if (config_.settings.start_capacity < 1 && config_.settings.ramp_time == 0) {
-      s.add_problem("start_capacity", "is under 1, and no warm_up.ramp_ms says when a server has the rest");
+      s.add_problem("start_capacity", "is under 1, which needs warm_up.ramp_ms");
     }
     s.report_unknown_keys();
   }
@@ -361,7 +361,7 @@
       for (const auto& e : s.addresses(key)) (key[0] == 'm' ? o.members : o.join).push_back(udp(key, e));
     }
     if (!o.members.empty() && !o.join.empty())
-      s.add_problem("join", "stands beside peers.members, which names all");
+      s.add_problem("join", "conflicts with peers.members, which lists all nodes");
     if (standalone_ && !s.has("members") && !s.has("join")) s.add_missing("members or peers.join");
     if (!o.members.empty() && o.members.size() != static_cast<std::size_t>(config_.settings.copy_count)) {
       s.add_problem("members", format_number(static_cast<double>(o.members.size())) +
@@ -396,10 +396,10 @@
                                          format_number(o.settings.min_suspicion * 1000));
     }
     if (config_.name.size() > pe::kMaxNameBytes)
-      root_.add_problem("node", "name: over 32 bytes, which [peers] can't tell of");
+      root_.add_problem("node", "name: over 32 bytes, the limit of [peers]");
     const auto zone = static_cast<std::size_t>(config_.settings.zone);
     if (zone < config_.zones.size() && config_.zones[zone].size() > max_label) {
-      root_.add_problem("node", "zone: over 12 bytes, which [peers] can't tell of");
+      root_.add_problem("node", "zone: over 12 bytes, the limit of [peers]");
     }
     s.report_unknown_keys();
   }
@@ -438,12 +438,12 @@
     Section report_section = section("report");
     if (!s.is_present()) {
       for (const char* other : {"voter", "duty", "report"}) {
-        if (root_.has(other)) root_.add_problem(other, "stands there without [duties]");
+        if (root_.has(other)) root_.add_problem(other, "needs [duties]");
       }
       return;
     }
 #ifndef NETTLESTAND_WITH_DUTIES
-    root_.add_problem("duties", "this build has none; configure with -DNETTLESTAND_BUILD_DUTIES=ON");
+    root_.add_problem("duties", "this build has no duties; configure with -DNETTLESTAND_BUILD_DUTIES=ON");
 #endif
     DutiesConfig& duties_config = config_.duties.emplace();
     duties::ClientServiceOptions& client_options = duties_config.service;
@@ -464,11 +464,11 @@
       check_unique_name(v, seen, name);
       const auto address = v.address("address");
       if (!v.has("address")) v.add_missing("address");
-      if (name && name->find('=') != std::string::npos) v.add_problem("name", "holds a =");
+      if (name && name->find('=') != std::string::npos) v.add_problem("name", "contains '='");
       if (name && address) client_options.voters.push_back({*name, *address});
       v.report_unknown_keys();
     }
-    if (voters.empty()) problems_.add(s.where(), "nothing says who votes: [[voter]] is missing");
+    if (voters.empty()) problems_.add(s.where(), "no voters: [[voter]] is missing");
     if (voters.size() > 63) root_.add_problem("voter", "more than 63");
     duties::VoterOptions v;
     v.data_dir = s.text("folder", 4096).value_or("");
@@ -497,7 +497,7 @@
       if (!s.has("folder")) s.add_missing("folder");
       duties_config.voter = std::move(v);
     } else if (s.has("folder")) {
-      s.add_problem("folder", "stands there without duties.listen, by which this node would vote");
+      s.add_problem("folder", "needs duties.listen, which makes this node a voter");
     }
     std::map<std::string, std::uint32_t> named_duties;
     for (const toml::table* table : all) {
@@ -510,8 +510,8 @@
       program.stop_timeout = x.ms("stop_ms", program.stop_timeout * 1000, 0, kHourMs);
       if (!x.has("command")) x.add_missing("command");
       if (!program.command.empty() && program.command[0][0] != '/')
-        x.add_problem("command", "its first word is no whole path");
-      if (name == report::kReportDuty) x.add_problem("name", "is the fleet report's own");
+        x.add_problem("command", "its first element is not an absolute path");
+      if (name == report::kReportDuty) x.add_problem("name", "is reserved for the fleet report");
       x.report_unknown_keys();
       client_options.duties.push_back(program.duty);
       duties_config.programs.push_back(std::move(program));
@@ -529,7 +529,7 @@
       client_options.duties.push_back(reporter.duty);
     }
     if (config_.name.size() > duties::kMaxNameBytes)
-      root_.add_problem("node", "name: over 64 bytes, which [duties] can't tell of");
+      root_.add_problem("node", "name: over 64 bytes, the limit of [duties]");
     s.report_unknown_keys();
   }
 
@@ -569,7 +569,7 @@
     }
     const auto [it, fresh] = seen.emplace(*name, s.where("name").begin.line);
     if (!fresh)
-      s.add_problem("name", "'" + *name + "' stands in line " + std::to_string(it->second) + " already");
+      s.add_problem("name", "'" + *name + "' is used in line " + std::to_string(it->second) + " already");
   }
 
   void classes() {
@@ -627,7 +627,7 @@
       config_.discovery = s.address("address");
       if (!s.has("address")) s.add_missing("address");
       if (config_.discovery && config_.discovery == config_.listen) {
-        s.add_problem("address", "is node.listen: the node would ask itself");
+        s.add_problem("address", "is node.listen: the node would query itself");
       }
       config_.settings.must_watch = true;
       config_.settings.ask_within = 0.4;
@@ -641,10 +641,10 @@
     const auto all = tables(root_, problems_, "server");
     const bool discovered = root_.has("discovery");
     if (standalone_ && all.empty() && !discovered && !root_.has("server")) {
-      problems_.add(root_.where(), "nothing says where servers are: [[server]] or [discovery] is missing");
+      problems_.add(root_.where(), "no source of servers: [[server]] or [discovery] is missing");
     }
     if (!all.empty() && discovered) {
-      root_.add_problem("server", "stands beside [discovery], which would replace it");
+      root_.add_problem("server", "conflicts with [discovery], which would replace it");
     }
     if (all.size() > config_.max_servers()) {
       root_.add_problem(
@@ -661,7 +661,7 @@
       if (const auto endpoint = s.address("address")) {
         server.endpoint = *endpoint;
         const auto [it, fresh] = lines_by_address.emplace(*endpoint, s.where("address").begin.line);
-        if (!fresh) s.add_problem("address", "is that of the server in line " + std::to_string(it->second));
+        if (!fresh) s.add_problem("address", "is used by the server in line " + std::to_string(it->second));
         if (*endpoint == config_.listen)
           s.add_problem("address", "is node.listen: the node would send to itself");
       } else if (!s.has("address")) {
--- a/report/reporter.cpp
+++ b/report/reporter.cpp
@@ -128,7 +128,7 @@
       log_({LogLevel::kWarning,
             "report",
             "word_dropped",
-            "cannot decode the report counts of node " + r.duty,
+            "the report counts of node " + r.duty + " cannot be decoded",
             {{"node", r.duty}}});
     }
   }
--- a/tests/config/command_line_test.cpp
+++ b/tests/config/command_line_test.cpp
@@ -1,4 +1,4 @@
-// The program's command line: what it starts, says, and ends with.
+// The command line of nettlestand: the node it starts, its output and its exit codes.
 #include <netinet/in.h>
 #include <sys/socket.h>
 #include <sys/stat.h>
@@ -10,9 +10,10 @@
 namespace nettlestand::testing {
 namespace {
 
+// How a run of the program ended.
 struct RunResult {
   int code = 0;
-  std::string out;  // both streams
+  std::string out;  // standard output and standard error
 };
 
 RunResult run(const std::string& arguments) {
@@ -24,7 +25,7 @@
   return result;
 }
 
-// A file that goes with the test.
+// An operator's file that is removed with the object.
 struct TemporaryFile {
   explicit TemporaryFile(const std::string& text) {
     static int count = 0;
@@ -92,15 +93,16 @@
   EXPECT_EQ(result.out, good.path + ": good\n");
   result = run("check " + bad.path);
   EXPECT_EQ(result.code, 2);
-  EXPECT_TRUE(has(result.out, bad.path + ":2:10: node.listen: is a whole number where a string belongs\n"))
+  EXPECT_TRUE(
+      has(result.out, bad.path + ":2:10: node.listen: is a whole number where a string is expected\n"))
       << result.out;
   EXPECT_TRUE(has(result.out, bad.path + ":3:1: unknown key 'listne' in node; did you mean 'listen'?\n"))
       << result.out;
   result = run("check /nowhere/at/all.toml");
   EXPECT_EQ(result.code, 2);
   EXPECT_EQ(result.out, "can't read /nowhere/at/all.toml\n");
-  EXPECT_EQ(run("check /tmp").code, 2) << "a folder is no file";
-  EXPECT_EQ(run("run --config " + bad.path).code, 2) << "and runs nothing on it";
+  EXPECT_EQ(run("check /tmp").code, 2) << "a directory is not a file";
+  EXPECT_EQ(run("run --config " + bad.path).code, 2) << "run refuses it as well";
 }
 
 TEST(CommandLine, RunsANodeOnAFileAlone) {
@@ -120,7 +122,7 @@
     EXPECT_TRUE(has(caller.message(), "\r\n\r\nanswer"));
   };
   served_by(server);
-  // After SIGHUP its list of servers is what the file says now; a bad file changes nothing.
+  // SIGHUP applies the file's new list of servers; an invalid file changes nothing.
   std::ofstream(file.path) << "[node]\nlisten = 7\n";
   node.signal(SIGHUP);
   EXPECT_TRUE(has(node.log("stays as it was: "), "node.listen: is a whole number"));
@@ -139,7 +141,7 @@
   EXPECT_EQ(node.exit_code(), 0);
 }
 
-// A node on a file with membership and a control socket, and what is asked of it there.
+// Queries a node with membership on its control socket.
 TEST(CommandLine, ShowsTheMembersThatANodeKnows) {
   const TcpListener server;
   const std::string socket = ::testing::TempDir() + "/control_" + std::to_string(getpid());
@@ -151,13 +153,13 @@
   RunResult result = run("peers show --socket " + socket);
   EXPECT_EQ(result.code, 1);
   EXPECT_TRUE(has(result.out, socket + ": no node answers there")) << result.out;
-  EXPECT_EQ(run("peers show").code, 2) << "which socket is not said";
+  EXPECT_EQ(run("peers show").code, 2) << "--socket is missing";
   {
     NodeUnderTest node("", 1024, {"run", "--config", good.path}, false);
     node.port();
     struct stat is {};
     ASSERT_EQ(::stat(socket.c_str(), &is), 0);
-    EXPECT_EQ(is.st_mode & 0777, 0600U) << "nobody but its owner may ask";
+    EXPECT_EQ(is.st_mode & 0777, 0600U) << "only the owner may connect";
     result = run("peers show --socket " + socket);
     EXPECT_EQ(result.code, 0) << result.out;
     EXPECT_TRUE(has(result.out, "nettlestand of nettlestand at 127.0.0.1:")) << result.out;
@@ -165,26 +167,26 @@
     EXPECT_TRUE(has(result.out, "\nnettlestand  alive")) << result.out;
     result = run("peers show --json --socket " + socket);
     EXPECT_EQ(result.out.rfind("{\"name\":\"nettlestand\"", 0), 0U) << result.out;
-    // The path is taken: another node does not start there, and the first one answers on.
+    // The path is in use: a second node does not start, and the first one goes on answering.
     NodeUnderTest second("", 1024, {"run", "--config", good.path}, false);
     EXPECT_EQ(second.exit_code(), 1);
     EXPECT_EQ(run("peers show --socket " + socket).code, 0);
     node.signal(SIGKILL);
     node.exit_code();
   }
-  EXPECT_EQ(::access(socket.c_str(), F_OK), 0) << "left behind by the crash";
+  EXPECT_EQ(::access(socket.c_str(), F_OK), 0) << "a crash leaves the file behind";
   const TemporaryFile without(file(""));
-  NodeUnderTest node("", 1024, {"run", "--config", without.path}, false);  // takes its place
+  NodeUnderTest node("", 1024, {"run", "--config", without.path}, false);  // replaces the file
   node.port();
   result = run("peers show --socket " + socket);
   EXPECT_EQ(result.code, 1);
   EXPECT_TRUE(has(result.out, "membership is off in this node")) << result.out;
   node.signal(SIGTERM);
   EXPECT_EQ(node.exit_code(), 0);
-  EXPECT_NE(::access(socket.c_str(), F_OK), 0) << "an end in order takes it away";
+  EXPECT_NE(::access(socket.c_str(), F_OK), 0) << "a clean exit removes the file";
 }
 
-// The platform's configuration rules; the file adds the listener's time limits to it.
+// The platform's configuration takes precedence; the file adds the listener's time limits.
 TEST(CommandLine, AddsAFileToThePlatforms) {
   World w;
   const TemporaryFile file("[node]\nlisten = \"127.0.0.1:1\"\n[listener]\nread_ms = 300\n");
@@ -197,7 +199,7 @@
   TcpConnection slow = w.client();
   slow.send("POST /api HTTP/1.1\r\nRequest-Id:");
   EXPECT_TRUE(has(slow.message(), "HTTP/1.1 408 "));
-  EXPECT_LT(seconds() - from, 2) << "before the usual 2.2 s";
+  EXPECT_LT(seconds() - from, 2) << "earlier than the default of 2.2 s";
 }
 
 TEST(CommandLine, PlaysTheDemo) {
--- a/tests/config/log_test.cpp
+++ b/tests/config/log_test.cpp
@@ -1,4 +1,4 @@
-// The log: what a line says in each format, levels by component, bounded repeats.
+// The log: the lines of each format, levels by component, and the limit on repeats.
 #include "daemon/log.h"
 
 #include <gtest/gtest.h>
@@ -28,7 +28,7 @@
   for (std::size_t end; (end = text.find('\n')) != std::string::npos; text.erase(0, end + 1)) {
     out.push_back(text.substr(0, end));
   }
-  EXPECT_EQ(text, "") << "a line without an end";
+  EXPECT_EQ(text, "") << "the last line is incomplete";
   return out;
 }
 
@@ -36,7 +36,7 @@
   LogOptions options;
   options.format = LogOptions::Format::kJson;
   const auto json = lines_of(options, {kEvent});
-  ASSERT_EQ(json.size(), 1U) << "one event is one line, whatever it quotes";
+  ASSERT_EQ(json.size(), 1U) << "one event is one line, whatever text it contains";
   rapidjson::Document d;
   d.Parse(json[0].c_str());
   ASSERT_FALSE(d.HasParseError()) << json[0];
@@ -88,8 +88,8 @@
   EXPECT_EQ(limit.allow("a", 101), 0U);
   EXPECT_FALSE(limit.allow("a", 102));
   EXPECT_FALSE(limit.allow("a", 109.9));
-  EXPECT_EQ(limit.allow("b", 109.9), 0U) << "each event by itself";
-  EXPECT_EQ(limit.allow("a", 110), 2U) << "those left out are told of with the next";
+  EXPECT_EQ(limit.allow("b", 109.9), 0U) << "each event has its own limit";
+  EXPECT_EQ(limit.allow("a", 110), 2U) << "the next event reports how many were suppressed";
   EXPECT_EQ(limit.allow("a", 111), 0U);
   EXPECT_FALSE(limit.allow("a", 112));
   RepeatLimiter none(0, 10);
@@ -99,7 +99,7 @@
   options.max_repeats = 3;
   options.repeat_period = 1000;
   EXPECT_EQ(lines_of(options, std::vector<LogEvent>(50, kEvent)).size(), 3U * 2)
-      << "three, each of them over two lines in plain text";
+      << "three events, each with a line break in its plain text";
 }
 
 }  // namespace
--- a/tests/config/operator_file_test.cpp
+++ b/tests/config/operator_file_test.cpp
@@ -1,4 +1,4 @@
-// The operator's file: what it says, and what is said of bad ones, each problem with its line and column.
+// The operator's file: its keys, and the reported problems of invalid files with their lines and columns.
 #include "daemon/operator_file.h"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 namespace nettlestand {
 namespace {
 
-// Lines 1 to 13 of every file here.
+// A valid file. Lines 1 to 13 of most files below.
 const std::string kValidFile = R"([node]
 listen = "127.0.0.1:8080"
 zones = ["a", "b"]
@@ -121,8 +121,7 @@
   std::ifstream in(std::string(DEPLOY) + "/nettlestand.toml");
   std::string text{std::istreambuf_iterator<char>(in), {}}, all;
   EXPECT_EQ(problems_of(text), "");
-  // With what is commented out as well, but for the second source of servers and the zones that it leaves
-  // empty.
+  // Also with the keys that are commented out, except for the second source of servers and the empty zones.
   std::istringstream lines(text);
   for (std::string line; std::getline(lines, line);) {
     const bool key =
@@ -143,7 +142,7 @@
   platform.name = "n3";
   merge_operator_file(
       platform, *parse_operator_file("[node]\nname = \"x\"\n[listener]\nread_ms = 900\n", false, problems));
-  EXPECT_EQ(platform.name, "n3") << "the platform rules";
+  EXPECT_EQ(platform.name, "n3") << "the platform takes precedence";
   EXPECT_DOUBLE_EQ(platform.listener.read, 0.9);
 }
 
@@ -201,14 +200,14 @@
       {peers, "f:14:1: peers.members or peers.join is missing\n"},
       {peers + "join = [\"host:1\"]\n",
        "f:16:9: peers.join: 'host:1' is not an address and a port (names are not resolved)\n"},
-      {peers + "join = [7]\n", "f:16:9: peers.join: a whole number where an address belongs\n"},
+      {peers + "join = [7]\n", "f:16:9: peers.join: a whole number where an address is expected\n"},
       {peers + "join = [\"127.0.0.1:1\", \"127.0.0.1:1\"]\n",
-       "f:16:24: peers.join: '127.0.0.1:1' stands there twice\n"},
+       "f:16:24: peers.join: '127.0.0.1:1' is listed twice\n"},
       {peers + "join = [\"[::1]:1\"]\n", "f:16:8: peers.join: is not an IPv4 address with a port from 1\n"},
       {peers + "members = [\"127.0.0.1:1\", \"127.0.0.1:2\"]\n",
        "f:16:11: peers.members: 2 where node.nodes says 1\n"},
       {peers + "members = [\"127.0.0.1:1\"]\njoin = [\"127.0.0.1:1\"]\n",
-       "f:17:8: peers.join: stands beside peers.members, which names all\n"},
+       "f:17:8: peers.join: conflicts with peers.members, which lists all nodes\n"},
       {peers + "join = []\ntimeout_ms = 200\n",
        "f:17:14: peers.timeout_ms: is over a sixth of peers.period_ms, which is 1000\n"},
       {peers + "join = []\nleast_doubt_ms = 500\n",
@@ -216,7 +215,7 @@
       {peers + "join = []\nmost_doubt_ms = 1000\n",
        "f:17:17: peers.most_doubt_ms: is under peers.least_doubt_ms, which is 1200\n"},
       {peers + "join = []\nfollow = 1\n",
-       "f:17:10: peers.follow: is a whole number where a boolean belongs\n"},
+       "f:17:10: peers.follow: is a whole number where a boolean is expected\n"},
       {peers + "join = []\nregion = \"a-very-long-one\"\n", "f:17:10: peers.region: is not 1 to 12 bytes\n"},
       {kValidFile + "[control]\n", "f:14:1: control.socket is missing\n"}};
   for (const auto& [text, told] : cases) EXPECT_EQ(problems_of(text), told) << text;
@@ -263,24 +262,24 @@
       {kValidFile + "port = 1\n", "f:14:1: unknown key 'port' in server\n"},
       // wrong types
       {replaced("listen = \"127.0.0.1:8080\"", "listen = 8080"),
-       "f:2:10: node.listen: is a whole number where a string belongs\n"},
+       "f:2:10: node.listen: is a whole number where a string is expected\n"},
       {replaced("deadline_ms = 1000", "deadline_ms = 1000.5"),
-       "f:8:15: class.deadline_ms: is a decimal number where a whole number belongs\n"},
+       "f:8:15: class.deadline_ms: is a decimal number where a whole number is expected\n"},
       {replaced("deadline_ms = 1000", "deadline_ms = \"1 s\""),
-       "f:8:15: class.deadline_ms: is a string where a whole number belongs\n"},
+       "f:8:15: class.deadline_ms: is a string where a whole number is expected\n"},
       {replaced("zones = [\"a\", \"b\"]", "zones = \"a\""),
-       "f:3:9: node.zones: is a string where an array belongs\n"},
+       "f:3:9: node.zones: is a string where an array is expected\n"},
       {replaced("zones = [\"a\", \"b\"]", "zones = [\"a\", 7]"),
-       "f:3:15: node.zones: a whole number where a string belongs\n"},
+       "f:3:15: node.zones: a whole number where a string is expected\n"},
       {replaced("[[tenant]]", "[tenant]"),
-       "f:9:1: the file.tenant: is a table where a list of tables belongs\n"},
+       "f:9:1: the file.tenant: is a table where a list of tables is expected\n"},
       {replaced("[node]\n", "[node]\nname = true\n"),
-       "f:2:8: node.name: is a boolean where a string belongs\n"},
+       "f:2:8: node.name: is a boolean where a string is expected\n"},
       {kValidFile + "weight = 2020-01-01\n",
-       "f:14:10: server.weight: is a date or time where a number belongs\n"},
-      {"limits = 3\n" + kValidFile, "f:1:10: the file.limits: is a whole number where a table belongs\n"},
+       "f:14:10: server.weight: is a date or time where a number is expected\n"},
+      {"limits = 3\n" + kValidFile, "f:1:10: the file.limits: is a whole number where a table is expected\n"},
       {"class = [1]\n" + replaced("[[class]]\nname = \"look\"\neffect = \"safe\"\ndeadline_ms = 1000\n", ""),
-       "f:1:10: class: a whole number where a table belongs\n"},
+       "f:1:10: class: a whole number where a table is expected\n"},
       // out of range
       {replaced("deadline_ms = 1000", "deadline_ms = 0"),
        "f:8:15: class.deadline_ms: 0 is not from 1 to 3600000\n"},
@@ -309,29 +308,28 @@
       {replaced("name = \"s0\"", "name = \"" + std::string(256, 'x') + "\""),
        "f:12:8: server.name: is not 1 to 255 bytes\n"},
       {replaced("name = \"acme\"", "name = \"a\\u0007\""),
-       "f:10:8: tenant.name: holds a control character\n"},
+       "f:10:8: tenant.name: contains a control character\n"},
       {replaced("effect = \"safe\"", "effect = \"idempotent\""),
-       "f:7:10: class.effect: 'idempotent' is none of safe, keyed, unsafe\n"},
-      {kValidFile + "state = \"down\"\n", "f:14:9: server.state: 'down' is none of ready, draining\n"},
+       "f:7:10: class.effect: 'idempotent' is not one of safe, keyed, unsafe\n"},
+      {kValidFile + "state = \"down\"\n", "f:14:9: server.state: 'down' is not one of ready, draining\n"},
       {replaced("zones = [\"a\", \"b\"]", "zones = [\"a\", \"a\"]"),
-       "f:3:15: node.zones: 'a' stands there twice\n"},
+       "f:3:15: node.zones: 'a' is listed twice\n"},
       {replaced("\"127.0.0.1:8080\"", "\"localhost:8080\""),
        "f:2:10: node.listen: 'localhost:8080' is not an address and a port (names are not resolved)\n"},
       {replaced("\"127.0.0.1:9001\"", "\"127.0.0.1\""),
        "f:13:11: server.address: '127.0.0.1' is not an address and a port (names are not resolved)\n"},
-      // what is missing
+      // missing keys
       {replaced("listen = \"127.0.0.1:8080\"\n", ""), "f:1:1: node.listen is missing\n"},
       {replaced("effect = \"safe\"\n", ""), "f:5:1: class.effect is missing\n"},
       {replaced("name = \"acme\"\n", ""), "f:9:1: tenant.name is missing\n"},
       {replaced("address = \"127.0.0.1:9001\"\n", ""), "f:11:1: server.address is missing\n"},
-      {replaced(server, ""), "f:1:1: nothing says where servers are: [[server]] or [discovery] is missing\n"},
+      {replaced(server, ""), "f:1:1: no source of servers: [[server]] or [discovery] is missing\n"},
       {replaced(server, "[discovery]\n"), "f:11:1: discovery.address is missing\n"},
       {replaced("[[class]]\nname = \"look\"\neffect = \"safe\"\ndeadline_ms = 1000\n", ""),
        "f:1:1: the file.class is missing\n"},
       {replaced("effect = \"safe\"", "effect = \"keyed\""), "f:5:1: class.dedup_window_ms is missing\n"},
       {"",
-       "f:1:1: node.listen is missing\nf:1:1: the file.class is missing\nf:1:1: nothing says where servers "
-       "are: "
+       "f:1:1: node.listen is missing\nf:1:1: the file.class is missing\nf:1:1: no source of servers: "
        "[[server]] or [discovery] is missing\n"},
       // contradictions
       {replaced("deadline_ms = 1000", "deadline_ms = 1000\naim_ms = 1500"),
@@ -340,28 +338,27 @@
        "f:9:9: class.dedup: belongs to keyed classes only\n"},
       {replaced("deadline_ms = 1000", "deadline_ms = 1000\ndedup_window_ms = 5"),
        "f:9:19: class.dedup_window_ms: belongs to keyed classes only\n"},
-      {replaced("zone = \"a\"", "zone = \"c\""), "f:4:8: node.zone: 'c' is none of node.zones\n"},
-      {kValidFile + "zone = \"c\"\n", "f:14:8: server.zone: 'c' is none of node.zones\n"},
+      {replaced("zone = \"a\"", "zone = \"c\""), "f:4:8: node.zone: 'c' is not one of node.zones\n"},
+      {kValidFile + "zone = \"c\"\n", "f:14:8: server.zone: 'c' is not one of node.zones\n"},
       {replaced("[node]\n", "[node]\nposition = 2\nnodes = 2\n"),
        "f:2:12: node.position: 2 is not under node.nodes, which is 2\n"},
       {replaced("[[tenant]]", "[[class]]\nname = \"look\"\neffect = \"safe\"\ndeadline_ms = 1\n[[tenant]]"),
-       "f:10:8: class.name: 'look' stands in line 6 already\n"},
+       "f:10:8: class.name: 'look' is used in line 6 already\n"},
       {replaced(server, two_servers + "name = \"s0\"\naddress = \"127.0.0.1:9002\"\n"),
-       "f:15:8: server.name: 's0' stands in line 12 already\n"},
+       "f:15:8: server.name: 's0' is used in line 12 already\n"},
       {replaced(server, two_servers + "name = \"s1\"\naddress = \"127.0.0.1:9001\"\n"),
-       "f:16:11: server.address: is that of the server in line 13\n"},
+       "f:16:11: server.address: is used by the server in line 13\n"},
       {replaced("127.0.0.1:9001", "127.0.0.1:8080"),
        "f:13:11: server.address: is node.listen: the node would send to itself\n"},
       {kValidFile + "[discovery]\naddress = \"127.0.0.1:8500\"\n",
-       "f:11:1: the file.server: stands beside [discovery], which would replace it\n"},
+       "f:11:1: the file.server: conflicts with [discovery], which would replace it\n"},
       {replaced(server, "[discovery]\naddress = \"127.0.0.1:8080\"\n"),
-       "f:12:11: discovery.address: is node.listen: the node would ask itself\n"},
+       "f:12:11: discovery.address: is node.listen: the node would query itself\n"},
       {kValidFile + "[warm_up]\nstart_capacity = 0.5\n",
-       "f:15:18: warm_up.start_capacity: is under 1, and no warm_up.ramp_ms says when a server has the "
-       "rest\n"},
-      // all of them at once, in the order of the file
+       "f:15:18: warm_up.start_capacity: is under 1, which needs warm_up.ramp_ms\n"},
+      // several problems at once, in the order of the file
       {replaced("effect = \"safe\"\ndeadline_ms = 1000", "effect = 3\ndeadline_ms = 0\ncolour = 1"),
-       "f:7:10: class.effect: is a whole number where a string belongs\n"
+       "f:7:10: class.effect: is a whole number where a string is expected\n"
        "f:8:15: class.deadline_ms: 0 is not from 1 to 3600000\n"
        "f:9:1: unknown key 'colour' in class\n"},
   };
@@ -371,7 +368,7 @@
     const std::string got = problems_of(bad.file);
     if (bad.expected.ends_with("TOML: ")) {
       EXPECT_EQ(got.substr(0, bad.expected.size()), bad.expected)
-          << got;  // the rest is the parser's own wording
+          << got;  // the rest is the TOML library's text
     } else {
       EXPECT_EQ(got, bad.expected);
     }
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -58,7 +58,7 @@
       {"\"memory_mb\":64", "\"memory_mb\":1e300", "'limits.memory_mb' is not from 16 to 1000000"},
       {"\"memory_mb\":64", "\"memory_mb\":0", "'limits.memory_mb'"},
       {"\"sockets\":1024", "\"sockets\":-1", "'limits.sockets' is not from 64 to"},
-      {"\"name\":\"close\"", "\"name\":\"mark\"", "'categories[].name' is not a name that stands there once"},
+      {"\"name\":\"close\"", "\"name\":\"mark\"", "'categories[].name' is not a unique name"},
       {"\"name\":\"acme\"", "\"name\":\"\"", "'realms[].name' is not a name of 1 to 128 bytes"},
       {"\"azs\":[\"a\"]", "\"azs\":[" + repeated("\"a\",", 1000) + "\"a\"]",
        "'azs' is not a list of 0 to 1000"},
