--- a/daemon/duties.h
+++ b/daemon/duties.h
@@ -23,6 +23,7 @@
   // Throws std::exception if a component cannot be created.
   NodeDuties(boost::asio::io_context& io, const Config& config, Log log);
 
+  // Starts all components.
   void start();
   // Releases all leases at once, then transfers the voters' leadership if this node's voter has it.
   void begin_drain();
--- a/daemon/duty_program.h
+++ b/daemon/duty_program.h
@@ -26,6 +26,7 @@
   DutyPrograms(const DutyPrograms&) = delete;
   DutyPrograms& operator=(const DutyPrograms&) = delete;
 
+  // Starts to acquire the duties; a program starts once its duty is held.
   void start();
   bool any_running() const;
 
@@ -35,6 +36,7 @@
     DutyProgram program;
     pid_t watchdog = -1;
     int pipe = -1;  // to the watchdog's standard input
+    // Tokens of the leases that the last program was started for, and that is held now; 0: none.
     duties::Token running_token = 0, wanted_token = 0;
     bool stopping = false;
   };
--- a/daemon/node.cpp
+++ b/daemon/node.cpp
@@ -15,8 +15,10 @@
 
 namespace asio = boost::asio;
 
-constexpr std::size_t kReservedSockets = 40;  // for the event loop, standard streams, discovery, and headroom
-constexpr std::size_t kBodyMemoryDivisor = 3;  // a third of the memory is the budget of bodies
+// Descriptors for the event loop, the standard streams and discovery, and headroom.
+constexpr std::size_t kReservedSockets = 40;
+// A third of the memory is the budget of request and response bodies.
+constexpr std::size_t kBodyMemoryDivisor = 3;
 
 constexpr auto kDrainCheckInterval = std::chrono::milliseconds(20);
 
@@ -26,8 +28,8 @@
   return longest;
 }
 
-constexpr auto kFinalMessagesDelay =
-    std::chrono::milliseconds(30);  // lets the last messages reach the voters
+// Lets the last messages reach the voters before the loop stops.
+constexpr auto kFinalMessagesDelay = std::chrono::milliseconds(30);
 
 // The loop runs on one thread and needs no locks, unless the threads of a voter or of the report's writer
 // post to it.
--- a/report/answer_counter.cpp
+++ b/report/answer_counter.cpp
@@ -98,9 +98,9 @@
     keys_.push_back({tier, zone, i < kMaxTenants ? std::move(tenants[i]) : std::string(kOtherTenants)});
 }
 
-void AnswerCounter::add(std::size_t tenant, AnswerOutcome ending, double seconds) {
+void AnswerCounter::add(std::size_t tenant, AnswerOutcome outcome, double seconds) {
   AnswerCounts& c = counts_[keys_[std::min(tenant, keys_.size() - 1)]];
-  switch (ending) {
+  switch (outcome) {
     case AnswerOutcome::kServed: {
       ++c.served;
       std::size_t i = 0;
--- a/report/answer_counter.h
+++ b/report/answer_counter.h
@@ -39,6 +39,7 @@
   auto operator<=>(const CountKey&) const = default;
 };
 
+// How a call was answered.
 enum class AnswerOutcome : std::uint8_t { kServed, kRefused, kFailed };
 
 // The counts of one node.
@@ -46,7 +47,8 @@
  public:
   // `tenants` are names in the order of their indices; those beyond the first 400 are counted together.
   AnswerCounter(int tier, std::string zone, std::vector<std::string> tenants);
-  void add(std::size_t tenant, AnswerOutcome ending, double seconds);
+  // `seconds`: the latency, used for served calls only.
+  void add(std::size_t tenant, AnswerOutcome outcome, double seconds);
   const std::map<CountKey, AnswerCounts>& counts() const { return counts_; }
 
  private:
--- a/report/report_store.h
+++ b/report/report_store.h
@@ -31,7 +31,7 @@
   double began = 0, ended = 0;  // Unix time in s, by the writers' clocks
   duties::Token token = 0;      // fencing token of the writer
   std::string writer;
-  std::uint64_t nodes = 0;  // number of nodes whose counts were read
+  std::uint64_t nodes = 0;  // number of node reports that were read
   std::map<CountKey, AnswerCounts> counts;
 };
 
@@ -44,10 +44,8 @@
   ReportStore(const ReportStore&) = delete;
   ReportStore& operator=(const ReportStore&) = delete;
 
-  enum class CloseResult {
-    kWritten,
-    kStale
-  };  // kStale: a later holder has already written; nothing was changed
+  // kStale: a later holder has already written; nothing was changed.
+  enum class CloseResult { kWritten, kStale };
   // Writes the period that ends at `at` (Unix time in s). Throws duties::StoreError, and changes nothing
   // then.
   CloseResult close_period(duties::Token token, const std::string& writer, double at,
--- a/report/reporter.h
+++ b/report/reporter.h
@@ -35,6 +35,7 @@
   Reporter(const Reporter&) = delete;
   Reporter& operator=(const Reporter&) = delete;
 
+  // Starts to publish, and to acquire the duty if there is a report file.
   void start();
   // Publishes the node's counts now; also called last before the node exits.
   void publish_counts();
--- a/util/socket.h
+++ b/util/socket.h
@@ -74,6 +74,7 @@
   }
   static bool would_block() { return errno == EAGAIN || errno == EWOULDBLOCK; }
 
+  // Sends a FIN; the connection can still be read.
   void shutdown_send() const { ::shutdown(descriptor_, SHUT_WR); }
   // Whether the peer's kernel has acknowledged all written data and our FIN. Everything that the peer's
   // program sent before it could see the FIN has then arrived. False if the kernel gives no TCP_INFO.
