--- a/bench/duties.cpp
+++ b/bench/duties.cpp
@@ -74,7 +74,7 @@
   using emulator::ActorId;
   const auto actor = [](Cluster& c, std::size_t n) { return static_cast<ActorId>(c.settings.voters + n); };
   const auto cut = [actor](Cluster& c, std::size_t n, bool out, bool in) {
-    standins::WayFaults way;
+    standins::LinkFaults way;
     way.cut = true;
     for (ActorId o = 0; o < c.sim.size(); ++o) {
       if (o == actor(c, n)) continue;
@@ -154,7 +154,7 @@
     if (l != h) w.node(l).signal(SIGKILL);
   });
   const auto cut = [](ProcessWorld& w, std::size_t h, bool out, bool in) {
-    WayFaults way;
+    LinkFaults way;
     way.cut = true;
     for (std::size_t i = 0; i < 6; ++i) {
       if (i == h) continue;
--- a/bench/lab_costs.cpp
+++ b/bench/lab_costs.cpp
@@ -53,12 +53,12 @@
        {std::pair<std::size_t, std::size_t>{1, 100}, {16, 100}, {64, 100}, {16, 20000}}) {
     LoopThread servers, links;
     Network net(links.loop(), 1);
-    const int a = net.machine(), b = net.machine();
+    const int a = net.add_machine(), b = net.add_machine();
     ServerSettings settings;
     settings.ip = net.ip(b);
     ScriptedServer server(servers.loop(), settings);
     const Address relayed = net.tcp(a, b, server.port()), direct{net.ip(b), server.port()};
-    net.look();
+    net.refresh_listeners();
     std::vector<double> per_s, relayed_share, p50, p99;
     for (int i = 0; i < 5; ++i) {
       const LoadMeasurement d = measure_load(direct, callers, bytes),
@@ -90,7 +90,7 @@
     s.between_zones = 0.001;
     s.between_regions = 0.005;
     s.server.cores = 4;
-    s.server.service = 0.004;
+    s.server.service_time = 0.004;
     s.node.tenants = {{"acme", 100000}};
     s.load.rate = 20 * static_cast<double>(nodes);
     constexpr double kSeconds = 5;
--- a/bench/peers.cpp
+++ b/bench/peers.cpp
@@ -81,8 +81,8 @@
   return out;
 }
 
-standins::WayFaults link_conditions(double loss) {
-  standins::WayFaults out;
+standins::LinkFaults link_conditions(double loss) {
+  standins::LinkFaults out;
   out.delay = 0.001;
   out.jitter = 0.004;
   out.loss = loss;
@@ -223,7 +223,7 @@
     fleet->sim.run_until(10);
     fleet->changes.clear();
     if (fault == "one-sided") {
-      standins::WayFaults cut;
+      standins::LinkFaults cut;
       cut.cut = true;
       for (std::size_t i = 0; i < nodes * 3 / 2; ++i) fleet->sim.set_way(random_node(), random_node(), cut);
     }
--- a/daemon/demo.cpp
+++ b/daemon/demo.cpp
@@ -59,7 +59,7 @@
       si::ServerSettings settings;
       settings.name = "s" + std::to_string(i);
       settings.cores = 4;
-      settings.service = kServiceSeconds;
+      settings.service_time = kServiceSeconds;
       settings.exponential = true;
       settings.seed = static_cast<std::uint64_t>(i) + 1;
       settings.recorder = &recorder_;
@@ -68,7 +68,7 @@
       listings_.back().host = settings.name;
       listings_.back().port = servers_.back()->port();
     }
-    discovery_.set(listings_);
+    discovery_.update(listings_);
     node_ = std::make_unique<si::NodeProcess>(binary, config);
     node_->await_ready();
   }
@@ -87,7 +87,7 @@
     load.tenants = {{"centre", 1}};
     load.rate = kRate;
     load.seconds = seconds_;
-    load.patience = 0.5;
+    load.extra_wait = 0.5;
     load.recorder = &recorder_;
     si::LoadClient client(thread_.loop(), load);
     client.start();
@@ -123,19 +123,19 @@
     const double d = seconds_ / 20;
     return {{3 * d, "s0 is killed", [this] { servers_[0]->run("crash"); }},
             {6 * d, "s0 is back, cold", [this] { restart_server(0); }},
-            {9 * d, "s1 drains", [this] { discovery_.state("s1", "leaving"); }},
-            {12 * d, "s1 is gone", [this] { discovery_.state("s1", "left"); }},
+            {9 * d, "s1 drains", [this] { discovery_.set_health("s1", "leaving"); }},
+            {12 * d, "s1 is gone", [this] { discovery_.set_health("s1", "left"); }},
             {14 * d, "s1 is back, cold", [this] { restart_server(1); }},
             {17 * d, "s2 stops answering for a second", [this] { servers_[2]->run("silent for 1"); }}};
   }
 
   void restart_server(std::size_t i) {
-    servers_[i]->well();
+    servers_[i]->clear_faults();
     char cold[64];
     std::snprintf(cold, sizeof cold, "cold %.2f %.0f 4", kStartCapacity, kRampSeconds);
     servers_[i]->run(cold);
     listings_[i].born_ms = si::unix_ms();
-    discovery_.set(listings_[i]);
+    discovery_.update(listings_[i]);
   }
 
   void wait_until(double second) const {
@@ -170,7 +170,7 @@
     settings.classes = checked_classes();
     settings.late_slack = 0.5;
     settings.crossing = 0.5;
-    for (const si::Listing& server : listings_)
+    for (const si::ServerEntry& server : listings_)
       settings.servers.push_back({server.host, server.site, server.block});
     const auto violations = si::Checker(settings).check(
         {recorder_.calls(), recorder_.attempts(), recorder_.told(), recorder_.fallen(), {node_->life()}});
@@ -195,7 +195,7 @@
   si::Recorder recorder_;
   si::ScriptedDiscovery discovery_{thread_.loop(), &recorder_};
   std::vector<std::unique_ptr<si::ScriptedServer>> servers_;
-  std::vector<si::Listing> listings_;
+  std::vector<si::ServerEntry> listings_;
   std::unique_ptr<si::NodeProcess> node_;
   double started_at_ = 0;
 };
--- a/emulator/simulation.cpp
+++ b/emulator/simulation.cpp
@@ -73,11 +73,11 @@
   }
 }
 
-void Simulation::set_way(ActorId from, ActorId to, const standins::WayFaults& faults) {
+void Simulation::set_way(ActorId from, ActorId to, const standins::LinkFaults& faults) {
   ways_[pair_of(from, to)] = faults;
   roads_.erase(pair_of(from, to));
 }
-void Simulation::set_zones(std::uint32_t from, std::uint32_t to, const standins::WayFaults& faults) {
+void Simulation::set_zones(std::uint32_t from, std::uint32_t to, const standins::LinkFaults& faults) {
   zones_[pair_of(from, to)] = faults;
   roads_.clear();
 }
@@ -88,14 +88,14 @@
   roads_.clear();
 }
 
-standins::Way& Simulation::way(ActorId from, ActorId to) {
-  standins::WayFaults all = network_;
-  if (const auto it = ways_.find(pair_of(from, to)); it != ways_.end()) all = join(all, it->second);
+standins::LinkModel& Simulation::way(ActorId from, ActorId to) {
+  standins::LinkFaults all = network_;
+  if (const auto it = ways_.find(pair_of(from, to)); it != ways_.end()) all = combine(all, it->second);
   if (const auto it = zones_.find(pair_of(processes_[from].zone, processes_[to].zone)); it != zones_.end()) {
-    all = join(all, it->second);
+    all = combine(all, it->second);
   }
   const bool has_state = (all.loss > 0 && all.burst > 1) || all.bandwidth > 0;
-  standins::Way* out = &plain_;
+  standins::LinkModel* out = &plain_;
   if (has_state) {
     out = &roads_.try_emplace(pair_of(from, to), seed_ ^ (pair_of(from, to) * 0x9E3779B97F4A7C15ULL))
                .first->second;
@@ -109,12 +109,12 @@
   ++p.traffic.sent;
   p.traffic.bytes_sent += bytes.size();
   if (to >= processes_.size()) return;
-  standins::Way& on = way(from, to);
-  for (const standins::Way::Delivery& one : on.datagram(now_, bytes.size())) {
+  standins::LinkModel& on = way(from, to);
+  for (const standins::LinkModel::Delivery& one : on.datagram_arrivals(now_, bytes.size())) {
     std::string copy = bytes;
     if (one.corrupt && !copy.empty()) {
-      const auto at = static_cast<std::size_t>(on.draw(copy.size()));
-      copy[at] = static_cast<char>(copy[at] ^ (1 << on.draw(8)));
+      const auto at = static_cast<std::size_t>(on.uniform_below(copy.size()));
+      copy[at] = static_cast<char>(copy[at] ^ (1 << on.uniform_below(8)));
     }
     flying_.emplace(++last_held_, std::move(copy));
     push({one.at, 0, What::kMessage, to, from, 0, last_held_});
--- a/emulator/simulation.h
+++ b/emulator/simulation.h
@@ -13,7 +13,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "standins/links/way.h"
+#include "standins/links/link_model.h"
 
 namespace nettlestand::emulator {
 
@@ -71,9 +71,9 @@
   std::uint32_t zone(ActorId who) const { return processes_[who].zone; }
 
   // Of all ways, and more of single ones or of those between two zones: they go together.
-  void set_network(const standins::WayFaults& all) { network_ = all; }
-  void set_way(ActorId from, ActorId to, const standins::WayFaults& faults);
-  void set_zones(std::uint32_t from, std::uint32_t to, const standins::WayFaults& faults);
+  void set_network(const standins::LinkFaults& all) { network_ = all; }
+  void set_way(ActorId from, ActorId to, const standins::LinkFaults& faults);
+  void set_zones(std::uint32_t from, std::uint32_t to, const standins::LinkFaults& faults);
   void heal();
 
   // Runs something at a time: a script's next line.
@@ -110,7 +110,7 @@
   };
   class Host;
 
-  standins::Way& way(ActorId from, ActorId to);
+  standins::LinkModel& way(ActorId from, ActorId to);
   void send(ActorId from, ActorId to, std::string bytes);
   void push(Due due) {
     due.order = ++order_;
@@ -122,10 +122,11 @@
   double now_ = 0;
   std::uint64_t order_ = 0, handled_ = 0, last_held_ = 0;
   std::vector<Process> processes_;
-  standins::WayFaults network_;
-  std::unordered_map<std::uint64_t, standins::WayFaults> ways_, zones_;
-  std::unordered_map<std::uint64_t, standins::Way> roads_;  // those with bursts or bands, which have a state
-  standins::Way plain_;
+  standins::LinkFaults network_;
+  std::unordered_map<std::uint64_t, standins::LinkFaults> ways_, zones_;
+  std::unordered_map<std::uint64_t, standins::LinkModel>
+      roads_;  // those with bursts or bands, which have a state
+  standins::LinkModel plain_;
   std::unordered_map<std::uint64_t, std::string> flying_;
   std::unordered_map<std::uint64_t, std::function<void()>> calls_;
   std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;
--- a/lab/play_emulated.cpp
+++ b/lab/play_emulated.cpp
@@ -15,21 +15,21 @@
 constexpr double kEmulatedTip = 3;  // of present capacity, in two seconds: as the site has it
 
 fleet::FaultKind kind_of(const si::Fault& fault) {
-  switch (fault.verb) {
-    case si::Verb::kRefuse:
-    case si::Verb::kReject:
+  switch (fault.kind) {
+    case si::FaultKind::kRefuse:
+    case si::FaultKind::kReject:
       return fleet::FaultKind::kRefuse;
-    case si::Verb::kHang:
+    case si::FaultKind::kHang:
       return fleet::FaultKind::kHangConnect;
-    case si::Verb::kSilent:
+    case si::FaultKind::kSilent:
       return fleet::FaultKind::kSilent;
-    case si::Verb::kResetAfterRequest:
+    case si::FaultKind::kResetAfterRequest:
       return fleet::FaultKind::kReset;
-    case si::Verb::kError:
+    case si::FaultKind::kError:
       return fleet::FaultKind::kError;
-    case si::Verb::kSlower:
+    case si::FaultKind::kSlower:
       return fleet::FaultKind::kSlow;
-    case si::Verb::kCrash:
+    case si::FaultKind::kCrash:
       return fleet::FaultKind::kCrash;
     default:
       throw CantPlay("the emulator does not play '" + si::to_text(fault) + "'");
@@ -142,7 +142,7 @@
           fault.until = until;
           fault.first = place;
           fault.count = 1;
-          fault.factor = f.server.a > 0 ? f.server.a : 1;
+          fault.factor = f.server.arg1 > 0 ? f.server.arg1 : 1;
           fault.every = static_cast<std::size_t>(std::max(1, f.server.every));
           out.faults.push_back(fault);
           break;
--- a/lab/play_processes.cpp
+++ b/lab/play_processes.cpp
@@ -21,7 +21,7 @@
   out.nodes = setup.nodes;
   out.servers = setup.servers;
   out.server.cores = setup.cores;
-  out.server.service = setup.work;
+  out.server.service_time = setup.work;
   out.server.exponential = setup.draw == "exponential";
   out.node.classes = {{"c", setup.effect, "all", 0, setup.aim, setup.deadline, 0.5}};
   out.node.tenants.clear();
@@ -43,8 +43,8 @@
   out.load.classes = {{"c", setup.effect == "safe" ? si::CallEffect::kSafe : si::CallEffect::kUnsafe, 1,
                        setup.deadline, setup.aim, 0}};
   out.load.rate = setup.load * setup.capacity();
-  out.load.tries = setup.tries;
-  out.load.retry_pause = setup.retry_pause;
+  out.load.max_attempts = setup.tries;
+  out.load.mean_retry_delay = setup.retry_pause;
   return out;
 }
 
--- a/standins/callers/load.cpp
+++ b/standins/callers/load.cpp
@@ -21,8 +21,9 @@
 namespace nettlestand::standins {
 namespace {
 
-constexpr double kLook = 0.005;  // s between looks for calls whose time is up
-constexpr double kPause = 0.01;  // s before a caller of the closed loop that can't connect tries again
+constexpr double kTimeoutCheckInterval = 0.005;  // s between looks for calls whose time is up
+constexpr double kReconnectDelay =
+    0.01;  // s before a caller of the closed loop that can't connect tries again
 constexpr std::size_t kNone = static_cast<std::size_t>(-1);
 
 class Random {
@@ -30,7 +31,7 @@
   explicit Random(std::uint64_t seed) : engine_(seed) {}
   std::uint64_t next() { return engine_(); }
   double unit() { return static_cast<double>(next() >> 11) * 0x1.0p-53; }
-  double gap(double rate) { return -std::log(1 - unit()) / rate; }
+  double exponential(double rate) { return -std::log(1 - unit()) / rate; }
 
  private:
   pcg64 engine_;
@@ -94,7 +95,7 @@
     prefix_ = random_.next();
     idle_.resize(s.targets.size());
     counts_.resize(s.classes.size() * s.tenants.size());
-    open_calls_.resize(s.classes.size());
+    pending_timeouts_.resize(s.classes.size());
     for (const LoadClass& c : s.classes) class_shares_.push_back(c.share);
   }
   ~Impl() {
@@ -103,27 +104,27 @@
 
   void start(std::function<void()> done) {
     done_ = std::move(done);
-    began_ = now();
+    started_at_ = now();
     running_ = true;
-    look();
+    check_timeouts();
     if (s.rate > 0) {
-      next_at_ = began_;
-      arrive();
+      next_at_ = started_at_;
+      start_due_calls();
     } else {
-      for (std::size_t i = 0; i < s.callers; ++i) begin(now());
+      for (std::size_t i = 0; i < s.callers; ++i) start_call(now());
     }
-    end_if_over();
+    finish_if_done();
   }
 
   void stop() {
     stopped_ = true;
-    end_if_over();
+    finish_if_done();
   }
 
   LoadResult result() const {
     LoadResult out;
-    out.seconds =
-        std::max(1e-9, (ended_ > 0 ? std::min(ended_, began_ + s.seconds) : now()) - began_ - s.warm_up);
+    out.seconds = std::max(1e-9, (ended_at_ > 0 ? std::min(ended_at_, started_at_ + s.seconds) : now()) -
+                                     started_at_ - s.warm_up);
     for (std::size_t c = 0; c < s.classes.size(); ++c) {
       for (std::size_t t = 0; t < s.tenants.size(); ++t) {
         const LoadCounts& counts = counts_[c * s.tenants.size() + t];
@@ -135,15 +136,15 @@
     return out;
   }
 
-  bool over() const { return over_; }
+  bool finished() const { return finished_; }
 
  private:
   struct Connection;
   struct Call {
     std::string id, key, first_id;
-    double born = 0;
-    int tries = 1;
-    std::size_t cls = 0, tenant = 0;
+    double first_due = 0;
+    int attempts = 1;
+    std::size_t class_index = 0, tenant_index = 0;
     double due = 0, first_byte_at = 0, sent_at = 0, again_at = 0;
     bool counts = true;
   };
@@ -161,13 +162,13 @@
     std::uint64_t serial = 0;  // of the call on it
     Call call;
     std::string out, in;
-    std::size_t put = 0;
+    std::size_t written = 0;
     bool in_body = false;
     int status = 0;
     BodyReader body;
     std::size_t last_record = kNone;
   };
-  struct Waiting {
+  struct PendingTimeout {
     double until;
     std::uint64_t connection, serial;
   };
@@ -175,18 +176,19 @@
   // ------------------------------------------------------------ when to call
 
   bool may_begin() const {
-    return running_ && !stopped_ && now() < began_ + s.seconds && (s.calls == 0 || begun_ < s.calls);
+    return running_ && !stopped_ && now() < started_at_ + s.seconds &&
+           (s.calls == 0 || started_calls_ < s.calls);
   }
 
   // Each tenant's part of the calls now, of which those that flood have more; returns the sum.
-  double weigh_tenants() {
-    const double at = now() - began_;
+  double update_tenant_shares() {
+    const double at = now() - started_at_;
     double sum = 0;
     tenant_shares_.clear();
     for (const LoadTenant& tenant : s.tenants) {
       double share = tenant.share;
       for (const Flood& flood : s.floods) {
-        if (flood.tenant == tenant.name && at >= flood.from && at < flood.until) share *= flood.times;
+        if (flood.tenant == tenant.name && at >= flood.from && at < flood.until) share *= flood.factor;
       }
       tenant_shares_.push_back(share);
       sum += share;
@@ -204,43 +206,43 @@
     return i;
   }
 
-  void arrive() {
-    double usual = 0;
-    for (const LoadTenant& tenant : s.tenants) usual += tenant.share;
+  void start_due_calls() {
+    double base_share = 0;
+    for (const LoadTenant& tenant : s.tenants) base_share += tenant.share;
     for (int i = 0; i < 256 && may_begin() && next_at_ <= now(); ++i) {
-      begin(next_at_);
-      next_at_ += random_.gap(s.rate * weigh_tenants() / usual);
+      start_call(next_at_);
+      next_at_ += random_.exponential(s.rate * update_tenant_shares() / base_share);
     }
     if (may_begin()) {
       loop_.at(next_at_, [this, alive = std::weak_ptr<int>(alive_)] {
-        if (!alive.expired()) arrive();
+        if (!alive.expired()) start_due_calls();
       });
     } else {
-      end_if_over();
+      finish_if_done();
     }
   }
 
-  void begin(double due) {
+  void start_call(double due) {
     if (!may_begin()) return;
-    ++begun_;
+    ++started_calls_;
     ++in_flight_;
-    weigh_tenants();
+    update_tenant_shares();
     Call call;
     call.id = hex(prefix_ + ++last_id_ * 0x9E3779B97F4A7C15ULL);
     call.first_id = call.id;
-    call.born = due;
-    call.cls = draw(class_shares_);
-    call.tenant = draw(tenant_shares_);
+    call.first_due = due;
+    call.class_index = draw(class_shares_);
+    call.tenant_index = draw(tenant_shares_);
     call.due = due;
-    call.counts = due >= began_ + s.warm_up;
-    if (s.classes[call.cls].effect == CallEffect::kKeyed) call.key = call.id + hex(random_.next());
+    call.counts = due >= started_at_ + s.warm_up;
+    if (s.classes[call.class_index].effect == CallEffect::kKeyed) call.key = call.id + hex(random_.next());
     dispatch(std::move(call));
   }
 
   // A client comes again with what was not served.
-  void come_again(Call call) {
+  void retry(Call call) {
     call.id = hex(prefix_ + ++last_id_ * 0x9E3779B97F4A7C15ULL);
-    ++call.tries;
+    ++call.attempts;
     call.due = now();
     call.first_byte_at = call.sent_at = call.again_at = 0;
     if (!call.key.empty()) call.key = call.id + hex(random_.next());
@@ -260,7 +262,8 @@
 
   void open(std::size_t target, Call&& call) {
     Fd fd;
-    if (connections_.size() < s.most) fd = connect_to(Address{s.targets[target].ip, s.targets[target].port});
+    if (connections_.size() < s.max_connections)
+      fd = connect_to(Address{s.targets[target].ip, s.targets[target].port});
     if (!fd) return finish(nullptr, call, target, CallEnd::kNoConnect, now(), 0, 0, false);
     auto made = std::make_unique<Connection>(*this, std::move(fd), target, ++last_connection_);
     Connection& c = *made;
@@ -270,49 +273,50 @@
   }
 
   void send_on(Connection& c, Call&& call) {
-    const LoadClass& cls = s.classes[call.cls];
+    const LoadClass& load_class = s.classes[call.class_index];
     c.busy = true;
     ++c.serial;
     c.call = std::move(call);
     c.in_body = c.close_after = false;
     c.status = 0;
-    c.put = 0;
+    c.written = 0;
     std::string& out = c.out;
     out.clear();
-    out += cls.effect == CallEffect::kSafe ? "GET " : "POST ";
+    out += load_class.effect == CallEffect::kSafe ? "GET " : "POST ";
     out += s.path;
     out += " HTTP/1.1\r\nHost: service.internal\r\nRequest-Id: ";
     out += c.call.id;
     out += "\r\nRequest-Class: ";
-    out += cls.name;
+    out += load_class.name;
     out += "\r\nTenant: ";
-    out += s.tenants[c.call.tenant].name;
+    out += s.tenants[c.call.tenant_index].name;
     out += "\r\nRequest-Timeout-Ms: ";
-    out += std::to_string(std::max(1L, std::lround(cls.timeout * 1000)));
-    if (c.call.tries > 1) out += "\r\nClient-Retry: 1";
+    out += std::to_string(std::max(1L, std::lround(load_class.timeout * 1000)));
+    if (c.call.attempts > 1) out += "\r\nClient-Retry: 1";
     if (!c.call.key.empty()) out.append("\r\nIdempotency-Key: ").append(c.call.key);
     if (!s.keep_alive) out += "\r\nConnection: close";
-    if (cls.effect != CallEffect::kSafe) {
-      out.append("\r\nContent-Length: ").append(std::to_string(cls.body_bytes));
+    if (load_class.effect != CallEffect::kSafe) {
+      out.append("\r\nContent-Length: ").append(std::to_string(load_class.body_bytes));
     }
     out += "\r\n\r\n";
-    if (cls.effect != CallEffect::kSafe && cls.body_bytes > 0) {
+    if (load_class.effect != CallEffect::kSafe && load_class.body_bytes > 0) {
       const std::size_t before = out.size();
       out += c.call.id;
-      out.resize(before + cls.body_bytes, 'x');
+      out.resize(before + load_class.body_bytes, 'x');
     }
     if (c.connected) write(c);
   }
 
   void write(Connection& c) {
-    if (c.put == 0 && c.call.first_byte_at == 0) c.call.first_byte_at = now();
-    while (c.put < c.out.size()) {
-      const ssize_t put = send(c.fd.get(), c.out.data() + c.put, c.out.size() - c.put, MSG_NOSIGNAL);
-      if (put < 0 && errno == EAGAIN) break;
-      if (put < 0) return broken(c, true);
-      c.put += static_cast<std::size_t>(put);
+    if (c.written == 0 && c.call.first_byte_at == 0) c.call.first_byte_at = now();
+    while (c.written < c.out.size()) {
+      const ssize_t written =
+          send(c.fd.get(), c.out.data() + c.written, c.out.size() - c.written, MSG_NOSIGNAL);
+      if (written < 0 && errno == EAGAIN) break;
+      if (written < 0) return on_connection_lost(c, true);
+      c.written += static_cast<std::size_t>(written);
     }
-    const bool wants = c.put < c.out.size();
+    const bool wants = c.written < c.out.size();
     if (wants != c.wants_out) {
       c.wants_out = wants;
       loop_.modify(c.fd.get(), EPOLLIN | EPOLLRDHUP | (wants ? static_cast<std::uint32_t>(EPOLLOUT) : 0U),
@@ -321,8 +325,8 @@
     if (wants) return;
     const double at = now();
     if (c.call.sent_at == 0) c.call.sent_at = at;
-    open_calls_[c.call.cls].push_back(
-        {c.call.sent_at + s.classes[c.call.cls].timeout + s.patience, c.id, c.serial});
+    pending_timeouts_[c.call.class_index].push_back(
+        {c.call.sent_at + s.classes[c.call.class_index].timeout + s.extra_wait, c.id, c.serial});
   }
 
   // ------------------------------------------------------------ what comes back
@@ -332,7 +336,7 @@
       int error = 0;
       socklen_t size = sizeof error;
       getsockopt(c.fd.get(), SOL_SOCKET, SO_ERROR, &error, &size);
-      if (error != 0 || (events & EPOLLOUT) == 0) return broken(c, true);
+      if (error != 0 || (events & EPOLLOUT) == 0) return on_connection_lost(c, true);
       c.connected = true;
       return write(c);
     }
@@ -346,7 +350,7 @@
   void read(Connection& c) {
     const ssize_t got = recv(c.fd.get(), scratch_.data(), scratch_.size(), 0);
     if (got < 0 && (errno == EAGAIN || errno == EINTR)) return;
-    if (got <= 0) return broken(c, got < 0);
+    if (got <= 0) return on_connection_lost(c, got < 0);
     if (!c.busy) {  // nobody has asked
       if (c.last_record != kNone) s.recorder->call(c.last_record, [](CallRecord& r) { r.more = true; });
       return drop(c);
@@ -380,7 +384,7 @@
     }
   }
 
-  void broken(Connection& c, bool reset) {
+  void on_connection_lost(Connection& c, bool reset) {
     if (!c.busy) return drop(c);
     if (!c.connected) return end(c, CallEnd::kNoConnect, 0);
     if (c.in_body && !reset) {
@@ -407,45 +411,46 @@
     const bool keep = how == CallEnd::kAnswered && !more && !c.close_after && s.keep_alive;
     c.busy = false;
     const Call call = std::move(c.call);
-    const bool own = how == CallEnd::kAnswered && c.body.start().find(call.id) != std::string::npos;
-    finish(&c, call, c.target, how, at, status, c.body.digest(), more, own);
+    const bool body_matches = how == CallEnd::kAnswered && c.body.start().find(call.id) != std::string::npos;
+    finish(&c, call, c.target, how, at, status, c.body.digest(), more, body_matches);
     if (!c.fd) return;
     if (!keep) {
       drop(c);
-      return again(how);
+      return continue_closed_loop(how);
     }
     c.used = true;
     c.in.clear();
     if (s.rate <= 0 && may_begin()) {
       idle_[c.target].push_back(c.id);
-      return begin(now());
+      return start_call(now());
     }
     idle_[c.target].push_back(c.id);
   }
 
   // The closed loop goes on.
-  void again(CallEnd how) {
+  void continue_closed_loop(CallEnd how) {
     if (s.rate > 0) return;
-    if (how != CallEnd::kNoConnect) return begin(now());
-    loop_.after(kPause, [this, alive = std::weak_ptr<int>(alive_)] {
-      if (!alive.expired()) begin(now());
+    if (how != CallEnd::kNoConnect) return start_call(now());
+    loop_.after(kReconnectDelay, [this, alive = std::weak_ptr<int>(alive_)] {
+      if (!alive.expired()) start_call(now());
     });
   }
 
   void finish(Connection* c, const Call& call, std::size_t target, CallEnd how, double at, int status,
-              std::uint64_t digest, bool more, bool own = false) {
-    const LoadClass& cls = s.classes[call.cls];
+              std::uint64_t digest, bool more, bool body_matches = false) {
+    const LoadClass& load_class = s.classes[call.class_index];
     if (call.counts) {
-      LoadCounts& counts = counts_[call.cls * s.tenants.size() + call.tenant];
+      LoadCounts& counts = counts_[call.class_index * s.tenants.size() + call.tenant_index];
       ++counts.calls;
       const double took = at - call.due;
       if (how == CallEnd::kNoConnect) {
         ++counts.unsent;
-      } else if (how == CallEnd::kTimedOut || at > call.sent_at + cls.timeout + 0.05) {
+      } else if (how == CallEnd::kTimedOut || at > call.sent_at + load_class.timeout + 0.05) {
         ++counts.timed_out;
-      } else if (how == CallEnd::kAnswered && status == 200 && own) {
+      } else if (how == CallEnd::kAnswered && status == 200 && body_matches) {
         ++counts.served;
-        if (took > (cls.aim > 0 ? cls.aim : cls.timeout)) ++counts.late;
+        if (took > (load_class.latency_target > 0 ? load_class.latency_target : load_class.timeout))
+          ++counts.late;
         counts.latency.add(took);
       } else if (how == CallEnd::kAnswered && (status == 429 || status == 503)) {
         ++counts.refused;
@@ -458,11 +463,11 @@
       r.node = s.targets[target].node;
       r.id = call.id;
       r.first_id = call.first_id;
-      r.born = call.born;
-      r.request_class = cls.name;
-      r.tenant = s.tenants[call.tenant].name;
+      r.born = call.first_due;
+      r.request_class = load_class.name;
+      r.tenant = s.tenants[call.tenant_index].name;
       r.key = call.key;
-      r.timeout = cls.timeout;
+      r.timeout = load_class.timeout;
       r.first_byte_at = call.first_byte_at;
       r.sent_at = call.sent_at;
       r.again_at = call.again_at;
@@ -475,57 +480,59 @@
       if (c != nullptr) c->last_record = record;
     }
     const bool refused = how == CallEnd::kAnswered && (status == 429 || status == 503);
-    const bool served = how == CallEnd::kAnswered && status == 200 && own;
-    const bool may = refused || how == CallEnd::kNoConnect || cls.effect != CallEffect::kUnsafe;
-    if (s.rate > 0 && !served && may && call.tries < s.tries && !stopped_) {
-      loop_.after(random_.gap(1 / s.retry_pause), [this, call, alive = std::weak_ptr<int>(alive_)]() mutable {
-        if (!alive.expired()) come_again(std::move(call));
-      });
+    const bool served = how == CallEnd::kAnswered && status == 200 && body_matches;
+    const bool may_retry = refused || how == CallEnd::kNoConnect || load_class.effect != CallEffect::kUnsafe;
+    if (s.rate > 0 && !served && may_retry && call.attempts < s.max_attempts && !stopped_) {
+      loop_.after(random_.exponential(1 / s.mean_retry_delay),
+                  [this, call, alive = std::weak_ptr<int>(alive_)]() mutable {
+                    if (!alive.expired()) retry(std::move(call));
+                  });
       return;  // its client is still there
     }
     --in_flight_;
-    if (c == nullptr) again(how);
-    end_if_over();
+    if (c == nullptr) continue_closed_loop(how);
+    finish_if_done();
   }
 
   // ------------------------------------------------------------ time
 
-  void look() {
+  void check_timeouts() {
     const double at = now();
-    for (std::deque<Waiting>& waiting : open_calls_) {
-      while (!waiting.empty() && waiting.front().until <= at) {
-        const Waiting due = waiting.front();
-        waiting.pop_front();
+    for (std::deque<PendingTimeout>& pending : pending_timeouts_) {
+      while (!pending.empty() && pending.front().until <= at) {
+        const PendingTimeout due = pending.front();
+        pending.pop_front();
         Connection* c = find(due.connection);
         if (c != nullptr && c->busy && c->serial == due.serial) end(*c, CallEnd::kTimedOut, 0);
       }
     }
     // Connections that never come up, and requests that are never taken.
-    if (at - last_slow_look_ > 0.1) {
-      last_slow_look_ = at;
+    if (at - last_slow_check_ > 0.1) {
+      last_slow_check_ = at;
       std::vector<Connection*> stuck;
       for (const auto& [id, c] : connections_) {
-        if (!c->busy || (c->connected && c->put == c->out.size())) continue;
-        if (at - std::max(c->call.due, c->call.sent_at) > s.classes[c->call.cls].timeout + s.patience)
+        if (!c->busy || (c->connected && c->written == c->out.size())) continue;
+        if (at - std::max(c->call.due, c->call.sent_at) >
+            s.classes[c->call.class_index].timeout + s.extra_wait)
           stuck.push_back(c.get());
       }
       for (Connection* c : stuck) {
         if (c->fd) end(*c, c->connected ? CallEnd::kTimedOut : CallEnd::kNoConnect, 0);
       }
     }
-    if (over_) return;
-    loop_.after(kLook, [this, alive = std::weak_ptr<int>(alive_)] {
-      if (!alive.expired()) look();
+    if (finished_) return;
+    loop_.after(kTimeoutCheckInterval, [this, alive = std::weak_ptr<int>(alive_)] {
+      if (!alive.expired()) check_timeouts();
     });
-    end_if_over();
+    finish_if_done();
   }
 
-  void end_if_over() {
-    if (!running_ || over_ || in_flight_ > 0 || may_begin()) return;
-    over_ = true;
-    ended_ = now();
+  void finish_if_done() {
+    if (!running_ || finished_ || in_flight_ > 0 || may_begin()) return;
+    finished_ = true;
+    ended_at_ = now();
     if (done_) done_();
-    if (on_over) on_over();
+    if (on_finished) on_finished();
   }
 
   Connection* find(std::uint64_t id) {
@@ -543,21 +550,21 @@
 
  public:
   const LoadSettings s;
-  std::function<void()> on_over;
+  std::function<void()> on_finished;
 
  private:
   Loop& loop_;
   Random random_;
   std::uint64_t prefix_ = 0;
   std::function<void()> done_;
-  double began_ = 0, ended_ = 0, next_at_ = 0, last_slow_look_ = 0;
-  bool running_ = false, stopped_ = false, over_ = false;
-  std::uint64_t last_id_ = 0, begun_ = 0, in_flight_ = 0, last_connection_ = 0;
+  double started_at_ = 0, ended_at_ = 0, next_at_ = 0, last_slow_check_ = 0;
+  bool running_ = false, stopped_ = false, finished_ = false;
+  std::uint64_t last_id_ = 0, started_calls_ = 0, in_flight_ = 0, last_connection_ = 0;
   std::size_t next_target_ = 0;
   std::vector<double> class_shares_, tenant_shares_;
-  std::vector<LoadCounts> counts_;                // by class and tenant
-  std::vector<std::deque<Waiting>> open_calls_;   // by class: their time-outs come in order
-  std::vector<std::vector<std::uint64_t>> idle_;  // by target
+  std::vector<LoadCounts> counts_;                            // by class and tenant
+  std::vector<std::deque<PendingTimeout>> pending_timeouts_;  // by class: their time-outs come in order
+  std::vector<std::vector<std::uint64_t>> idle_;              // by target
   std::unordered_map<std::uint64_t, std::unique_ptr<Connection>> connections_;
   std::array<char, 64 * 1024> scratch_{};
   std::shared_ptr<int> alive_ = std::make_shared<int>(0);
@@ -582,21 +589,21 @@
 void LoadClient::wait() {
   std::mutex mutex;
   std::condition_variable changed;
-  bool over = false;
+  bool finished = false;
   const auto set = [&] {
     const std::lock_guard lock(mutex);
-    over = true;
+    finished = true;
     changed.notify_one();
   };
   loop_.call([&] {
-    if (impl_->over()) {
+    if (impl_->finished()) {
       set();
     } else {
-      impl_->on_over = set;
+      impl_->on_finished = set;
     }
   });
   std::unique_lock lock(mutex);
-  changed.wait(lock, [&] { return over; });
+  changed.wait(lock, [&] { return finished; });
 }
 
 LoadResult LoadClient::result() const {
--- a/standins/callers/load.h
+++ b/standins/callers/load.h
@@ -21,7 +21,7 @@
   CallEffect effect = CallEffect::kSafe;
   double share = 1;            // of the calls, in proportion
   double timeout = 2;          // s, told to the node; the caller gives up then
-  double aim = 0;              // s; an answer after it is late; 0: the time-out
+  double latency_target = 0;   // s; an answer after it is late; 0: the time-out
   std::size_t body_bytes = 0;  // of a request, but for safe ones, which have no body
 };
 
@@ -30,10 +30,10 @@
   double share = 1;  // of the calls, in proportion
 };
 
-// A tenant that calls `times` as often as usual for a while.
+// A tenant that calls `factor` times as often as usual for a while.
 struct Flood {
   std::string tenant;
-  double times = 1, from = 0, until = 0;  // s after the start
+  double factor = 1, from = 0, until = 0;  // s after the start
 };
 
 struct LoadTarget {
@@ -49,15 +49,16 @@
   std::vector<Flood> floods;
   double rate = 0;           // calls/s with Poisson arrivals; 0: closed loop
   std::size_t callers = 16;  // of the closed loop: one connection each
-  std::size_t most = 4000;   // connections that the open loop may hold; calls beyond them are not sent
-  double seconds = 1;        // in which calls begin
-  double warm_up = 0;        // s at the start that do not count in the results
-  std::uint64_t calls = 0;   // calls in all; 0: no limit
-  bool keep_alive = true;    // else a connection for each call
-  int tries = 1;  // of the open loop's clients: they come again when refused or not connected, and where
-                  // the call may be repeated also when it fails or gets no answer
-  double retry_pause = 0.2;  // s in the mean before they do
-  double patience = 0;       // s that a caller waits beyond the time-out, to see what comes late
+  std::size_t max_connections =
+      4000;                 // connections that the open loop may hold; calls beyond them are not sent
+  double seconds = 1;       // in which calls begin
+  double warm_up = 0;       // s at the start that do not count in the results
+  std::uint64_t calls = 0;  // calls in all; 0: no limit
+  bool keep_alive = true;   // else a connection for each call
+  int max_attempts = 1;     // of the open loop's clients: they come again when refused or not connected, and
+                         // where the call may be repeated also when it fails or gets no answer
+  double mean_retry_delay = 0.2;  // s in the mean before they do
+  double extra_wait = 0;          // s that a caller waits beyond the time-out, to see what comes late
   std::string path = "/api";
   std::uint64_t seed = 1;
   Recorder* recorder = nullptr;  // null: nothing is recorded
--- a/standins/callers/load_main.cpp
+++ b/standins/callers/load_main.cpp
@@ -68,7 +68,7 @@
     } else if (name == "timeout") {
       out.timeout = number;
     } else if (name == "aim") {
-      out.aim = number;
+      out.latency_target = number;
     } else if (name == "body") {
       out.body_bytes = static_cast<std::size_t>(number);
     } else {
@@ -99,12 +99,12 @@
   }
   out.rate = options.number("rate", 0);
   out.callers = static_cast<std::size_t>(options.number("callers", 16));
-  out.most = static_cast<std::size_t>(options.number("most", 4000));
+  out.max_connections = static_cast<std::size_t>(options.number("most", 4000));
   out.seconds = options.number("seconds", 1);
   out.warm_up = options.number("warm-up", 0);
   out.calls = static_cast<std::uint64_t>(options.number("calls", 0));
   out.keep_alive = options.number("keep-alive", 1) != 0;
-  out.patience = options.number("patience", 0);
+  out.extra_wait = options.number("patience", 0);
   out.path = options.text("path", "/api");
   out.seed = static_cast<std::uint64_t>(options.number("seed", 1));
   return out;
--- a/standins/discovery/discovery.cpp
+++ b/standins/discovery/discovery.cpp
@@ -24,22 +24,23 @@
 namespace nettlestand::standins {
 namespace {
 
-using Dial = std::function<std::string(const Listing&)>;
+using AddressMapping = std::function<std::string(const ServerEntry&)>;
 
-std::string json_of(const Listing& s, const Dial& dial) {
+std::string json_of(const ServerEntry& s, const AddressMapping& address_mapping) {
   std::array<char, 32> share{};
   std::snprintf(share.data(), share.size(), "%.6g", s.share);
-  return R"({"host":")" + s.host + R"(","dial":")" + dial(s) + R"(","site":")" + s.site + R"(","class":")" +
-         s.kind + R"(","block":)" + std::to_string(s.block) + R"(,"health":")" + s.health + R"(","share":)" +
-         share.data() + R"(,"born_ms":)" + std::to_string(s.born_ms) + "}";
+  return R"({"host":")" + s.host + R"(","dial":")" + address_mapping(s) + R"(","site":")" + s.site +
+         R"(","class":")" + s.kind + R"(","block":)" + std::to_string(s.block) + R"(,"health":")" + s.health +
+         R"(","share":)" + share.data() + R"(,"born_ms":)" + std::to_string(s.born_ms) + "}";
 }
 
-std::string json_of(std::uint64_t seq, bool whole, const std::vector<Listing>& servers, const Dial& dial) {
+std::string json_of(std::uint64_t seq, bool whole, const std::vector<ServerEntry>& servers,
+                    const AddressMapping& address_mapping) {
   std::string out =
       R"({"seq":)" + std::to_string(seq) + R"(,"whole":)" + (whole ? "true" : "false") + R"(,"hosts":[)";
-  for (const Listing& s : servers) {
+  for (const ServerEntry& s : servers) {
     if (out.back() != '[') out += ',';
-    out += json_of(s, dial);
+    out += json_of(s, address_mapping);
   }
   return out + "]}";
 }
@@ -54,8 +55,9 @@
 
 class ScriptedDiscovery::Impl {
  public:
-  Impl(Loop& loop, Recorder* recorder, double period) : loop_(loop), recorder_(recorder), period_(period) {
-    beat();
+  Impl(Loop& loop, Recorder* recorder, double heartbeat_interval)
+      : loop_(loop), recorder_(recorder), heartbeat_interval_(heartbeat_interval) {
+    send_heartbeats();
   }
   ~Impl() {
     for (auto& [node, e] : endpoints_) {
@@ -69,16 +71,16 @@
     if (!e) {
       e = std::make_unique<Endpoint>(*this, node);
       e->ip = ip;
-      e->place = listen_on(Address{ip, fixed}, -1);
-      e->port = port_of(e->place.get());
-      follow_mode(*e);
+      e->port_holder = listen_on(Address{ip, fixed}, -1);
+      e->port = port_of(e->port_holder.get());
+      apply_mode(*e);
     }
     return e->port;
   }
 
-  void set(const std::vector<Listing>& servers) {
+  void update(const std::vector<ServerEntry>& servers) {
     ++seq_;
-    for (const Listing& s : servers) {
+    for (const ServerEntry& s : servers) {
       if (s.health != "active" && s.health != "leaving" && s.health != "left") {
         throw std::invalid_argument("'" + s.health + "' is no state of a server");
       }
@@ -94,51 +96,52 @@
     for (const auto& [id, c] : connections_) {
       if (c->watching) watching.push_back(c.get());
     }
-    for (Connection* c : watching) tell(*c, json_of(seq_, false, servers, dial_of(*c)) + "\n", servers);
+    for (Connection* c : watching)
+      send_changes(*c, json_of(seq_, false, servers, mapping_for(*c)) + "\n", servers);
   }
 
-  void state(const std::string& host, const std::string& health) {
+  void set_health(const std::string& host, const std::string& health) {
     const auto it = servers_.find(host);
     if (it == servers_.end()) throw std::invalid_argument("no server '" + host + "'");
-    Listing changed = it->second;
+    ServerEntry changed = it->second;
     changed.health = health;
-    set({changed});
+    update({changed});
   }
 
-  void forget(const std::string& host) {
+  void remove_silently(const std::string& host) {
     ++seq_;
     servers_.erase(host);
     history_.erase(host);
     oldest_ = seq_;  // what changed since before can't be told any more
   }
 
-  std::vector<Listing> list() const {
-    std::vector<Listing> out;
+  std::vector<ServerEntry> list() const {
+    std::vector<ServerEntry> out;
     for (const auto& [host, s] : servers_) out.push_back(s);
     return out;
   }
 
-  void mode(Mode mode) {
+  void set_mode(Mode mode) {
     mode_ = mode;
-    for (auto& [node, e] : endpoints_) follow_mode(*e);
+    for (auto& [node, e] : endpoints_) apply_mode(*e);
     if (mode != Mode::kRefuse && mode != Mode::kUnavailable) return;
     while (!connections_.empty()) close(*connections_.begin()->second);
   }
 
-  std::size_t watches() const {
+  std::size_t open_watches() const {
     return static_cast<std::size_t>(std::count_if(connections_.begin(), connections_.end(),
                                                   [](const auto& entry) { return entry.second->watching; }));
   }
 
-  std::function<std::string(const std::string&, const Listing&)> dial;
-  double lag = 0;
-  std::uint64_t asked = 0;
+  std::function<std::string(const std::string&, const ServerEntry&)> address_mapping;
+  double delay = 0;
+  std::uint64_t request_count = 0;
 
  private:
   template <class C>
-  Dial dial_of(const C& c) const {
-    return [this, &c](const Listing& s) {
-      return dial ? dial(c.at.node, s) : "127.0.0.1:" + std::to_string(s.port);
+  AddressMapping mapping_for(const C& c) const {
+    return [this, &c](const ServerEntry& s) {
+      return address_mapping ? address_mapping(c.endpoint.node, s) : "127.0.0.1:" + std::to_string(s.port);
     };
   }
   struct Endpoint : Watcher {
@@ -146,15 +149,15 @@
     void ready(std::uint32_t) override { owner.accept(*this); }
     Impl& owner;
     std::string node;
-    Fd place, listener;
+    Fd port_holder, listener;
     std::string ip;
     int port = 0;
     bool listening = false;
     std::set<std::string> known;  // the servers that it was told of
   };
   struct Connection : Watcher {
-    Connection(Impl& owner, Fd fd, Endpoint& at, std::uint64_t id)
-        : owner(owner), fd(std::move(fd)), at(at), id(id) {}
+    Connection(Impl& owner, Fd fd, Endpoint& endpoint, std::uint64_t id)
+        : owner(owner), fd(std::move(fd)), endpoint(endpoint), id(id) {}
     void ready(std::uint32_t events) override {
       if (!fd) return;
       if ((events & EPOLLOUT) != 0) owner.flush(*this);
@@ -162,15 +165,15 @@
     }
     Impl& owner;
     Fd fd;
-    Endpoint& at;
+    Endpoint& endpoint;
     const std::uint64_t id;
     std::string in, out;
-    std::uint64_t put = 0, queued = 0;                          // bytes so far
-    std::deque<std::pair<std::uint64_t, std::size_t>> pending;  // told once `put` is there: record
+    std::uint64_t written = 0, queued = 0;                      // bytes so far
+    std::deque<std::pair<std::uint64_t, std::size_t>> pending;  // told once `written` is there: record
     bool watching = false;
   };
 
-  void follow_mode(Endpoint& e) {
+  void apply_mode(Endpoint& e) {
     const bool wanted = mode_ != Mode::kRefuse;
     if (wanted == e.listening) return;
     if (wanted) {
@@ -189,7 +192,7 @@
       if (!fd) return;
       const int on = 1;
       setsockopt(fd.get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-      auto made = std::make_unique<Connection>(*this, std::move(fd), e, ++last_);
+      auto made = std::make_unique<Connection>(*this, std::move(fd), e, ++last_connection_);
       loop_.add(made->fd.get(), EPOLLIN | EPOLLRDHUP, made.get());
       connections_.emplace(made->id, std::move(made));
     }
@@ -224,7 +227,7 @@
   }
 
   void answer(Connection& c, const std::string& target) {
-    ++asked;
+    ++request_count;
     if (mode_ == Mode::kUnavailable) {
       write(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n", {});
       return close(c);
@@ -233,34 +236,36 @@
       return write(c, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n", {});
     }
     if (target.find("stream=1") == std::string::npos) {
-      const std::string body = json_of(seq_, true, list(), dial_of(c)) + "\n";
-      return later(c, "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body,
-                   whole_told(c.at));
+      const std::string body = json_of(seq_, true, list(), mapping_for(c)) + "\n";
+      return write_delayed(
+          c, "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body,
+          full_list_changes(c.endpoint));
     }
     write(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", {});
     if (!c.fd) return;
     c.watching = true;
     std::uint64_t since = 0;
     const std::size_t index = target.find("index=");
-    const bool asked_since =
+    const bool resumes =
         index != std::string::npos &&
         std::from_chars(target.data() + index + 6, target.data() + target.size(), since).ec == std::errc() &&
         since >= oldest_ && since <= seq_;
-    if (!asked_since)
-      return later(c, chunk_of(json_of(seq_, true, list(), dial_of(c)) + "\n"), whole_told(c.at));
-    std::vector<Listing> changed;
+    if (!resumes)
+      return write_delayed(c, chunk_of(json_of(seq_, true, list(), mapping_for(c)) + "\n"),
+                           full_list_changes(c.endpoint));
+    std::vector<ServerEntry> changed;
     for (const auto& [host, entry] : history_) {
       if (entry.first > since) changed.push_back(entry.second);
     }
-    if (!changed.empty()) tell(c, json_of(seq_, false, changed, dial_of(c)) + "\n", changed);
+    if (!changed.empty()) send_changes(c, json_of(seq_, false, changed, mapping_for(c)) + "\n", changed);
   }
 
   // A whole list tells of all that it holds, and that what it lacks is gone.
-  std::vector<Listing> whole_told(const Endpoint& e) const {
-    std::vector<Listing> out = list();
+  std::vector<ServerEntry> full_list_changes(const Endpoint& e) const {
+    std::vector<ServerEntry> out = list();
     for (const std::string& host : e.known) {
       if (servers_.contains(host)) continue;
-      Listing gone;
+      ServerEntry gone;
       gone.host = host;
       gone.health = "left";
       out.push_back(gone);
@@ -268,29 +273,29 @@
     return out;
   }
 
-  void tell(Connection& c, const std::string& line, const std::vector<Listing>& servers) {
-    later(c, chunk_of(line), servers);
+  void send_changes(Connection& c, const std::string& line, const std::vector<ServerEntry>& servers) {
+    write_delayed(c, chunk_of(line), servers);
   }
 
-  void later(Connection& c, const std::string& bytes, const std::vector<Listing>& servers) {
+  void write_delayed(Connection& c, const std::string& bytes, const std::vector<ServerEntry>& servers) {
     std::vector<std::size_t> records;
-    for (const Listing& s : servers) {
-      c.at.known.insert(s.host);
+    for (const ServerEntry& s : servers) {
+      c.endpoint.known.insert(s.host);
       if (recorder_ == nullptr) continue;
-      records.push_back(recorder_->open(ToldRecord{c.at.node, s.host, s.health, now(), 0}));
+      records.push_back(recorder_->open(ToldRecord{c.endpoint.node, s.host, s.health, now(), 0}));
     }
-    if (lag <= 0 && mode_ != Mode::kSilent) return write(c, bytes, records);
-    wait(c.id, now() + lag, bytes, records);
+    if (delay <= 0 && mode_ != Mode::kSilent) return write(c, bytes, records);
+    write_at(c.id, now() + delay, bytes, records);
   }
 
   // In order: what comes later is not written before.
-  void wait(std::uint64_t id, double until, const std::string& bytes,
-            const std::vector<std::size_t>& records) {
+  void write_at(std::uint64_t id, double until, const std::string& bytes,
+                const std::vector<std::size_t>& records) {
     loop_.at(until, [this, alive = std::weak_ptr<int>(alive_), id, bytes, records] {
       if (alive.expired()) return;
       const auto it = connections_.find(id);
       if (it == connections_.end()) return;
-      if (mode_ == Mode::kSilent) return wait(id, now() + 0.05, bytes, records);
+      if (mode_ == Mode::kSilent) return write_at(id, now() + 0.05, bytes, records);
       write(*it->second, bytes, records);
     });
   }
@@ -304,13 +309,13 @@
 
   void flush(Connection& c) {
     while (!c.out.empty()) {
-      const ssize_t put = send(c.fd.get(), c.out.data(), c.out.size(), MSG_NOSIGNAL);
-      if (put < 0 && errno != EAGAIN) return close(c);
-      if (put < 0) break;
-      c.out.erase(0, static_cast<std::size_t>(put));
-      c.put += static_cast<std::uint64_t>(put);
+      const ssize_t written = send(c.fd.get(), c.out.data(), c.out.size(), MSG_NOSIGNAL);
+      if (written < 0 && errno != EAGAIN) return close(c);
+      if (written < 0) break;
+      c.out.erase(0, static_cast<std::size_t>(written));
+      c.written += static_cast<std::uint64_t>(written);
     }
-    while (!c.pending.empty() && c.pending.front().first <= c.put) {
+    while (!c.pending.empty() && c.pending.front().first <= c.written) {
       recorder_->told(c.pending.front().second, [](ToldRecord& r) { r.told_at = now(); });
       c.pending.pop_front();
     }
@@ -318,8 +323,8 @@
                  EPOLLIN | EPOLLRDHUP | (c.out.empty() ? 0U : static_cast<std::uint32_t>(EPOLLOUT)), &c);
   }
 
-  void beat() {
-    loop_.after(period_, [this, alive = std::weak_ptr<int>(alive_)] {
+  void send_heartbeats() {
+    loop_.after(heartbeat_interval_, [this, alive = std::weak_ptr<int>(alive_)] {
       if (alive.expired()) return;
       if (mode_ == Mode::kUp) {
         std::vector<std::uint64_t> ids;
@@ -331,24 +336,25 @@
             write(*it->second, chunk_of("\n"), {});
         }
       }
-      beat();
+      send_heartbeats();
     });
   }
 
   Loop& loop_;
   Recorder* recorder_;
-  const double period_;
+  const double heartbeat_interval_;
   Mode mode_ = Mode::kUp;
-  std::uint64_t seq_ = 1, oldest_ = 1, last_ = 0;
-  std::map<std::string, Listing> servers_;
-  std::map<std::string, std::pair<std::uint64_t, Listing>> history_;  // the last change of each
+  std::uint64_t seq_ = 1, oldest_ = 1, last_connection_ = 0;
+  std::map<std::string, ServerEntry> servers_;
+  std::map<std::string, std::pair<std::uint64_t, ServerEntry>> history_;  // the last change of each
   std::map<std::string, std::unique_ptr<Endpoint>> endpoints_;
   std::unordered_map<std::uint64_t, std::unique_ptr<Connection>> connections_;
   std::shared_ptr<int> alive_ = std::make_shared<int>(0);
 };
 
-ScriptedDiscovery::ScriptedDiscovery(Loop& loop, Recorder* recorder, double period) : loop_(loop) {
-  loop_.call([&] { impl_ = std::make_unique<Impl>(loop, recorder, period); });
+ScriptedDiscovery::ScriptedDiscovery(Loop& loop, Recorder* recorder, double heartbeat_interval)
+    : loop_(loop) {
+  loop_.call([&] { impl_ = std::make_unique<Impl>(loop, recorder, heartbeat_interval); });
 }
 
 ScriptedDiscovery::~ScriptedDiscovery() {
@@ -361,47 +367,48 @@
   return out;
 }
 
-void ScriptedDiscovery::dial_by(std::function<std::string(const std::string&, const Listing&)> dial) {
-  loop_.call([&] { impl_->dial = std::move(dial); });
+void ScriptedDiscovery::set_address_mapping(
+    std::function<std::string(const std::string&, const ServerEntry&)> address_mapping) {
+  loop_.call([&] { impl_->address_mapping = std::move(address_mapping); });
 }
 
-void ScriptedDiscovery::set(const Listing& server) { set(std::vector{server}); }
+void ScriptedDiscovery::update(const ServerEntry& server) { update(std::vector{server}); }
 
-void ScriptedDiscovery::set(const std::vector<Listing>& servers) {
-  loop_.call([&] { impl_->set(servers); });
+void ScriptedDiscovery::update(const std::vector<ServerEntry>& servers) {
+  loop_.call([&] { impl_->update(servers); });
 }
 
-void ScriptedDiscovery::state(const std::string& host, const std::string& health) {
-  loop_.call([&] { impl_->state(host, health); });
+void ScriptedDiscovery::set_health(const std::string& host, const std::string& health) {
+  loop_.call([&] { impl_->set_health(host, health); });
 }
 
-void ScriptedDiscovery::forget(const std::string& host) {
-  loop_.call([&] { impl_->forget(host); });
+void ScriptedDiscovery::remove_silently(const std::string& host) {
+  loop_.call([&] { impl_->remove_silently(host); });
 }
 
-std::vector<Listing> ScriptedDiscovery::list() const {
-  std::vector<Listing> out;
+std::vector<ServerEntry> ScriptedDiscovery::list() const {
+  std::vector<ServerEntry> out;
   loop_.call([&] { out = impl_->list(); });
   return out;
 }
 
-void ScriptedDiscovery::mode(Mode mode) {
-  loop_.call([&] { impl_->mode(mode); });
+void ScriptedDiscovery::set_mode(Mode mode) {
+  loop_.call([&] { impl_->set_mode(mode); });
 }
 
-void ScriptedDiscovery::lag(double seconds) {
-  loop_.call([&] { impl_->lag = seconds; });
+void ScriptedDiscovery::set_delay(double seconds) {
+  loop_.call([&] { impl_->delay = seconds; });
 }
 
-std::size_t ScriptedDiscovery::watches() const {
+std::size_t ScriptedDiscovery::open_watches() const {
   std::size_t out = 0;
-  loop_.call([&] { out = impl_->watches(); });
+  loop_.call([&] { out = impl_->open_watches(); });
   return out;
 }
 
-std::uint64_t ScriptedDiscovery::asked() const {
+std::uint64_t ScriptedDiscovery::request_count() const {
   std::uint64_t out = 0;
-  loop_.call([&] { out = impl_->asked; });
+  loop_.call([&] { out = impl_->request_count; });
   return out;
 }
 
--- a/standins/discovery/discovery.h
+++ b/standins/discovery/discovery.h
@@ -13,7 +13,7 @@
 namespace nettlestand::standins {
 
 // A server as discovery lists it.
-struct Listing {
+struct ServerEntry {
   std::string host;
   int port = 0;  // on 127.0.0.1
   std::string site = "a", kind = "m";
@@ -36,8 +36,8 @@
     kSilent        // connections are accepted, and nothing is written on any
   };
 
-  // `period`: s between the empty lines of a watch.
-  explicit ScriptedDiscovery(Loop& loop, Recorder* recorder = nullptr, double period = 2);
+  // `heartbeat_interval`: s between the empty lines of a watch.
+  explicit ScriptedDiscovery(Loop& loop, Recorder* recorder = nullptr, double heartbeat_interval = 2);
   ~ScriptedDiscovery();
   ScriptedDiscovery(const ScriptedDiscovery&) = delete;
   ScriptedDiscovery& operator=(const ScriptedDiscovery&) = delete;
@@ -46,21 +46,22 @@
   // kernel gives one.
   int endpoint(const std::string& node, int fixed = 0, const std::string& ip = "127.0.0.1");
   // How a node reaches a server, where that differs from 127.0.0.1 and the server's port. Called on the loop.
-  void dial_by(std::function<std::string(const std::string& node, const Listing& server)> dial);
+  void set_address_mapping(
+      std::function<std::string(const std::string& node, const ServerEntry& server)> dial);
 
   // Adds a server, or changes it: watches are told. One that is `left` goes from the list.
-  void set(const Listing& server);
-  void set(const std::vector<Listing>& servers);  // in one change
-  void state(const std::string& host, const std::string& health);
+  void update(const ServerEntry& server);
+  void update(const std::vector<ServerEntry>& servers);  // in one change
+  void set_health(const std::string& host, const std::string& health);
   // Takes a server off the list with no word to the watches; whole lists lack it from now on.
-  void forget(const std::string& host);
-  std::vector<Listing> list() const;
+  void remove_silently(const std::string& host);
+  std::vector<ServerEntry> list() const;
 
-  void mode(Mode mode);
+  void set_mode(Mode mode);
   // Changes, and whole lists, are written so many seconds late from now on.
-  void lag(double seconds);
-  std::size_t watches() const;  // open now
-  std::uint64_t asked() const;  // calls so far
+  void set_delay(double seconds);
+  std::size_t open_watches() const;     // open now
+  std::uint64_t request_count() const;  // calls so far
 
  private:
   class Impl;
--- a/standins/discovery/discovery_main.cpp
+++ b/standins/discovery/discovery_main.cpp
@@ -33,8 +33,8 @@
 It goes on when its input ends, until SIGTERM or SIGINT.
 )";
 
-si::Listing read_server(const std::string& text) {
-  si::Listing out;
+si::ServerEntry read_server(const std::string& text) {
+  si::ServerEntry out;
   const std::vector<std::string> parts = si::Options::split(text, ',');
   for (std::size_t i = 0; i < parts.size(); ++i) {
     const std::vector<std::string> pair = si::Options::split(parts[i], '=');
@@ -60,30 +60,30 @@
   return out;
 }
 
-void obey(si::ScriptedDiscovery& discovery, const std::string& line) {
+void run_command(si::ScriptedDiscovery& discovery, const std::string& line) {
   std::istringstream in(line);
   std::string command, argument;
   in >> command >> argument;
   using Mode = si::ScriptedDiscovery::Mode;
   if (command.empty()) return;
   if (command == "server") {
-    discovery.set(read_server(argument));
+    discovery.update(read_server(argument));
   } else if (command == "active" || command == "leaving" || command == "left") {
-    discovery.state(argument, command);
+    discovery.set_health(argument, command);
   } else if (command == "forget") {
-    discovery.forget(argument);
+    discovery.remove_silently(argument);
   } else if (command == "up") {
-    discovery.mode(Mode::kUp);
+    discovery.set_mode(Mode::kUp);
   } else if (command == "refuse") {
-    discovery.mode(Mode::kRefuse);
+    discovery.set_mode(Mode::kRefuse);
   } else if (command == "unavailable") {
-    discovery.mode(Mode::kUnavailable);
+    discovery.set_mode(Mode::kUnavailable);
   } else if (command == "silent") {
-    discovery.mode(Mode::kSilent);
+    discovery.set_mode(Mode::kSilent);
   } else if (command == "lag") {
-    discovery.lag(si::Options::to_number(argument, "lag"));
+    discovery.set_delay(si::Options::to_number(argument, "lag"));
   } else if (command == "list") {
-    for (const si::Listing& s : discovery.list()) {
+    for (const si::ServerEntry& s : discovery.list()) {
       std::printf("%s 127.0.0.1:%d %s\n", s.host.c_str(), s.port, s.health.c_str());
     }
   } else {
@@ -100,16 +100,16 @@
   pthread_sigmask(SIG_BLOCK, &ends, nullptr);
   si::LoopThread loop;
   si::ScriptedDiscovery discovery(loop.loop(), nullptr, options.number("period", 2));
-  std::vector<si::Listing> servers;
+  std::vector<si::ServerEntry> servers;
   for (const std::string& one : options.all("server")) servers.push_back(read_server(one));
-  if (!servers.empty()) discovery.set(servers);
+  if (!servers.empty()) discovery.update(servers);
   std::printf("listening on 127.0.0.1:%d\n", discovery.endpoint("any", options.whole("port", 0)));
   std::fflush(stdout);
   // A thread of its own: reading must not keep the signal out.
   std::thread([&discovery] {
     for (std::string line; std::getline(std::cin, line);) {
       try {
-        obey(discovery, line);
+        run_command(discovery, line);
       } catch (const std::exception& problem) {
         std::fprintf(stderr, "%s\n", problem.what());
       }
--- a/standins/links/way.cpp
+++ b/standins/links/link_model.cpp
@@ -1,12 +1,12 @@
-#include "standins/links/way.h"
+#include "standins/links/link_model.h"
 
 #include <algorithm>
 
 namespace nettlestand::standins {
 
-WayFaults join(const WayFaults& a, const WayFaults& b) {
+LinkFaults combine(const LinkFaults& a, const LinkFaults& b) {
   const auto either = [](double x, double y) { return 1 - (1 - x) * (1 - y); };
-  WayFaults out;
+  LinkFaults out;
   out.cut = a.cut || b.cut;
   out.loss = either(a.loss, b.loss);
   out.burst = std::max(a.burst, b.burst);
@@ -23,52 +23,52 @@
 
 // Two states, of which one loses all: left after `burst` messages in the mean, and entered as often as makes
 // `loss` of all.
-bool Way::lost() {
+bool LinkModel::draw_loss() {
   if (faults_.loss <= 0) return in_burst_ = false;
   if (faults_.loss >= 1) return true;
-  if (faults_.burst <= 1) return unit() < faults_.loss;
+  if (faults_.burst <= 1) return uniform() < faults_.loss;
   const double leave = 1 / faults_.burst;
   const double enter = std::min(1.0, leave * faults_.loss / (1 - faults_.loss));
-  in_burst_ = in_burst_ ? unit() >= leave : unit() < enter;
+  in_burst_ = in_burst_ ? uniform() >= leave : uniform() < enter;
   return in_burst_;
 }
 
 // When its last byte is through a narrow band.
-double Way::queued(double now, std::size_t bytes) {
+double LinkModel::transmitted_at(double now, std::size_t bytes) {
   if (faults_.bandwidth <= 0) return now;
-  free_at_ = std::max(free_at_, now) + static_cast<double>(bytes) / faults_.bandwidth;
-  return free_at_;
+  link_free_at_ = std::max(link_free_at_, now) + static_cast<double>(bytes) / faults_.bandwidth;
+  return link_free_at_;
 }
 
-std::vector<Way::Delivery> Way::datagram(double now, std::size_t bytes) {
+std::vector<LinkModel::Delivery> LinkModel::datagram_arrivals(double now, std::size_t bytes) {
   std::vector<Delivery> out;
-  if (faults_.cut || lost()) return out;
-  const std::size_t copies = faults_.duplicate > 0 && unit() < faults_.duplicate ? 2 : 1;
+  if (faults_.cut || draw_loss()) return out;
+  const std::size_t copies = faults_.duplicate > 0 && uniform() < faults_.duplicate ? 2 : 1;
   for (std::size_t i = 0; i < copies; ++i) {
-    Delivery one{queued(now, bytes) + faults_.delay, false};
-    if (faults_.jitter > 0) one.at += faults_.jitter * unit();
+    Delivery one{transmitted_at(now, bytes) + faults_.delay, false};
+    if (faults_.jitter > 0) one.at += faults_.jitter * uniform();
     // Held back by as much again as the way takes, and 2 ms at least, so that on a quick way too others pass.
-    if (faults_.reorder > 0 && unit() < faults_.reorder) {
-      one.at += (1 + unit()) * std::max(0.002, faults_.delay + faults_.jitter);
+    if (faults_.reorder > 0 && uniform() < faults_.reorder) {
+      one.at += (1 + uniform()) * std::max(0.002, faults_.delay + faults_.jitter);
     }
-    one.corrupt = faults_.corrupt > 0 && unit() < faults_.corrupt;
+    one.corrupt = faults_.corrupt > 0 && uniform() < faults_.corrupt;
     out.push_back(one);
   }
   return out;
 }
 
-double Way::piece(double now, std::size_t bytes, double last) {
+double LinkModel::stream_arrival(double now, std::size_t bytes, double last) {
   if (faults_.cut || faults_.loss >= 1) return kNever;
-  double at = queued(now, bytes) + faults_.delay;
-  if (faults_.jitter > 0) at += faults_.jitter * unit();
-  for (double wait = kResend; lost(); wait *= 2) at += wait;
+  double at = transmitted_at(now, bytes) + faults_.delay;
+  if (faults_.jitter > 0) at += faults_.jitter * uniform();
+  for (double wait = kRetransmitTimeout; draw_loss(); wait *= 2) at += wait;
   return std::max(at, last);
 }
 
-double Way::handshake() {
+double LinkModel::handshake_time() {
   if (faults_.cut || faults_.loss >= 1) return kNever;
   double took = faults_.delay;
-  for (double wait = kFirstResend; lost(); wait *= 2) took += wait;
+  for (double wait = kSynRetransmitTimeout; draw_loss(); wait *= 2) took += wait;
   return took;
 }
 
--- a/standins/links/listening.cpp
+++ b/standins/links/listen_probe.cpp
@@ -1,4 +1,4 @@
-#include "standins/links/listening.h"
+#include "standins/links/listen_probe.h"
 
 #include <arpa/inet.h>
 #include <linux/inet_diag.h>
@@ -15,7 +15,7 @@
 
 ListenProbe::ListenProbe() : netlink_(socket(AF_NETLINK, SOCK_RAW | SOCK_CLOEXEC, NETLINK_SOCK_DIAG)) {}
 
-Listening ListenProbe::look(const Address& at) {
+ListenState ListenProbe::query(const Address& at) {
   struct {
     nlmsghdr head;
     inet_diag_req_v2 ask;
@@ -31,18 +31,18 @@
   inet_pton(AF_INET, at.ip.c_str(), &ip);
   out.ask.id.idiag_src[0] = ip.s_addr;
   out.ask.id.idiag_cookie[0] = out.ask.id.idiag_cookie[1] = INET_DIAG_NOCOOKIE;
-  if (!netlink_ || send(netlink_.get(), &out, sizeof out, 0) != sizeof out) return Listening::kYes;
+  if (!netlink_ || send(netlink_.get(), &out, sizeof out, 0) != sizeof out) return ListenState::kListening;
   alignas(nlmsghdr) std::array<char, 8192> in{};
   const ssize_t got = recv(netlink_.get(), in.data(), in.size(), 0);
-  if (got < static_cast<ssize_t>(sizeof(nlmsghdr))) return Listening::kYes;
+  if (got < static_cast<ssize_t>(sizeof(nlmsghdr))) return ListenState::kListening;
   const auto* head = reinterpret_cast<const nlmsghdr*>(in.data());
   if (head->nlmsg_type == NLMSG_ERROR) {
     const auto* error = static_cast<const nlmsgerr*>(NLMSG_DATA(head));
-    return error->error == -ENOENT ? Listening::kNobody : Listening::kYes;
+    return error->error == -ENOENT ? ListenState::kNotListening : ListenState::kListening;
   }
   const auto* told = static_cast<const inet_diag_msg*>(NLMSG_DATA(head));
-  if (told->idiag_state != TCP_LISTEN) return Listening::kNobody;
-  return told->idiag_rqueue > told->idiag_wqueue ? Listening::kFull : Listening::kYes;
+  if (told->idiag_state != TCP_LISTEN) return ListenState::kNotListening;
+  return told->idiag_rqueue > told->idiag_wqueue ? ListenState::kQueueFull : ListenState::kListening;
 }
 
 }  // namespace nettlestand::standins
--- a/standins/links/listening.h
+++ b/standins/links/listen_probe.h
@@ -6,14 +6,14 @@
 
 namespace nettlestand::standins {
 
-enum class Listening { kNobody, kYes, kFull };
+enum class ListenState { kNotListening, kListening, kQueueFull };
 
 // Not for two threads at once.
 class ListenProbe {
  public:
   ListenProbe();
-  // kYes where the kernel does not tell.
-  Listening look(const Address& at);
+  // kListening where the kernel does not tell.
+  ListenState query(const Address& at);
 
  private:
   Fd netlink_;
--- a/standins/links/network.h
+++ b/standins/links/network.h
@@ -26,7 +26,7 @@
 #include <vector>
 
 #include "standins/common/loop.h"
-#include "standins/links/way.h"
+#include "standins/links/link_model.h"
 
 namespace nettlestand::standins {
 
@@ -38,7 +38,7 @@
                   resets = 0;  // TCP: came up; a far side that refused; RSTs passed on
     std::uint64_t bytes = 0;   // passed on, of streams
     std::uint64_t sent = 0, arrived = 0, corrupted = 0;  // datagrams
-    std::uint64_t strangers = 0;                         // datagrams from elsewhere: dropped
+    std::uint64_t unknown_senders = 0;                   // datagrams from elsewhere: dropped
   };
 
   // Throws std::runtime_error where no part of the loopback network is free.
@@ -48,10 +48,10 @@
   Network& operator=(const Network&) = delete;
 
   // A further machine, numbered from 1; 250 at most (std::length_error).
-  int machine();
+  int add_machine();
   std::string ip(int machine) const;
   // The address by which `from` reaches `to`: as the source of what comes from there, too.
-  std::string way(int from, int to) const;
+  std::string link_ip(int from, int to) const;
 
   // How `from` reaches what listens at a port of `to`. Twice the same: the same. The port at the way's
   // address is the same as there.
@@ -59,26 +59,26 @@
   // Datagrams between a socket of each, both ways. Returns how `a` reaches `b`.
   Address udp(int a, int a_port, int b, int b_port);
   // An address to which `from` sends what all that udp() has tied to its socket get.
-  Address udp_all(int from, int from_port);
+  Address udp_broadcast(int from, int from_port);
 
   // A fault of the way from one to the other, until end(). Several at once go together.
-  std::uint64_t begin(int from, int to, const WayFaults& faults);
+  std::uint64_t begin(int from, int to, const LinkFaults& faults);
   void end(std::uint64_t fault);
   // Resets all connections between the two, at both ends.
   void reset(int a, int b);
   // `gone` forgets all its connections with `other`, which learns of it when it next sends.
   void half_open(int gone, int other);
   // Asks again, at once, who listens: for a test that has just ended a process.
-  void look();
+  void refresh_listeners();
 
   Counts counts(int from, int to) const;
 
   // Bytes of streams that came to the far side well after they were sent, as a cut way held them back.
-  struct Held {
+  struct DelayedBytes {
     int source_port = 0;             // as the far side sees it
     double sent = 0, delivered = 0;  // s
   };
-  std::vector<Held> held() const;
+  std::vector<DelayedBytes> delayed_bytes() const;
 
  private:
   class Impl;
--- a/standins/relay/main.cpp
+++ b/standins/relay/main.cpp
@@ -38,28 +38,28 @@
   std::vector<std::unique_ptr<class Upstream>> idle;
 };
 
-struct Relay {
-  explicit Relay(asio::io_context& io) : poller(io) {}
+struct RelayState {
+  explicit RelayState(asio::io_context& io) : poller(io) {}
   ns::Poller poller;
   std::vector<Server> servers;
-  std::size_t turn = 0;
+  std::size_t next_server = 0;
   std::array<char, 64 * 1024> scratch{};
-  std::vector<std::unique_ptr<class Upstream>> over;    // ended within a batch of events
-  std::vector<std::unique_ptr<class Downstream>> gone;  // the same
+  std::vector<std::unique_ptr<class Upstream>> closed_upstreams;      // ended within a batch of events
+  std::vector<std::unique_ptr<class Downstream>> closed_downstreams;  // the same
 };
 
 // A socket with what is left to write, and one message read at a time.
 template <bool kRequest>
-class Peer : public ns::Poller::Watcher {
+class HttpSocket : public ns::Poller::Watcher {
  public:
-  explicit Peer(Relay& relay) : relay_(relay) {}
-  virtual ~Peer() { close(); }
+  explicit HttpSocket(RelayState& relay) : relay_(relay) {}
+  virtual ~HttpSocket() { close(); }
   void close() {
     relay_.poller.remove(key_, socket_.descriptor());
     key_ = 0;
     socket_.close();
   }
-  void put(std::string bytes) {
+  void write(std::string bytes) {
     out_ += bytes;
     flush();
   }
@@ -67,7 +67,7 @@
  protected:
   using Parser = http::parser<kRequest, http::string_body>;
 
-  void fresh() {
+  void reset_parser() {
     parser_.emplace();
     parser_->body_limit(kBodyLimit);
     parser_->header_limit(16 * 1024);
@@ -82,9 +82,9 @@
     }
     return true;
   }
-  enum class Got { kMore, kMessage, kEnd };
+  enum class ReadResult { kMore, kMessage, kEnd };
   // Reads until a message is whole, the socket is empty, or it has ended.
-  Got read() {
+  ReadResult read() {
     while (true) {
       if (!in_.empty()) {
         error_code error;
@@ -95,21 +95,21 @@
           if (now == 0) break;
         } while (!error && !parser_->is_done() && used < in_.size());
         in_.erase(0, used);
-        if (error && error != http::error::need_more) return Got::kEnd;
-        if (parser_->is_done()) return Got::kMessage;
+        if (error && error != http::error::need_more) return ReadResult::kEnd;
+        if (parser_->is_done()) return ReadResult::kMessage;
       }
       const ssize_t got = socket_.read(relay_.scratch.data(), relay_.scratch.size());
-      if (got < 0 && ns::Socket::would_block()) return Got::kMore;
+      if (got < 0 && ns::Socket::would_block()) return ReadResult::kMore;
       if (got <= 0) {
         error_code error;
         if (got == 0 && parser_->got_some()) parser_->put_eof(error);
-        return got == 0 && !error && parser_->is_done() ? Got::kMessage : Got::kEnd;
+        return got == 0 && !error && parser_->is_done() ? ReadResult::kMessage : ReadResult::kEnd;
       }
       in_.append(relay_.scratch.data(), static_cast<std::size_t>(got));
     }
   }
 
-  Relay& relay_;
+  RelayState& relay_;
   ns::Socket socket_;
   ns::Poller::Key key_ = 0;
   std::string in_, out_;
@@ -118,35 +118,38 @@
 
 class Downstream;
 
-class Upstream final : public Peer<false> {
+class Upstream final : public HttpSocket<false> {
  public:
-  Upstream(Relay& relay, std::size_t server) : Peer(relay), server_(server) {}
+  Upstream(RelayState& relay, std::size_t server) : HttpSocket(relay), server_(server) {}
   bool connect() {
     const int error = socket_.connect(relay_.servers[server_].address);
     if (error != 0) return false;
     watch();
     return key_ != 0;
   }
-  void serve(Downstream& whom, std::string request, bool head) {
-    for_ = &whom;
-    fresh();
+  void serve(Downstream& downstream, std::string request, bool head) {
+    downstream_ = &downstream;
+    reset_parser();
     if (head) parser_->skip(true);
-    put(std::move(request));
+    write(std::move(request));
   }
   void ready(std::uint32_t events) override;
   std::size_t server() const { return server_; }
 
  private:
   const std::size_t server_;
-  Downstream* for_ = nullptr;
+  Downstream* downstream_ = nullptr;
 };
 
-class Downstream final : public Peer<true> {
+class Downstream final : public HttpSocket<true> {
  public:
-  Downstream(Relay& relay, ns::Socket&& socket) : Peer(relay), own_(std::move(socket)) { fresh(); }
+  Downstream(RelayState& relay, ns::Socket&& socket)
+      : HttpSocket(relay), accepted_socket_(std::move(socket)) {
+    reset_parser();
+  }
   bool start() {
     std::destroy_at(&socket_);
-    std::construct_at(&socket_, std::move(own_));
+    std::construct_at(&socket_, std::move(accepted_socket_));
     watch();
     return key_ != 0;
   }
@@ -154,16 +157,16 @@
     if (!flush()) return end();
     while (!upstream_) {
       switch (read()) {
-        case Got::kMore:
+        case ReadResult::kMore:
           return;
-        case Got::kEnd:
+        case ReadResult::kEnd:
           return end();
-        case Got::kMessage:
+        case ReadResult::kMessage:
           forward();
       }
     }
   }
-  void answered(std::string answer, bool keep_upstream) {
+  void on_response(std::string answer, bool keep_upstream) {
     std::unique_ptr<Upstream> done = std::move(upstream_);
     Server& server = relay_.servers[done->server()];
     --server.in_flight;
@@ -171,11 +174,11 @@
       server.idle.push_back(std::move(done));
     } else {
       done->close();
-      relay_.over.push_back(std::move(done));
+      relay_.closed_upstreams.push_back(std::move(done));
     }
     out_ += answer;
     if (!flush() || !keep_alive_) return end();
-    fresh();
+    reset_parser();
     ready(0);
   }
 
@@ -187,9 +190,9 @@
     message.keep_alive(true);
     std::ostringstream text;
     text << message;
-    std::size_t least = relay_.turn++ % relay_.servers.size();
+    std::size_t least = relay_.next_server++ % relay_.servers.size();
     for (std::size_t i = 0; i < relay_.servers.size(); ++i) {
-      const std::size_t at = (relay_.turn + i) % relay_.servers.size();
+      const std::size_t at = (relay_.next_server + i) % relay_.servers.size();
       if (relay_.servers[at].in_flight < relay_.servers[least].in_flight) least = at;
     }
     Server& server = relay_.servers[least];
@@ -200,7 +203,7 @@
     } else {
       upstream_ = std::make_unique<Upstream>(relay_, least);
       if (!upstream_->connect())
-        return answered("HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n", false);
+        return on_response("HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n", false);
     }
     upstream_->serve(*this, text.str(), head);
   }
@@ -208,49 +211,49 @@
     if (upstream_) {
       --relay_.servers[upstream_->server()].in_flight;
       upstream_->close();
-      relay_.over.push_back(std::move(upstream_));
+      relay_.closed_upstreams.push_back(std::move(upstream_));
     }
     close();
-    relay_.gone.emplace_back(this);
+    relay_.closed_downstreams.emplace_back(this);
   }
 
-  ns::Socket own_;
+  ns::Socket accepted_socket_;
   std::unique_ptr<Upstream> upstream_;
   bool keep_alive_ = true;
 };
 
 void Upstream::ready(std::uint32_t events) {
-  if (for_ == nullptr) {  // idle: it ends, or says what nobody asked for
+  if (downstream_ == nullptr) {  // idle: it ends, or says what nobody asked for
     char byte = 0;
     if ((events & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) == 0 && socket_.read(&byte, 1, MSG_PEEK) < 0) return;
     auto& idle = relay_.servers[server_].idle;
     for (auto it = idle.begin(); it != idle.end(); ++it) {
       if (it->get() != this) continue;
       close();
-      relay_.over.push_back(std::move(*it));
+      relay_.closed_upstreams.push_back(std::move(*it));
       idle.erase(it);
       return;
     }
     return;
   }
   const bool written = flush();
-  const Got got = written ? read() : Got::kEnd;
-  if (got == Got::kMore) return;
-  Downstream* whom = std::exchange(for_, nullptr);
-  if (got == Got::kEnd) {
-    return whom->answered("HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n", false);
+  const ReadResult got = written ? read() : ReadResult::kEnd;
+  if (got == ReadResult::kMore) return;
+  Downstream* downstream = std::exchange(downstream_, nullptr);
+  if (got == ReadResult::kEnd) {
+    return downstream->on_response("HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n", false);
   }
   const bool keep = parser_->keep_alive() && in_.empty();
   auto message = parser_->release();
   message.keep_alive(true);
   std::ostringstream text;
   text << message;
-  whom->answered(text.str(), keep);
+  downstream->on_response(text.str(), keep);
 }
 
 class Acceptor final : public ns::Poller::Watcher {
  public:
-  Acceptor(Relay& relay, int port) : relay_(relay), fd_(ns::standins::listen_on(port)) {
+  Acceptor(RelayState& relay, int port) : relay_(relay), fd_(ns::standins::listen_on(port)) {
     relay.poller.add(fd_.get(), *this);
   }
   int port() const { return ns::standins::port_of(fd_.get()); }
@@ -264,7 +267,7 @@
   }
 
  private:
-  Relay& relay_;
+  RelayState& relay_;
   ns::standins::Fd fd_;
 };
 
@@ -286,7 +289,7 @@
   try {
     ::signal(SIGPIPE, SIG_IGN);
     asio::io_context io(1);
-    Relay relay(io);
+    RelayState relay(io);
     for (const int server : ports) {
       relay.servers.emplace_back();
       relay.servers.back().address = {asio::ip::address_v4::loopback(), static_cast<std::uint16_t>(server)};
@@ -298,8 +301,8 @@
     ends.async_wait([&](const error_code&, int) { io.stop(); });
     while (!io.stopped()) {
       io.run_one();
-      relay.over.clear();
-      relay.gone.clear();
+      relay.closed_upstreams.clear();
+      relay.closed_downstreams.clear();
     }
     std::_Exit(0);  // what is open ends with the process
   } catch (const std::exception& problem) {
--- a/standins/servers/script.cpp
+++ b/standins/servers/script.cpp
@@ -10,50 +10,51 @@
 namespace nettlestand::standins {
 namespace {
 
-enum class Takes { kNothing, kNumbers, kWord, kRest };
+enum class ArgumentType { kNothing, kNumbers, kWord, kRest };
 
-// What a verb takes: so many figures at least and at most, each from 0 (or above it), or one of some words.
-struct Form {
-  Verb verb;
+// What a kind takes: so many figures at min_args and at max_args, each from 0 (or above it), or one of some
+// words.
+struct CommandSpec {
+  FaultKind kind;
   const char* name;
-  Takes takes;
-  int least, most;
-  std::array<double, 3> otherwise;  // of figures left out
-  const char* words;                // between spaces; the first one where it is left out, if that is allowed
+  ArgumentType takes;
+  int min_args, max_args;
+  std::array<double, 3> defaults;  // of figures left out
+  const char* words;               // between spaces; the first one where it is left out, if that is allowed
 };
 
-constexpr std::array kForms = {
-    Form{Verb::kRefuse, "refuse", Takes::kNothing, 0, 0, {}, ""},
-    Form{Verb::kReject, "reject", Takes::kNothing, 0, 0, {}, ""},
-    Form{Verb::kHang, "hang", Takes::kNothing, 0, 0, {}, ""},
-    Form{Verb::kNoAccept, "no-accept", Takes::kNothing, 0, 0, {}, ""},
-    Form{Verb::kCrash, "crash", Takes::kNothing, 0, 0, {}, ""},
-    Form{Verb::kCloseIdle, "close-idle", Takes::kNothing, 0, 0, {}, ""},
-    Form{Verb::kIdle, "idle", Takes::kNumbers, 1, 1, {}, ""},
-    Form{Verb::kSilent, "silent", Takes::kNothing, 0, 0, {}, ""},
-    Form{Verb::kNotStarted, "not-started", Takes::kNothing, 0, 0, {}, ""},
-    Form{Verb::kDrain, "drain", Takes::kNothing, 0, 0, {}, ""},
-    Form{Verb::kError, "error", Takes::kNumbers, 0, 2, {1, 500, 0}, ""},
-    Form{Verb::kEarly, "early", Takes::kWord, 0, 1, {}, " head accept "},
-    Form{Verb::kResetAfterRequest, "reset-after-request", Takes::kNothing, 0, 0, {}, ""},
-    Form{Verb::kDedup, "dedup", Takes::kNumbers, 1, 1, {}, ""},
-    Form{Verb::kSlower, "slower", Takes::kNumbers, 1, 1, {}, ""},
-    Form{Verb::kCold, "cold", Takes::kNumbers, 3, 3, {}, ""},
-    Form{Verb::kSize, "size", Takes::kNumbers, 1, 1, {}, ""},
-    Form{Verb::kLate, "late", Takes::kNumbers, 1, 1, {}, ""},
-    Form{Verb::kTwice, "twice", Takes::kNumbers, 0, 1, {}, ""},
-    Form{Verb::kCut, "cut", Takes::kNumbers, 0, 1, {-1, 0, 0}, ""},
-    Form{Verb::kTrickle, "trickle", Takes::kNumbers, 1, 1, {}, ""},
-    Form{Verb::kPause, "pause", Takes::kNumbers, 1, 2, {0, -1, 0}, ""},
-    Form{Verb::kGarble, "garble", Takes::kWord, 1, 1, {}, " head chunks long short "},
-    Form{Verb::kTrailers, "trailers", Takes::kRest, 1, 1, {}, ""},
-    Form{Verb::kResetAnswer, "reset-answer", Takes::kNumbers, 1, 1, {}, ""},
+constexpr std::array kCommands = {
+    CommandSpec{FaultKind::kRefuse, "refuse", ArgumentType::kNothing, 0, 0, {}, ""},
+    CommandSpec{FaultKind::kReject, "reject", ArgumentType::kNothing, 0, 0, {}, ""},
+    CommandSpec{FaultKind::kHang, "hang", ArgumentType::kNothing, 0, 0, {}, ""},
+    CommandSpec{FaultKind::kNoAccept, "no-accept", ArgumentType::kNothing, 0, 0, {}, ""},
+    CommandSpec{FaultKind::kCrash, "crash", ArgumentType::kNothing, 0, 0, {}, ""},
+    CommandSpec{FaultKind::kCloseIdle, "close-idle", ArgumentType::kNothing, 0, 0, {}, ""},
+    CommandSpec{FaultKind::kIdle, "idle", ArgumentType::kNumbers, 1, 1, {}, ""},
+    CommandSpec{FaultKind::kSilent, "silent", ArgumentType::kNothing, 0, 0, {}, ""},
+    CommandSpec{FaultKind::kNotStarted, "not-started", ArgumentType::kNothing, 0, 0, {}, ""},
+    CommandSpec{FaultKind::kDrain, "drain", ArgumentType::kNothing, 0, 0, {}, ""},
+    CommandSpec{FaultKind::kError, "error", ArgumentType::kNumbers, 0, 2, {1, 500, 0}, ""},
+    CommandSpec{FaultKind::kEarly, "early", ArgumentType::kWord, 0, 1, {}, " head accept "},
+    CommandSpec{FaultKind::kResetAfterRequest, "reset-after-request", ArgumentType::kNothing, 0, 0, {}, ""},
+    CommandSpec{FaultKind::kDedup, "dedup", ArgumentType::kNumbers, 1, 1, {}, ""},
+    CommandSpec{FaultKind::kSlower, "slower", ArgumentType::kNumbers, 1, 1, {}, ""},
+    CommandSpec{FaultKind::kCold, "cold", ArgumentType::kNumbers, 3, 3, {}, ""},
+    CommandSpec{FaultKind::kSize, "size", ArgumentType::kNumbers, 1, 1, {}, ""},
+    CommandSpec{FaultKind::kLate, "late", ArgumentType::kNumbers, 1, 1, {}, ""},
+    CommandSpec{FaultKind::kTwice, "twice", ArgumentType::kNumbers, 0, 1, {}, ""},
+    CommandSpec{FaultKind::kCut, "cut", ArgumentType::kNumbers, 0, 1, {-1, 0, 0}, ""},
+    CommandSpec{FaultKind::kTrickle, "trickle", ArgumentType::kNumbers, 1, 1, {}, ""},
+    CommandSpec{FaultKind::kPause, "pause", ArgumentType::kNumbers, 1, 2, {0, -1, 0}, ""},
+    CommandSpec{FaultKind::kGarble, "garble", ArgumentType::kWord, 1, 1, {}, " head chunks long short "},
+    CommandSpec{FaultKind::kTrailers, "trailers", ArgumentType::kRest, 1, 1, {}, ""},
+    CommandSpec{FaultKind::kResetAnswer, "reset-answer", ArgumentType::kNumbers, 1, 1, {}, ""},
 };
 
-const Form* form_of(std::string_view name) {
-  const auto* const it =
-      std::find_if(kForms.begin(), kForms.end(), [&](const Form& form) { return name == form.name; });
-  return it == kForms.end() ? nullptr : it;
+const CommandSpec* find_command(std::string_view name) {
+  const auto* const it = std::find_if(kCommands.begin(), kCommands.end(),
+                                      [&](const CommandSpec& command) { return name == command.name; });
+  return it == kCommands.end() ? nullptr : it;
 }
 
 std::vector<std::string> words_of(std::string_view line) {
@@ -78,93 +79,95 @@
   return out;
 }
 
-class Line {
+class LineParser {
  public:
-  Line(std::string_view text, int number) : words_(words_of(text)), number_(number) {}
+  LineParser(std::string_view text, int number) : words_(words_of(text)), number_(number) {}
   bool empty() const { return words_.empty(); }
 
   Fault read() {
     Fault out;
     while (true) {
-      if (take("at")) {
-        out.at = figure("at", "seconds");
-      } else if (take("every")) {
-        out.every = static_cast<int>(figure("every", "a count"));
-        if (out.every < 1) wrong("'every' needs 1 or more");
-      } else if (take("chance")) {
-        out.chance = figure("chance", "a probability");
-        if (out.chance > 1) wrong("'chance' needs 0 to 1");
+      if (consume("at")) {
+        out.at = number_argument("at", "seconds");
+      } else if (consume("every")) {
+        out.every = static_cast<int>(number_argument("every", "a count"));
+        if (out.every < 1) fail("'every' needs 1 or more");
+      } else if (consume("chance")) {
+        out.chance = number_argument("chance", "a probability");
+        if (out.chance > 1) fail("'chance' needs 0 to 1");
       } else {
         break;
       }
     }
-    if (at_ == words_.size()) wrong("no command");
-    const Form* form = form_of(words_[at_]);
-    if (form == nullptr) wrong("'" + words_[at_] + "' is no command");
-    ++at_;
-    out.verb = form->verb;
-    arguments(*form, out);
-    if (take("for")) out.lasts = figure("for", "seconds");
-    if (at_ < words_.size()) wrong("'" + words_[at_] + "' is too much");
-    check(*form, out);
+    if (position_ == words_.size()) fail("no command");
+    const CommandSpec* command = find_command(words_[position_]);
+    if (command == nullptr) fail("'" + words_[position_] + "' is no command");
+    ++position_;
+    out.kind = command->kind;
+    arguments(*command, out);
+    if (consume("for")) out.duration = number_argument("for", "seconds");
+    if (position_ < words_.size()) fail("'" + words_[position_] + "' is too much");
+    check(*command, out);
     return out;
   }
 
  private:
-  [[noreturn]] void wrong(const std::string& what) const {
+  [[noreturn]] void fail(const std::string& what) const {
     throw ScriptError("line " + std::to_string(number_) + ": " + what);
   }
-  bool take(const char* word) {
-    if (at_ == words_.size() || words_[at_] != word) return false;
-    ++at_;
+  bool consume(const char* word) {
+    if (position_ == words_.size() || words_[position_] != word) return false;
+    ++position_;
     return true;
   }
-  double figure(const std::string& what, const std::string& unit) {
-    const auto out = at_ < words_.size() ? number(words_[at_]) : std::nullopt;
-    if (!out) wrong("'" + what + "' needs " + unit + ", a number from 0");
-    ++at_;
+  double number_argument(const std::string& what, const std::string& unit) {
+    const auto out = position_ < words_.size() ? number(words_[position_]) : std::nullopt;
+    if (!out) fail("'" + what + "' needs " + unit + ", a number from 0");
+    ++position_;
     return *out;
   }
-  bool more() const { return at_ < words_.size() && words_[at_] != "for"; }
-
-  void arguments(const Form& form, Fault& out) {
-    const std::string name = form.name;
-    if (form.takes == Takes::kNumbers) {
-      std::array<double, 3> values = form.otherwise;
-      for (int i = 0; i < form.most; ++i) {
-        if (i >= form.least && !more()) break;
-        values[static_cast<std::size_t>(i)] = figure(name, "its figure " + std::to_string(i + 1));
+  bool more() const { return position_ < words_.size() && words_[position_] != "for"; }
+
+  void arguments(const CommandSpec& command, Fault& out) {
+    const std::string name = command.name;
+    if (command.takes == ArgumentType::kNumbers) {
+      std::array<double, 3> values = command.defaults;
+      for (int i = 0; i < command.max_args; ++i) {
+        if (i >= command.min_args && !more()) break;
+        values[static_cast<std::size_t>(i)] = number_argument(name, "its figure " + std::to_string(i + 1));
       }
-      out.a = values[0];
-      out.b = values[1];
-      out.c = values[2];
-    } else if (form.takes == Takes::kWord) {
-      const std::string words = form.words;
-      out.text = more() ? words_[at_++] : form.least == 0 ? words.substr(1, words.find(' ', 1) - 1) : "";
+      out.arg1 = values[0];
+      out.arg2 = values[1];
+      out.arg3 = values[2];
+    } else if (command.takes == ArgumentType::kWord) {
+      const std::string words = command.words;
+      out.text = more()                  ? words_[position_++]
+                 : command.min_args == 0 ? words.substr(1, words.find(' ', 1) - 1)
+                                         : "";
       if (out.text.empty() || words.find(" " + out.text + " ") == std::string::npos) {
-        wrong("'" + name + "' needs one of:" + words.substr(0, words.size() - 1));
+        fail("'" + name + "' needs one of:" + words.substr(0, words.size() - 1));
       }
-    } else if (form.takes == Takes::kRest) {
-      while (more()) out.text += words_[at_++] + "\n";
+    } else if (command.takes == ArgumentType::kRest) {
+      while (more()) out.text += words_[position_++] + "\n";
     }
   }
 
-  void check(const Form& form, const Fault& fault) const {
-    const std::string name = std::string("'") + form.name + "'";
-    if ((fault.verb == Verb::kTrickle || fault.verb == Verb::kSlower) && fault.a <= 0) {
-      wrong(name + " needs a number above 0");
+  void check(const CommandSpec& command, const Fault& fault) const {
+    const std::string name = std::string("'") + command.name + "'";
+    if ((fault.kind == FaultKind::kTrickle || fault.kind == FaultKind::kSlower) && fault.arg1 <= 0) {
+      fail(name + " needs a number above 0");
     }
-    if (fault.verb == Verb::kError && (fault.a > 1 || fault.b < 200 || fault.b > 599)) {
-      wrong(name + " needs a probability, 0 to 1, and a status from 200 to 599");
+    if (fault.kind == FaultKind::kError && (fault.arg1 > 1 || fault.arg2 < 200 || fault.arg2 > 599)) {
+      fail(name + " needs a probability, 0 to 1, and a status from 200 to 599");
     }
-    if (fault.verb == Verb::kCold && (fault.a <= 0 || fault.a > 1 || fault.c <= 0)) {
-      wrong(name + " needs a share above 0 and to 1, seconds, and a multiple above 0");
+    if (fault.kind == FaultKind::kCold && (fault.arg1 <= 0 || fault.arg1 > 1 || fault.arg3 <= 0)) {
+      fail(name + " needs a share above 0 and to 1, seconds, and a multiple above 0");
     }
-    if (fault.verb == Verb::kTrailers) {
-      if (fault.text.empty()) wrong(name + " needs NAME:VALUE");
+    if (fault.kind == FaultKind::kTrailers) {
+      if (fault.text.empty()) fail(name + " needs NAME:VALUE");
       for (const std::string& pair : words_of_lines(fault.text)) {
         const std::size_t colon = pair.find(':');
-        if (colon == 0 || colon == std::string::npos) wrong("'" + pair + "' is not NAME:VALUE");
+        if (colon == 0 || colon == std::string::npos) fail("'" + pair + "' is not NAME:VALUE");
       }
     }
   }
@@ -175,10 +178,10 @@
 
   std::vector<std::string> words_;
   int number_;
-  std::size_t at_ = 0;
+  std::size_t position_ = 0;
 };
 
-std::string plain(double value) {
+std::string format_number(double value) {
   std::array<char, 32> out{};
   std::snprintf(out.data(), out.size(), "%.6g", value);
   return out.data();
@@ -186,11 +189,11 @@
 
 }  // namespace
 
-std::vector<Fault> read_script(std::string_view text) {
+std::vector<Fault> parse_script(std::string_view text) {
   std::vector<Fault> out;
   for (int number = 1; !text.empty(); ++number) {
     const std::size_t end = std::min(text.find('\n'), text.size());
-    Line line(text.substr(0, end), number);
+    LineParser line(text.substr(0, end), number);
     text.remove_prefix(std::min(end + 1, text.size()));
     if (!line.empty()) out.push_back(line.read());
   }
@@ -199,25 +202,25 @@
 
 std::string to_text(const Fault& fault) {
   std::string out;
-  if (fault.at > 0) out += "at " + plain(fault.at) + " ";
+  if (fault.at > 0) out += "at " + format_number(fault.at) + " ";
   if (fault.every > 1) out += "every " + std::to_string(fault.every) + " ";
-  if (fault.chance < 1) out += "chance " + plain(fault.chance) + " ";
-  for (const Form& form : kForms) {
-    if (form.verb != fault.verb) continue;
-    out += form.name;
-    const std::array<double, 3> values = {fault.a, fault.b, fault.c};
-    for (int i = 0; form.takes == Takes::kNumbers && i < form.most; ++i) {
+  if (fault.chance < 1) out += "chance " + format_number(fault.chance) + " ";
+  for (const CommandSpec& command : kCommands) {
+    if (command.kind != fault.kind) continue;
+    out += command.name;
+    const std::array<double, 3> values = {fault.arg1, fault.arg2, fault.arg3};
+    for (int i = 0; command.takes == ArgumentType::kNumbers && i < command.max_args; ++i) {
       const double value = values[static_cast<std::size_t>(i)];
-      if (value >= 0) out += " " + plain(value);
+      if (value >= 0) out += " " + format_number(value);
     }
-    if (form.takes == Takes::kWord) out += " " + fault.text;
-    if (form.takes == Takes::kRest) {
+    if (command.takes == ArgumentType::kWord) out += " " + fault.text;
+    if (command.takes == ArgumentType::kRest) {
       std::string text = " " + fault.text.substr(0, fault.text.size() - 1);
       std::replace(text.begin(), text.end(), '\n', ' ');
       out += text;
     }
   }
-  if (fault.lasts < kForever) out += " for " + plain(fault.lasts);
+  if (fault.duration < kForever) out += " for " + format_number(fault.duration);
   return out;
 }
 
--- a/standins/servers/script.h
+++ b/standins/servers/script.h
@@ -11,7 +11,7 @@
 
 constexpr double kForever = std::numeric_limits<double>::infinity();
 
-enum class Verb {
+enum class FaultKind {
   // about connections
   kRefuse,
   kReject,
@@ -43,13 +43,13 @@
 };
 
 struct Fault {
-  Verb verb = Verb::kRefuse;
-  double at = 0;               // s after the script's start
-  double lasts = kForever;     // s
-  int every = 1;               // hits every so-manieth connection, request or answer alone
-  double chance = 1;           // and each of these with this probability
-  double a = 0, b = 0, c = 0;  // the verb's figures, in the order of SCRIPT.md
-  std::string text;            // or its word
+  FaultKind kind = FaultKind::kRefuse;
+  double at = 0;                        // s after the script's start
+  double duration = kForever;           // s
+  int every = 1;                        // hits every so-manieth connection, request or answer alone
+  double chance = 1;                    // and each of these with this probability
+  double arg1 = 0, arg2 = 0, arg3 = 0;  // the verb's figures, in the order of SCRIPT.md
+  std::string text;                     // or its word
 };
 
 // A line that can't be read: the text begins with "line N: ".
@@ -58,8 +58,8 @@
 };
 
 // One command a line. Throws ScriptError.
-std::vector<Fault> read_script(std::string_view text);
-// As a line that read_script() takes.
+std::vector<Fault> parse_script(std::string_view text);
+// As a line that parse_script() takes.
 std::string to_text(const Fault& fault);
 
 }  // namespace nettlestand::standins
--- a/standins/servers/server.cpp
+++ b/standins/servers/server.cpp
@@ -23,11 +23,11 @@
 namespace {
 
 constexpr std::size_t kNone = static_cast<std::size_t>(-1);
-constexpr double kTrickleStep = 0.02;  // s between the bytes of a slow answer, at least
-constexpr double kSweep = 0.05;        // s between looks for idle connections
-constexpr double kOverloaded = 1;      // s; the load on a cold server counts over so long
+constexpr double kMinTrickleInterval = 0.02;  // s between the bytes of a slow answer, at least
+constexpr double kIdleCheckInterval = 0.05;   // s between looks for idle connections
+constexpr double kOverloadWindow = 1;         // s; the load on a cold server counts over so long
 
-std::string noise(std::mt19937_64& random) {
+std::string random_bytes(std::mt19937_64& random) {
   std::string out;
   for (int i = 0; i < 80; ++i) out += static_cast<char>(33 + random() % 200);
   return out + "\r\n\r\n";
@@ -35,8 +35,8 @@
 
 }  // namespace
 
-bool DedupMemory::repeated(const std::string& key, double at, double window) {
-  const auto [it, fresh] = ran_.try_emplace(key, at);
+bool DedupStore::check_duplicate(const std::string& key, double at, double window) {
+  const auto [it, fresh] = last_run_at_.try_emplace(key, at);
   if (!fresh && at - it->second < window) return true;
   it->second = at;
   return false;
@@ -56,12 +56,12 @@
  public:
   Impl(Loop& loop, ServerSettings settings)
       : settings(std::move(settings)), loop_(loop), random_(this->settings.seed) {
-    if (!this->settings.memory) this->settings.memory = std::make_shared<DedupMemory>();
+    if (!this->settings.dedup_store) this->settings.dedup_store = std::make_shared<DedupStore>();
     // Holds the port while the listener is closed: nobody else must be given it then.
-    place_ = listen_on(Address{this->settings.ip, this->settings.port}, -1, this->settings.shared_port);
-    port = port_of(place_.get());
-    follow_faults();
-    if (this->settings.idle_close > 0) sweep();
+    port_holder_ = listen_on(Address{this->settings.ip, this->settings.port}, -1, this->settings.shared_port);
+    port = port_of(port_holder_.get());
+    update_listener();
+    if (this->settings.idle_timeout > 0) close_idle_periodically();
   }
   ~Impl() override {
     if (listening_) loop_.remove(listener_.get());
@@ -74,31 +74,31 @@
     const std::uint64_t id = ++last_fault_;
     faults_.emplace(id, Active{fault, 0, false});
     if (fault.at > 0) {
-      after(fault.at, [this, id] { switch_on(id); });
+      after(fault.at, [this, id] { activate(id); });
     } else {
-      switch_on(id);
+      activate(id);
     }
     return id;
   }
   void end(std::uint64_t id) {
     const auto it = faults_.find(id);
     if (it == faults_.end()) return;
-    const Verb verb = it->second.fault.verb;
+    const FaultKind kind = it->second.fault.kind;
     faults_.erase(it);
-    if (verb == Verb::kCold) cold_ = {};
-    follow_faults();
+    if (kind == FaultKind::kCold) cold_ = {};
+    update_listener();
   }
-  void well() {
+  void clear_faults() {
     faults_.clear();
     cold_ = {};
-    fell_over = false;
-    follow_faults();
+    crashed_from_overload = false;
+    update_listener();
   }
 
   ServerSettings settings;
   int port = 0;
   Counts counts;
-  bool fell_over = false;
+  bool crashed_from_overload = false;
 
  private:
   struct Active {
@@ -107,7 +107,7 @@
     bool on;
   };
   struct Cold {
-    double since = 0, share = 1, ramp = 0, most = kForever;
+    double since = 0, share = 1, ramp = 0, overload_factor = kForever;
   };
   struct Job {
     std::uint64_t connection = 0;
@@ -115,7 +115,7 @@
     double work = 0;
   };
   // How an answer is written.
-  struct Plan {
+  struct ResponsePlan {
     std::string bytes;
     std::size_t sent = 0;
     std::size_t allowed = kNone;   // bytes that may go by now
@@ -134,7 +134,7 @@
     Connection(Impl& owner, Fd fd, std::uint64_t id) : owner(owner), fd(std::move(fd)), id(id) {}
     void ready(std::uint32_t events) override {
       if (!this->fd) return;
-      if ((events & EPOLLOUT) != 0) owner.pump(*this);
+      if ((events & EPOLLOUT) != 0) owner.write_pending(*this);
       if (this->fd && (events & ~static_cast<std::uint32_t>(EPOLLOUT)) != 0) owner.read(*this);
     }
 
@@ -145,10 +145,10 @@
     std::size_t attempt = kNone;  // of the request on it
     std::string in;
     bool in_body = false, busy = false, answered_early = false, keep = true, wants_out = false;
-    double first_byte_at = 0, used_at = 0, came_at = 0, work = 0;
+    double first_byte_at = 0, used_at = 0, last_arrival_at = 0, work = 0;
     std::string request, key;  // its id and its key
     BodyReader body;
-    Plan plan;
+    ResponsePlan plan;
     std::uint64_t plan_serial = 0;
   };
 
@@ -160,73 +160,73 @@
     });
   }
 
-  void switch_on(std::uint64_t id) {
+  void activate(std::uint64_t id) {
     const auto it = faults_.find(id);
     if (it == faults_.end()) return;
     it->second.on = true;
     const Fault fault = it->second.fault;
-    if (fault.lasts < kForever) after(fault.lasts, [this, id] { end(id); });
-    if (fault.verb == Verb::kCold) {
-      cold_ = {now(), fault.a, fault.b, fault.c};
-      asked_.clear();
-      asked_sum_ = 0;
+    if (fault.duration < kForever) after(fault.duration, [this, id] { end(id); });
+    if (fault.kind == FaultKind::kCold) {
+      cold_ = {now(), fault.arg1, fault.arg2, fault.arg3};
+      recent_work_.clear();
+      recent_work_sum_ = 0;
     }
-    if (fault.verb == Verb::kCrash) reset_all();
-    if (fault.verb == Verb::kCloseIdle) close_idle(0);
-    if (fault.verb == Verb::kIdle) sweep();
-    follow_faults();
+    if (fault.kind == FaultKind::kCrash) reset_all();
+    if (fault.kind == FaultKind::kCloseIdle) close_idle(0);
+    if (fault.kind == FaultKind::kIdle) close_idle_periodically();
+    update_listener();
   }
 
   // The fault of this kind that hits what happens now.
-  const Fault* hit(Verb verb, const char* word = nullptr) {
+  const Fault* next_match(FaultKind kind, const char* word = nullptr) {
     for (auto& [id, active] : faults_) {
-      if (!active.on || active.fault.verb != verb) continue;
+      if (!active.on || active.fault.kind != kind) continue;
       if (word != nullptr && active.fault.text != word) continue;
       if (++active.count % active.fault.every != 0) continue;
-      if (active.fault.chance < 1 && unit() >= active.fault.chance) continue;
+      if (active.fault.chance < 1 && uniform() >= active.fault.chance) continue;
       return &active.fault;
     }
     return nullptr;
   }
-  const Fault* on(Verb verb) const {
+  const Fault* active_fault(FaultKind kind) const {
     for (const auto& [id, active] : faults_) {
-      if (active.on && active.fault.verb == verb) return &active.fault;
+      if (active.on && active.fault.kind == kind) return &active.fault;
     }
     return nullptr;
   }
-  double unit() { return std::uniform_real_distribution<>(0, 1)(random_); }
+  double uniform() { return std::uniform_real_distribution<>(0, 1)(random_); }
 
   bool refuses_all() const {
-    return fell_over || on(Verb::kCrash) != nullptr ||
+    return crashed_from_overload || active_fault(FaultKind::kCrash) != nullptr ||
            std::any_of(faults_.begin(), faults_.end(), [](const auto& entry) {
              const auto& [fault, count, is_on] = entry.second;
-             return is_on && fault.verb == Verb::kRefuse && fault.every == 1 && fault.chance >= 1;
+             return is_on && fault.kind == FaultKind::kRefuse && fault.every == 1 && fault.chance >= 1;
            });
   }
 
   // Brings the listener into the state that the faults ask for.
-  void follow_faults() {
+  void update_listener() {
     const bool closed = refuses_all();
-    const bool hangs = on(Verb::kHang) != nullptr;
-    const bool accepts = !closed && !hangs && on(Verb::kNoAccept) == nullptr;
+    const bool hangs = active_fault(FaultKind::kHang) != nullptr;
+    const bool accepts = !closed && !hangs && active_fault(FaultKind::kNoAccept) == nullptr;
     if (listening_ && !accepts) {
       loop_.remove(listener_.get());
       listening_ = false;
     }
     if (closed) {
       listener_.close();
-      filler_.close();
+      queue_filler_.close();
       return;
     }
     if (!listener_) listener_ = listen_on(Address{settings.ip, port}, 4096, settings.shared_port);
-    if (hangs && !filler_) {
+    if (hangs && !queue_filler_) {
       // With room for one in the accept queue and that one taken, further connections never come up.
       listen(listener_.get(), 0);
-      filler_ = connect_to(Address{settings.ip, port});
-      filler_port_ = port_of(filler_.get());
-    } else if (!hangs && filler_) {
+      queue_filler_ = connect_to(Address{settings.ip, port});
+      queue_filler_port_ = port_of(queue_filler_.get());
+    } else if (!hangs && queue_filler_) {
       listen(listener_.get(), 4096);
-      filler_.close();
+      queue_filler_.close();
     }
     if (accepts && !listening_) {
       loop_.add(listener_.get(), EPOLLIN, this);
@@ -237,28 +237,28 @@
   void reset_all() {
     waiting_.clear();
     working_ = 0;
-    ++life_;
+    ++generation_;
     while (!connections_.empty()) close(*connections_.begin()->second, Closer::kServer, true);
   }
 
-  void close_idle(double least) {
+  void close_idle(double min_idle) {
     std::vector<Connection*> idle;
     for (const auto& [id, c] : connections_) {
-      if (!c->busy && c->in.empty() && !c->in_body && now() - c->used_at >= least) idle.push_back(c.get());
+      if (!c->busy && c->in.empty() && !c->in_body && now() - c->used_at >= min_idle) idle.push_back(c.get());
     }
     for (Connection* c : idle) close(*c, Closer::kServer, false);
   }
 
-  void sweep() {
-    if (sweeping_) return;
-    const Fault* fault = on(Verb::kIdle);
-    const double limit = fault != nullptr ? fault->a : settings.idle_close;
+  void close_idle_periodically() {
+    if (idle_check_scheduled_) return;
+    const Fault* fault = active_fault(FaultKind::kIdle);
+    const double limit = fault != nullptr ? fault->arg1 : settings.idle_timeout;
     if (limit <= 0) return;
     close_idle(limit);
-    sweeping_ = true;
-    after(kSweep, [this] {
-      sweeping_ = false;
-      sweep();
+    idle_check_scheduled_ = true;
+    after(kIdleCheckInterval, [this] {
+      idle_check_scheduled_ = false;
+      close_idle_periodically();
     });
   }
 
@@ -271,8 +271,8 @@
       Fd fd(
           accept4(listener_.get(), reinterpret_cast<sockaddr*>(&from), &size, SOCK_CLOEXEC | SOCK_NONBLOCK));
       if (!fd) return;
-      if (filler_port_ != 0 && ntohs(from.sin_port) == filler_port_) {
-        filler_port_ = 0;
+      if (queue_filler_port_ != 0 && ntohs(from.sin_port) == queue_filler_port_) {
+        queue_filler_port_ = 0;
         continue;
       }
       const int no_delay = 1;
@@ -289,12 +289,12 @@
       connections_.emplace(c.id, std::move(made));
       counts.open = connections_.size();
       if (faults_.empty()) continue;
-      if (hit(Verb::kReject) != nullptr || hit(Verb::kRefuse) != nullptr) {
+      if (next_match(FaultKind::kReject) != nullptr || next_match(FaultKind::kRefuse) != nullptr) {
         close(c, Closer::kServer, true);
-      } else if (hit(Verb::kEarly, "accept") != nullptr) {
+      } else if (next_match(FaultKind::kEarly, "accept") != nullptr) {
         const std::string body = "answer to nobody";
         c.plan.bytes = head_of(200, body.size(), false, false) + body;
-        pump(c);
+        write_pending(c);
       }
     }
   }
@@ -311,7 +311,7 @@
         r.closed_by = by;
         r.reset = reset;
       });
-      if (c.attempt != kNone) note(c.attempt, [](AttemptRecord& r) { r.broke_at = now(); });
+      if (c.attempt != kNone) update_attempt(c.attempt, [](AttemptRecord& r) { r.broke_at = now(); });
     }
     if (reset && by == Closer::kServer) set_reset_on_close(c.fd.get());
     loop_.remove(c.fd.get());
@@ -323,7 +323,7 @@
   }
 
   template <class Change>
-  void note(std::size_t attempt, Change&& change) {
+  void update_attempt(std::size_t attempt, Change&& change) {
     if (attempt != kNone) settings.recorder->attempt(attempt, std::forward<Change>(change));
   }
 
@@ -334,8 +334,8 @@
     if (got < 0 && (errno == EAGAIN || errno == EINTR)) return;
     if (got <= 0) return close(c, Closer::kPeer, got < 0);
     if (settings.recorder != nullptr) {
-      c.came_at = last_arrival(c.fd.get());
-      if (c.in.empty() && !c.in_body) c.first_byte_at = c.came_at;
+      c.last_arrival_at = last_arrival(c.fd.get());
+      if (c.in.empty() && !c.in_body) c.first_byte_at = c.last_arrival_at;
     }
     c.in.append(scratch_.data(), static_cast<std::size_t>(got));
     parse(c);
@@ -348,7 +348,7 @@
         if (!c.in_body && !take_head(c)) break;
         c.in.erase(0, c.body.take(c.in));
         if (!c.body.done()) break;
-        whole(c);
+        on_request(c);
         if (find(id) == nullptr) return;
       }
     } catch (const BadMessage&) {
@@ -379,49 +379,49 @@
       c.attempt = settings.recorder->open(std::move(r));
     }
     if (!faults_.empty()) c.key = head->field("idempotency-key");
-    c.work = work_of(*head);
+    c.work = draw_service_time(*head);
     c.body = head->chunked ? BodyReader(BodyReader::Kind::kChunked)
                            : BodyReader(BodyReader::Kind::kLength, head->length.value_or(0));
     c.in.erase(0, head->size);
     c.in_body = true;
-    if (!faults_.empty() && !c.request.empty() && hit(Verb::kEarly, "head") != nullptr) {
+    if (!faults_.empty() && !c.request.empty() && next_match(FaultKind::kEarly, "head") != nullptr) {
       c.answered_early = true;
       const std::string body = "early answer to " + c.request;
-      note_answer(c, 200, false, digest_of(body));
+      record_answer(c, 200, false, digest_of(body));
       c.plan.bytes += head_of(200, body.size(), false, false) + body;
-      pump(c);
+      write_pending(c);
     }
     return true;
   }
 
-  double work_of(const Head& head) {
-    double mean = settings.service;
-    if (!settings.service_of.empty()) {
-      const auto it = settings.service_of.find(std::string(head.field("request-class")));
-      if (it != settings.service_of.end()) mean = it->second;
+  double draw_service_time(const Head& head) {
+    double mean = settings.service_time;
+    if (!settings.class_service_times.empty()) {
+      const auto it = settings.class_service_times.find(std::string(head.field("request-class")));
+      if (it != settings.class_service_times.end()) mean = it->second;
     }
     if (mean <= 0 || !settings.exponential) return mean;
     return std::exponential_distribution<>(1 / mean)(random_);
   }
 
   // The last byte has come: a request begins here.
-  void whole(Connection& c) {
+  void on_request(Connection& c) {
     c.in_body = false;
     c.used_at = now();
-    if (!c.in.empty()) c.first_byte_at = c.came_at;
+    if (!c.in.empty()) c.first_byte_at = c.last_arrival_at;
     if (c.request.empty()) return answer(c, 404, false, "");
     ++counts.requests;
     if (c.attempt != kNone) {
-      note(c.attempt, [&](AttemptRecord& r) {
-        r.last_byte_at = c.came_at;
+      update_attempt(c.attempt, [&](AttemptRecord& r) {
+        r.last_byte_at = c.last_arrival_at;
         r.body_digest = c.body.digest();
       });
       settings.recorder->connection(c.record, [](ConnectionRecord& r) { ++r.served; });
     }
-    if (cold_.since > 0 && pushed_over(c.work)) return fall_over();
+    if (cold_.since > 0 && overloads(c.work)) return crash_from_overload();
     if (c.answered_early) {
       ++counts.executed;
-      note(c.attempt, [](AttemptRecord& r) {
+      update_attempt(c.attempt, [](AttemptRecord& r) {
         r.executed = true;
         r.finished_at = r.answered_at = now();
       });
@@ -429,103 +429,103 @@
       return;
     }
     if (!faults_.empty()) {
-      if (hit(Verb::kDrain) != nullptr) {
+      if (next_match(FaultKind::kDrain) != nullptr) {
         c.keep = false;
-        return turn_away(c);
+        return reject(c);
       }
-      if (hit(Verb::kNotStarted) != nullptr) return turn_away(c);
-      if (const Fault* dedup = on(Verb::kDedup); dedup != nullptr && !c.key.empty()) {
-        if (settings.memory->repeated(c.key, now(), dedup->a)) {
-          note(c.attempt, [](AttemptRecord& r) { r.repeat = true; });
+      if (next_match(FaultKind::kNotStarted) != nullptr) return reject(c);
+      if (const Fault* dedup = active_fault(FaultKind::kDedup); dedup != nullptr && !c.key.empty()) {
+        if (settings.dedup_store->check_duplicate(c.key, now(), dedup->arg1)) {
+          update_attempt(c.attempt, [](AttemptRecord& r) { r.repeat = true; });
           return answer(c, 200, false, body_for(c));
         }
       }
     }
-    if (settings.cores > 0 && working_ >= settings.cores && waiting_.size() >= settings.queue) {
-      return turn_away(c);
+    if (settings.cores > 0 && working_ >= settings.cores && waiting_.size() >= settings.queue_limit) {
+      return reject(c);
     }
     ++counts.executed;
-    note(c.attempt, [](AttemptRecord& r) { r.executed = true; });
-    if (hit(Verb::kResetAfterRequest) != nullptr) return close(c, Closer::kServer, true);
+    update_attempt(c.attempt, [](AttemptRecord& r) { r.executed = true; });
+    if (next_match(FaultKind::kResetAfterRequest) != nullptr) return close(c, Closer::kServer, true);
     if (!faults_.empty()) {
-      if (const Fault* error = hit(Verb::kError); error != nullptr && unit() < error->a) {
-        return answer(c, static_cast<int>(error->b), false, "error");
+      if (const Fault* error = next_match(FaultKind::kError); error != nullptr && uniform() < error->arg1) {
+        return answer(c, static_cast<int>(error->arg2), false, "error");
       }
-      if (hit(Verb::kSilent) != nullptr) {
+      if (next_match(FaultKind::kSilent) != nullptr) {
         c.busy = true;
         return;
       }
     }
     if (c.work <= 0 && settings.cores == 0) {
       ++counts.answered;
-      note(c.attempt, [](AttemptRecord& r) { r.finished_at = now(); });
+      update_attempt(c.attempt, [](AttemptRecord& r) { r.finished_at = now(); });
       return answer(c, 200, false, body_for(c));
     }
     c.busy = true;
     waiting_.push_back({c.id, c.attempt, c.work});
-    work();
+    start_jobs();
   }
 
   std::string body_for(const Connection& c) const {
-    const Fault* size = on(Verb::kSize);
+    const Fault* size = active_fault(FaultKind::kSize);
     return answer_body(c.request, c.body.digest(),
-                       size != nullptr ? static_cast<std::size_t>(size->a) : settings.answer_bytes);
+                       size != nullptr ? static_cast<std::size_t>(size->arg1) : settings.answer_bytes);
   }
 
-  void turn_away(Connection& c) {
-    ++counts.turned_away;
+  void reject(Connection& c) {
+    ++counts.rejected;
     answer(c, 503, true, "not started");
   }
 
-  void work() {
+  void start_jobs() {
     while (!waiting_.empty() && (settings.cores == 0 || working_ < settings.cores)) {
       const Job job = std::move(waiting_.front());
       waiting_.pop_front();
       ++working_;
-      double took = job.work / share();
+      double took = job.work / speed();
       for (const auto& [id, active] : faults_) {
-        if (active.on && active.fault.verb == Verb::kSlower) took *= active.fault.a;
+        if (active.on && active.fault.kind == FaultKind::kSlower) took *= active.fault.arg1;
       }
-      after(took, [this, job, life = life_] {
-        if (life != life_) return;  // it died in between
+      after(took, [this, job, generation = generation_] {
+        if (generation != generation_) return;  // it died in between
         --working_;
         ++counts.answered;
-        note(job.attempt, [](AttemptRecord& r) { r.finished_at = now(); });
+        update_attempt(job.attempt, [](AttemptRecord& r) { r.finished_at = now(); });
         if (Connection* c = find(job.connection); c != nullptr && c->attempt == job.attempt) {
           answer(*c, 200, false, body_for(*c));
         }
-        work();
+        start_jobs();
       });
     }
   }
 
   // ------------------------------------------------------------ cold starts
 
-  double share() const {
+  double speed() const {
     if (cold_.since <= 0 || cold_.ramp <= 0) return 1;
     return std::min(1.0, cold_.share + (1 - cold_.share) * (now() - cold_.since) / cold_.ramp);
   }
 
-  bool pushed_over(double work) {
+  bool overloads(double work) {
     const double at = now();
     if (at - cold_.since >= cold_.ramp) return false;
-    asked_.emplace_back(at, work);
-    asked_sum_ += work;
-    while (asked_.front().first < at - kOverloaded) {
-      asked_sum_ -= asked_.front().second;
-      asked_.pop_front();
+    recent_work_.emplace_back(at, work);
+    recent_work_sum_ += work;
+    while (recent_work_.front().first < at - kOverloadWindow) {
+      recent_work_sum_ -= recent_work_.front().second;
+      recent_work_.pop_front();
     }
-    return asked_sum_ > cold_.most * able();
+    return recent_work_sum_ > cold_.overload_factor * cold_capacity();
   }
-  double able() const { return std::max(1, settings.cores) * share() * kOverloaded; }
+  double cold_capacity() const { return std::max(1, settings.cores) * speed() * kOverloadWindow; }
 
-  void fall_over() {
+  void crash_from_overload() {
     if (settings.recorder != nullptr) {
-      settings.recorder->add(FellOver{settings.name, now(), asked_sum_, able()});
+      settings.recorder->add(FellOver{settings.name, now(), recent_work_sum_, cold_capacity()});
     }
-    fell_over = true;
+    crashed_from_overload = true;
     reset_all();
-    follow_faults();
+    update_listener();
   }
 
   // ------------------------------------------------------------ answers
@@ -539,8 +539,8 @@
     return out + "Content-Length: " + std::to_string(length) + "\r\n\r\n";
   }
 
-  void note_answer(const Connection& c, int status, bool not_started, std::uint64_t digest) {
-    note(c.attempt, [&](AttemptRecord& r) {
+  void record_answer(const Connection& c, int status, bool not_started, std::uint64_t digest) {
+    update_attempt(c.attempt, [&](AttemptRecord& r) {
       r.status = status;
       r.not_started = not_started;
       r.answer_digest = digest;
@@ -551,9 +551,9 @@
     if (faults_.empty() && c.keep && settings.recorder == nullptr) {
       c.plan.bytes += head_of(status, body.size(), not_started, false);
       c.plan.bytes += body;
-      return pump(c);
+      return write_pending(c);
     }
-    Plan plan;
+    ResponsePlan plan;
     plan.close_after = !c.keep;
     plan.bytes = c.plan.bytes.substr(c.plan.sent);  // what was said early
     const std::size_t before = plan.bytes.size();
@@ -563,14 +563,14 @@
     std::uint64_t digest = digest_of(body);
     bool too_short = false;
     if (!faults_.empty() && !c.request.empty()) {
-      if (const Fault* f = hit(Verb::kTrailers); f != nullptr) {
+      if (const Fault* f = next_match(FaultKind::kTrailers); f != nullptr) {
         std::string lines;
         for (const char ch : f->text) lines += ch == '\n' ? std::string("\r\n") : std::string(1, ch);
         plan.bytes.resize(plan.bytes.find("Content-Length", before));
         plan.bytes += "Transfer-Encoding: chunked\r\n\r\n" + (body.empty() ? "" : chunk_of(body)) + "0\r\n" +
                       lines + "\r\n";
       }
-      if (const Fault* f = hit(Verb::kGarble); f != nullptr) {
+      if (const Fault* f = next_match(FaultKind::kGarble); f != nullptr) {
         plan.bytes.resize(before);
         plan.bytes += garbled(f->text, status, body);
         too_short = f->text == "long";
@@ -578,23 +578,23 @@
         digest = f->text == "short" ? digest_of(body.substr(0, body.size() / 2)) : 0;
         if (f->text != "short") status = 0;
       }
-      shape(plan, head, too_short);
+      apply_write_faults(plan, head, too_short);
     }
-    note_answer(c, status, not_started, digest);
-    const double late = late_by_;
-    late_by_ = 0;
+    record_answer(c, status, not_started, digest);
+    const double late = response_delay_;
+    response_delay_ = 0;
     c.busy = true;
     c.plan = std::move(plan);
     ++c.plan_serial;
     if (late > 0) {
       c.plan.held = true;
-      return later(c, late, [this](Connection& then) { go_on(then); });
+      return schedule_for(c, late, [this](Connection& then) { resume_write(then); });
     }
-    go_on(c);
+    resume_write(c);
   }
 
   std::string garbled(const std::string& how, int status, const std::string& body) {
-    if (how == "head") return noise(random_) + body;
+    if (how == "head") return random_bytes(random_) + body;
     if (how == "chunks") {
       std::string out = head_of(status, 0, false, false);
       out.resize(out.find("Content-Length"));
@@ -604,61 +604,61 @@
   }
 
   // What the faults make of the writing of an answer.
-  void shape(Plan& plan, std::size_t head, bool too_short) {
+  void apply_write_faults(ResponsePlan& plan, std::size_t head, bool too_short) {
     // A copy behind an answer that is too short would make up its length.
-    if (const Fault* f = hit(Verb::kTwice); f != nullptr && !too_short) {
-      if (f->a <= 0) {
+    if (const Fault* f = next_match(FaultKind::kTwice); f != nullptr && !too_short) {
+      if (f->arg1 <= 0) {
         plan.bytes += std::string(plan.bytes);
       } else {
         plan.second = plan.bytes;
-        plan.gap = f->a;
+        plan.gap = f->arg1;
       }
     }
-    if (const Fault* f = hit(Verb::kLate); f != nullptr) late_by_ = f->a;
-    if (const Fault* f = hit(Verb::kTrickle); f != nullptr) {
-      plan.rate = f->a;
+    if (const Fault* f = next_match(FaultKind::kLate); f != nullptr) response_delay_ = f->arg1;
+    if (const Fault* f = next_match(FaultKind::kTrickle); f != nullptr) {
+      plan.rate = f->arg1;
       plan.allowed = 0;
     }
     const std::size_t size = plan.bytes.size();
-    if (const Fault* f = hit(Verb::kPause); f != nullptr) {
-      plan.pause = f->a;
-      plan.pause_at = f->b >= 0 ? std::min(size, static_cast<std::size_t>(f->b)) : size / 2;
+    if (const Fault* f = next_match(FaultKind::kPause); f != nullptr) {
+      plan.pause = f->arg1;
+      plan.pause_at = f->arg2 >= 0 ? std::min(size, static_cast<std::size_t>(f->arg2)) : size / 2;
     }
-    if (const Fault* f = hit(Verb::kCut); f != nullptr) {
-      plan.stop_at = f->a >= 0 ? head + static_cast<std::size_t>(f->a) : (head + size) / 2;
+    if (const Fault* f = next_match(FaultKind::kCut); f != nullptr) {
+      plan.stop_at = f->arg1 >= 0 ? head + static_cast<std::size_t>(f->arg1) : (head + size) / 2;
     }
-    if (const Fault* f = hit(Verb::kResetAnswer); f != nullptr) {
-      plan.stop_at = static_cast<std::size_t>(f->a);
+    if (const Fault* f = next_match(FaultKind::kResetAnswer); f != nullptr) {
+      plan.stop_at = static_cast<std::size_t>(f->arg1);
       plan.reset = true;
     }
     plan.stop_at = plan.stop_at < size ? plan.stop_at : kNone;
   }
 
-  void later(Connection& c, double seconds, std::function<void(Connection&)> f) {
+  void schedule_for(Connection& c, double seconds, std::function<void(Connection&)> f) {
     after(seconds, [this, id = c.id, serial = c.plan_serial, f = std::move(f)] {
       if (Connection* then = find(id); then != nullptr && then->plan_serial == serial) f(*then);
     });
   }
 
-  void go_on(Connection& c) {
+  void resume_write(Connection& c) {
     c.plan.held = false;
     if (c.plan.rate > 0) return trickle(c);
-    pump(c);
+    write_pending(c);
   }
 
   void trickle(Connection& c) {
-    const double step = std::max(kTrickleStep, 1 / c.plan.rate);
+    const double step = std::max(kMinTrickleInterval, 1 / c.plan.rate);
     c.plan.allowed += static_cast<std::size_t>(std::max(1.0, c.plan.rate * step));
     const std::uint64_t serial = c.plan_serial;
-    later(c, step, [this](Connection& then) {
+    schedule_for(c, step, [this](Connection& then) {
       if (!then.plan.held && then.plan.allowed < then.plan.bytes.size()) trickle(then);
     });
-    if (serial == c.plan_serial) pump(c);
+    if (serial == c.plan_serial) write_pending(c);
   }
 
   // Writes what may go by now.
-  void pump(Connection& c) {
-    Plan& plan = c.plan;
+  void write_pending(Connection& c) {
+    ResponsePlan& plan = c.plan;
     if (plan.held) return;
     const std::size_t until = std::min({plan.bytes.size(), plan.allowed, plan.stop_at, plan.pause_at});
     while (plan.sent < until) {
@@ -676,17 +676,17 @@
     if (plan.sent == plan.pause_at) {
       plan.pause_at = kNone;
       plan.held = true;
-      return later(c, plan.pause, [this](Connection& then) { go_on(then); });
+      return schedule_for(c, plan.pause, [this](Connection& then) { resume_write(then); });
     }
-    if (plan.sent == plan.bytes.size()) written(c);
+    if (plan.sent == plan.bytes.size()) on_response_written(c);
   }
 
-  void written(Connection& c) {
-    const Plan plan = std::exchange(c.plan, {});
-    if (!plan.second.empty()) say_again(c.id, plan.second, plan.gap);
+  void on_response_written(Connection& c) {
+    const ResponsePlan plan = std::exchange(c.plan, {});
+    if (!plan.second.empty()) send_duplicate(c.id, plan.second, plan.gap);
     if (!c.busy) return;
     ++c.plan_serial;
-    note(c.attempt, [](AttemptRecord& r) { r.answered_at = now(); });
+    update_attempt(c.attempt, [](AttemptRecord& r) { r.answered_at = now(); });
     c.attempt = kNone;
     if (plan.close_after) return close(c, Closer::kServer, false);
     c.busy = false;
@@ -695,7 +695,7 @@
   }
 
   // The connection is free in between: that is what makes a late copy dangerous.
-  void say_again(std::uint64_t connection, const std::string& bytes, double gap) {
+  void send_duplicate(std::uint64_t connection, const std::string& bytes, double gap) {
     after(gap, [this, connection, bytes] {
       Connection* c = find(connection);
       if (c == nullptr) return;
@@ -704,25 +704,25 @@
         if (put != static_cast<ssize_t>(bytes.size())) close(*c, Closer::kServer, true);
         return;
       }
-      if (!c->plan.bytes.empty()) return say_again(connection, bytes, 0.001);
+      if (!c->plan.bytes.empty()) return send_duplicate(connection, bytes, 0.001);
       c->plan.bytes = bytes;
-      pump(*c);
+      write_pending(*c);
     });
   }
 
   Loop& loop_;
   std::mt19937_64 random_;
-  Fd place_, listener_, filler_;
-  int filler_port_ = 0;
-  bool listening_ = false, sweeping_ = false;
+  Fd port_holder_, listener_, queue_filler_;
+  int queue_filler_port_ = 0;
+  bool listening_ = false, idle_check_scheduled_ = false;
   std::map<std::uint64_t, Active> faults_;
-  std::uint64_t last_fault_ = 0, last_connection_ = 0, life_ = 0;
+  std::uint64_t last_fault_ = 0, last_connection_ = 0, generation_ = 0;
   std::unordered_map<std::uint64_t, std::unique_ptr<Connection>> connections_;
   std::deque<Job> waiting_;
   int working_ = 0;
   Cold cold_;
-  std::deque<std::pair<double, double>> asked_;
-  double asked_sum_ = 0, late_by_ = 0;
+  std::deque<std::pair<double, double>> recent_work_;
+  double recent_work_sum_ = 0, response_delay_ = 0;
   std::array<char, 64 * 1024> scratch_{};
   std::shared_ptr<int> alive_ = std::make_shared<int>(0);
 };
@@ -739,7 +739,7 @@
 const std::string& ScriptedServer::name() const { return impl_->settings.name; }
 
 void ScriptedServer::run(std::string_view script) {
-  const std::vector<Fault> faults = read_script(script);
+  const std::vector<Fault> faults = parse_script(script);
   loop_.call([&] {
     for (const Fault& fault : faults) impl_->begin(fault);
   });
@@ -755,8 +755,8 @@
   loop_.call([&] { impl_->end(fault); });
 }
 
-void ScriptedServer::well() {
-  loop_.call([&] { impl_->well(); });
+void ScriptedServer::clear_faults() {
+  loop_.call([&] { impl_->clear_faults(); });
 }
 
 ScriptedServer::Counts ScriptedServer::counts() const {
@@ -765,9 +765,9 @@
   return out;
 }
 
-bool ScriptedServer::fell_over() const {
+bool ScriptedServer::crashed_from_overload() const {
   bool out = false;
-  loop_.call([&] { out = impl_->fell_over; });
+  loop_.call([&] { out = impl_->crashed_from_overload; });
   return out;
 }
 
--- a/standins/servers/server_main.cpp
+++ b/standins/servers/server_main.cpp
@@ -40,27 +40,27 @@
   settings.name = options.text("name", "s0");
   settings.port = options.whole("port", 0);
   settings.cores = options.whole("cores", 0);
-  settings.service = options.number("service-ms", 0) / 1000;
+  settings.service_time = options.number("service-ms", 0) / 1000;
   for (const std::string& one : options.all("class-ms")) {
     const std::vector<std::string> parts = si::Options::split(one, '=');
     if (parts.size() != 2) throw std::invalid_argument("--class-ms needs NAME=MS");
-    settings.service_of[parts[0]] = si::Options::to_number(parts[1], "--class-ms") / 1000;
+    settings.class_service_times[parts[0]] = si::Options::to_number(parts[1], "--class-ms") / 1000;
   }
   const std::string distribution = options.text("distribution", "fixed");
   if (distribution != "fixed" && distribution != "exponential") {
     throw std::invalid_argument("--distribution is fixed or exponential");
   }
   settings.exponential = distribution == "exponential";
-  settings.queue = static_cast<std::size_t>(options.number("queue", 100000));
+  settings.queue_limit = static_cast<std::size_t>(options.number("queue", 100000));
   settings.answer_bytes = static_cast<std::size_t>(options.number("answer-bytes", 0));
-  settings.idle_close = options.number("idle-close", 0);
+  settings.idle_timeout = options.number("idle-close", 0);
   settings.seed = static_cast<std::uint64_t>(options.number("seed", 1));
   std::string script;
   if (options.has("script")) {
     std::ifstream in(options.text("script", ""));
     if (!in) throw std::invalid_argument("can't read " + options.text("script", ""));
     script.assign(std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>());
-    si::read_script(script);
+    si::parse_script(script);
   }
   const int threads = options.whole("threads", 1);
   settings.shared_port = threads > 1;
@@ -89,12 +89,11 @@
     sum.connections += counts.connections;
     sum.requests += counts.requests;
     sum.executed += counts.executed;
-    sum.turned_away += counts.turned_away;
+    sum.rejected += counts.rejected;
   }
   std::printf("connections %llu requests %llu executed %llu turned away %llu\n",
               static_cast<unsigned long long>(sum.connections), static_cast<unsigned long long>(sum.requests),
-              static_cast<unsigned long long>(sum.executed),
-              static_cast<unsigned long long>(sum.turned_away));
+              static_cast<unsigned long long>(sum.executed), static_cast<unsigned long long>(sum.rejected));
   servers.clear();
   return 0;
 }
--- a/standins/world/script.cpp
+++ b/standins/world/script.cpp
@@ -187,7 +187,7 @@
           break;
         }
         try {
-          const std::vector<Fault> read = read_script(command);
+          const std::vector<Fault> read = parse_script(command);
           fault.server = read.at(0);
         } catch (const ScriptError& problem) {
           const std::string what = problem.what();
@@ -195,7 +195,7 @@
         }
         if (fault.server.at > 0) wrong("the time stands before who is hit");
         fault.verb = "server";
-        fault.lasts = fault.server.lasts;
+        fault.lasts = fault.server.duration;
         break;
       case Role::kCallers:
         wrong("nothing happens to callers alone: name a way");
--- a/standins/world/world.cpp
+++ b/standins/world/world.cpp
@@ -36,7 +36,7 @@
   discovery_ = std::make_unique<ScriptedDiscovery>(thread_.loop(), &recorder_);
   const auto add = [&](std::string name, Role role, const WorldZone& zone, std::size_t place) {
     members_.push_back({std::move(name), role, zone.name, zone.region});
-    machines_.push_back(network_->machine());
+    machines_.push_back(network_->add_machine());
     place_.push_back(place);
     return members_.size() - 1;
   };
@@ -54,7 +54,7 @@
   for (std::size_t a = 0; a < members_.size(); ++a) {
     for (std::size_t b = 0; b < members_.size(); ++b) {
       if (a == b || members_[a].zone.empty() || members_[b].zone.empty()) continue;
-      WayFaults far;
+      LinkFaults far;
       if (members_[a].region != members_[b].region) {
         far.delay = s_.between_regions;
       } else if (members_[a].zone != members_[b].zone) {
@@ -112,7 +112,7 @@
 
 void ProcessWorld::start() {
   const double from = began_ = now();
-  std::vector<Listing> listings;
+  std::vector<ServerEntry> listings;
   for (std::size_t i = 0; i < s_.servers; ++i) {
     const std::size_t member = server_members_[i];
     ServerSettings settings = s_.server;
@@ -121,20 +121,20 @@
     settings.seed = s_.seed * 1000 + i;
     settings.recorder = &recorder_;
     servers_.push_back(std::make_unique<ScriptedServer>(thread_.loop(), settings));
-    Listing listing;
+    ServerEntry listing;
     listing.host = settings.name;
     listing.port = servers_.back()->port();
     listing.site = members_[member].zone;
     listing.block = static_cast<int>(i / 2);
     listings.push_back(listing);
   }
-  discovery_->dial_by([this](const std::string& node, const Listing& server) {
+  discovery_->set_address_mapping([this](const std::string& node, const ServerEntry& server) {
     const std::size_t n = node_members_[std::stoul(node.substr(1))];
     const std::size_t s = server_members_[std::stoul(server.host.substr(1))];
     return network_->tcp(machines_[n], machines_[s], server.port).text();
   });
-  discovery_->set(listings);
-  network_->look();
+  discovery_->update(listings);
+  network_->refresh_listeners();
   for (std::size_t i = 0; i < s_.voters && s_.before_voting; ++i) s_.before_voting(i, states_[i]->path());
   for (std::size_t i = 0; i < s_.nodes; ++i) start_node(i);
   for (std::size_t i = 0; i < s_.nodes; ++i) node_ports_[i] = nodes_[i]->port();
@@ -151,7 +151,7 @@
   const std::string at = network_->ip(machines_[discovery_member_]);
   const Address discovery = network_->tcp(machines_[member], machines_[discovery_member_],
                                           discovery_->endpoint(config.name, 0, at));
-  network_->look();
+  network_->refresh_listeners();
   config.discovery_ip = discovery.ip;
   config.discovery = discovery.port;
   config.peers = static_cast<int>(s_.nodes);
@@ -168,7 +168,7 @@
     config.peer_listen = config.ip + port;
     for (std::size_t j = 0; j < s_.nodes; ++j) {
       config.others.push_back(
-          (j == i ? config.ip : network_->way(machines_[member], machines_[node_members_[j]])) + port);
+          (j == i ? config.ip : network_->link_ip(machines_[member], machines_[node_members_[j]])) + port);
     }
   }
   return config;
@@ -199,7 +199,8 @@
   out += s_.duties;
   for (std::size_t j = 0; j < s_.voters; ++j) {
     out += "[[voter]]\nname = \"" + members_[node_members_[j]].name + "\"\naddress = \"" +
-           (i == j ? own(j) : network_->way(machines_[node_members_[i]], machines_[node_members_[j]])) + port;
+           (i == j ? own(j) : network_->link_ip(machines_[node_members_[i]], machines_[node_members_[j]])) +
+           port;
   }
   return out;
 }
@@ -220,7 +221,7 @@
   lives_.push_back(nodes_[i]->life());
   logs_[i] += nodes_[i]->log();
   nodes_[i].reset();
-  network_->look();
+  network_->refresh_listeners();
 }
 
 CheckerSettings ProcessWorld::checked() const {
@@ -259,7 +260,7 @@
     settings.seconds = seconds;
     settings.recorder = &recorder_;
     settings.seed = s_.seed * 100 + z;
-    settings.patience = std::max(settings.patience, 2.7);
+    settings.extra_wait = std::max(settings.extra_wait, 2.7);
     settings.rate *= s_.zones[z].traffic / traffic;
     settings.targets.clear();
     for (std::size_t i = 0; i < s_.nodes; ++i) {
@@ -270,7 +271,7 @@
     }
     loads_.push_back(std::make_unique<LoadClient>(thread_.loop(), settings));
   }
-  network_->look();
+  network_->refresh_listeners();
   due_.clear();
   for (const WorldFault& fault : faults) {
     due_.emplace(from + fault.at, [this, fault] { begin(fault); });
@@ -430,18 +431,18 @@
     Fault one = fault.server;
     one.at = 0;
     server.begin(one);
-    network_->look();
+    network_->refresh_listeners();
     if (fault.lasts != kForever) after(fault.lasts, [this, fault] { note(fault, "fault-end"); });
     return;
   }
   const auto list = [this, name = members_[fault.who].name, &server](const std::string& health, bool cold) {
-    for (Listing listing : discovery_->list()) {
+    for (ServerEntry listing : discovery_->list()) {
       if (listing.host != name) continue;
       listing.health = health;
       if (cold) listing.born_ms = unix_ms();
-      return discovery_->set(listing);
+      return discovery_->update(listing);
     }
-    Listing listing;
+    ServerEntry listing;
     listing.host = name;
     listing.port = server.port();
     for (std::size_t m : server_members_) {
@@ -452,19 +453,19 @@
     }
     listing.health = health;
     if (cold) listing.born_ms = unix_ms();
-    discovery_->set(listing);
+    discovery_->update(listing);
   };
   if (fault.verb == "back") {
-    server.well();
+    server.clear_faults();
     if (s_.node.ramp_time > 0) {
       Fault cold;
-      cold.verb = Verb::kCold;
-      cold.a = s_.node.start_capacity;
-      cold.b = s_.node.ramp_time;
-      cold.c = kTipMultiple;
+      cold.kind = FaultKind::kCold;
+      cold.arg1 = s_.node.start_capacity;
+      cold.arg2 = s_.node.ramp_time;
+      cold.arg3 = kTipMultiple;
       server.begin(cold);
     }
-    network_->look();
+    network_->refresh_listeners();
     return list("active", true);
   }
   list(fault.verb == "leaving" ? "leaving" : "left", false);
@@ -479,22 +480,22 @@
 void ProcessWorld::begin_discovery(const WorldFault& fault) {
   using Mode = ScriptedDiscovery::Mode;
   if (fault.verb == "lag") {
-    discovery_->lag(fault.figures[0]);
+    discovery_->set_delay(fault.figures[0]);
   } else {
-    discovery_->mode(fault.verb == "refuse"        ? Mode::kRefuse
-                     : fault.verb == "unavailable" ? Mode::kUnavailable
-                                                   : Mode::kSilent);
+    discovery_->set_mode(fault.verb == "refuse"        ? Mode::kRefuse
+                         : fault.verb == "unavailable" ? Mode::kUnavailable
+                                                       : Mode::kSilent);
   }
-  network_->look();
+  network_->refresh_listeners();
   if (fault.lasts == kForever) return;
   after(fault.lasts, [this, fault] {
     note(fault, "fault-end");
     if (fault.verb == "lag") {
-      discovery_->lag(0);
+      discovery_->set_delay(0);
     } else {
-      discovery_->mode(Mode::kUp);
+      discovery_->set_mode(Mode::kUp);
     }
-    network_->look();
+    network_->refresh_listeners();
   });
 }
 
@@ -502,7 +503,7 @@
   const int from = machines_[fault.who], to = machines_[fault.to];
   if (fault.verb == "reset") return network_->reset(from, to);
   if (fault.verb == "half-open") return network_->half_open(from, to);
-  WayFaults f;
+  LinkFaults f;
   const auto figure = [&](std::size_t i) { return i < fault.figures.size() ? fault.figures[i] : 0; };
   if (fault.verb == "cut") f.cut = true;
   if (fault.verb == "loss") {
@@ -542,13 +543,13 @@
   out.members = members_;
   out.evidence = {recorder_.calls(), recorder_.attempts(), recorder_.told(), recorder_.fallen(), lives_};
   // When a node sent it, and not when a way that was cut let it through.
-  std::map<int, std::vector<Network::Held>> held;  // by port
-  for (const Network::Held& one : network_->held()) held[one.source_port].push_back(one);
+  std::map<int, std::vector<Network::DelayedBytes>> held;  // by port
+  for (const Network::DelayedBytes& one : network_->delayed_bytes()) held[one.source_port].push_back(one);
   const std::vector<ConnectionRecord> connections = recorder_.connections();
   for (AttemptRecord& attempt : out.evidence.attempts) {
     const auto it = held.find(connections[attempt.connection].peer_port);
     if (it == held.end()) continue;
-    for (const Network::Held& one : it->second) {
+    for (const Network::DelayedBytes& one : it->second) {
       if (std::abs(one.delivered - attempt.first_byte_at) < 0.1) {
         attempt.first_byte_at = std::min(attempt.first_byte_at, one.sent);
       }
--- a/tests/duties/cluster_test.cpp
+++ b/tests/duties/cluster_test.cpp
@@ -122,7 +122,7 @@
       cluster, [&] { return cluster.all_held(); }, 5));
   const std::size_t leader_index = cluster.leader()->index, alone = (leader_index + 1) % 5;
   const std::uint64_t term = cluster.leader()->voter->raft().term();
-  standins::WayFaults cut;
+  standins::LinkFaults cut;
   cut.cut = true;
   for (ActorId i = 0; i < cluster.sim.size(); ++i) {
     if (i == alone) continue;
@@ -312,7 +312,7 @@
     const ActorId a = any();
     ActorId b = any();
     while (b == a) b = any();
-    standins::WayFaults way;
+    standins::LinkFaults way;
     switch (random() % 8) {
       case 0:
         cluster.sim.at(at, [&cluster, a] {
--- a/tests/faults/availability_test.cpp
+++ b/tests/faults/availability_test.cpp
@@ -21,7 +21,7 @@
     w.config.seed = hex(static_cast<std::uint64_t>(i) + 1);
     for (int k = 0; k < 13; ++k) {
       ServerSettings settings;
-      settings.service = 0.005;
+      settings.service_time = 0.005;
       w.add(settings);
       if (k >= 3) w.servers.back()->run("refuse");
     }
@@ -90,7 +90,7 @@
                    World w;
                    w.config.stage = stage;
                    ServerSettings settings;
-                   settings.service = 0.005;
+                   settings.service_time = 0.005;
                    for (int i = 0; i < 4; ++i) w.add(settings);
                    w.servers[0]->run("refuse for 2");
                    w.start();
@@ -125,7 +125,7 @@
   for (NodeClass& c : w.config.classes) c.give_up = 5;
   w.config.memory_mb = 192;  // room for all of them: not what is tested here
   ServerSettings settings;
-  settings.service = 0.003;
+  settings.service_time = 0.003;
   for (int i = 0; i < 3; ++i) w.add(settings);
   w.start();
   LoadSettings load = w.calls(5);
@@ -202,7 +202,7 @@
                    w.config.stage = stage;
                    for (NodeClass& c : w.config.classes) c.give_up = 5;
                    ServerSettings settings;
-                   settings.service = 0.005;
+                   settings.service_time = 0.005;
                    for (int i = 0; i < 3; ++i) w.add(settings);
                    w.start();
                    LoadSettings load = w.calls(5);
--- a/tests/faults/fault_scripts_test.cpp
+++ b/tests/faults/fault_scripts_test.cpp
@@ -113,9 +113,9 @@
     for (std::size_t i = 0; i < count; ++i) {
       ServerSettings settings;
       settings.cores = 2;
-      settings.service = service;
+      settings.service_time = service;
       settings.exponential = true;
-      settings.queue = 60;
+      settings.queue_limit = 60;
       settings.answer_bytes = dice.chance(0.2) ? 60000 : 0;
       w.add(settings).run("dedup " + plain(w.config.classes[1].window));
     }
@@ -147,13 +147,13 @@
     if (stays || dice.chance(0.7)) {
       plan(at, name + " drains", [this, place, name] {
         w.servers[place]->run("drain");
-        w.discovery.state(name, "leaving");
+        w.discovery.set_health(name, "leaving");
       });
     }
     if (stays) return;
     plan(gone, name + " is gone", [this, place, name] {
       w.servers[place]->run("crash");
-      w.discovery.state(name, "left");
+      w.discovery.set_health(name, "left");
     });
     if (seconds > 1 || dice.chance(0.3)) return;
     plan(gone + dice.figure(0.02, 0.2), name + " is back, cold, at another address", [this, place, name] {
@@ -161,13 +161,13 @@
       settings.name = name;
       settings.recorder = &w.recorder;
       settings.cores = 2;
-      settings.service = 0.03;
+      settings.service_time = 0.03;
       w.servers.push_back(std::make_unique<ScriptedServer>(w.loop(), settings));
       w.servers.back()->run("cold 0.32 6 4");
-      Listing back = w.listings[place];
+      ServerEntry back = w.listings[place];
       back.port = w.servers.back()->port();
       back.born_ms = unix_ms();
-      w.discovery.set(back);
+      w.discovery.update(back);
     });
   }
 
@@ -179,12 +179,12 @@
     if (dice.chance(0.3)) {
       const auto [mode, words] = dice.of(kModes);
       const double at = dice.figure(0, 0.7);
-      plan(at, std::string("discovery ") + words, [this, mode = mode] { w.discovery.mode(mode); });
-      plan(at + dice.figure(0.05, 0.5), "discovery is well", [this] { w.discovery.mode(Mode::kUp); });
+      plan(at, std::string("discovery ") + words, [this, mode = mode] { w.discovery.set_mode(mode); });
+      plan(at + dice.figure(0.05, 0.5), "discovery is well", [this] { w.discovery.set_mode(Mode::kUp); });
     }
     if (dice.chance(0.2)) {
       const double lag = dice.figure(0.05, 0.5);
-      plan(0, "discovery lags " + plain(lag), [this, lag] { w.discovery.lag(lag); });
+      plan(0, "discovery lags " + plain(lag), [this, lag] { w.discovery.set_delay(lag); });
     }
   }
 
--- a/tests/faults/hard_cases_test.cpp
+++ b/tests/faults/hard_cases_test.cpp
@@ -21,7 +21,7 @@
   for (int i = 0; i < 4; ++i) {
     ServerSettings settings;
     settings.cores = 4;
-    settings.service = 0.01;
+    settings.service_time = 0.01;
     settings.exponential = true;
     w.add(settings).run("dedup 4");
   }
@@ -61,7 +61,7 @@
                    load.rate = 100;
                    load.seconds = 2.6;
                    const std::string state = i < 2 ? "leaving" : "left";
-                   w.loop().call([&] { w.loop().after(0.3, [&] { w.discovery.state("s1", state); }); });
+                   w.loop().call([&] { w.loop().after(0.3, [&] { w.discovery.set_health("s1", state); }); });
                    w.load(load);
                    std::uint64_t later = 0;
                    const std::vector<ToldRecord> told = w.recorder.told();
@@ -84,7 +84,7 @@
                    w.config.ramp_time = 9;
                    ServerSettings settings;
                    settings.cores = 2;
-                   settings.service = 0.02;
+                   settings.service_time = 0.02;
                    for (int k = 0; k < 4; ++k) w.add(settings);
                    w.start();
                    NodeConfig second = w.config;
@@ -100,15 +100,15 @@
                    load.seconds = 3;
                    w.loop().call([&] {
                      w.loop().after(1, [&] {
-                       Listing cold = w.listings[0];
+                       ServerEntry cold = w.listings[0];
                        cold.born_ms = unix_ms();
                        w.servers[0]->run("cold 0.32 9 4");
-                       w.discovery.set(cold);
+                       w.discovery.update(cold);
                      });
                      // The others go: all would be sent to the cold one.
                      if (i < 2) return;
                      w.loop().after(1.2, [&] {
-                       for (const char* name : {"s1", "s2", "s3"}) w.discovery.state(name, "left");
+                       for (const char* name : {"s1", "s2", "s3"}) w.discovery.set_health(name, "left");
                      });
                    });
                    const LoadResult result = w.load(load);
@@ -127,7 +127,7 @@
                    World w;
                    w.config.stage = i % 2;
                    ServerSettings settings;
-                   settings.service = 0.1;
+                   settings.service_time = 0.1;
                    for (int k = 0; k < 3; ++k) w.add(settings);
                    w.start();
                    LoadSettings load = w.calls(kTimeout);
@@ -187,7 +187,7 @@
   World w;
   for (int k = 0; k < 3; ++k) {
     ServerSettings settings;
-    settings.service = 0.02;
+    settings.service_time = 0.02;
     w.add(settings).run("twice 0.01");
   }
   w.start();
@@ -210,7 +210,7 @@
                    w.checked.window_slack = 0.1;
                    for (int k = 0; k < 4; ++k) {
                      ServerSettings settings;
-                     settings.service = i < 2 ? 0.2 : 0.25;
+                     settings.service_time = i < 2 ? 0.2 : 0.25;
                      w.add(settings).run("every 2 reset-answer 0\ndedup 0.3");
                    }
                    w.start();
--- a/tests/faults/standins_test.cpp
+++ b/tests/faults/standins_test.cpp
@@ -17,12 +17,12 @@
 namespace {
 
 // Callers straight at one server.
-struct Pair {
+struct DirectCalls {
   LoopThread thread;
   Recorder recorder;
   std::unique_ptr<ScriptedServer> server;
 
-  explicit Pair(ServerSettings settings = {}) {
+  explicit DirectCalls(ServerSettings settings = {}) {
     settings.recorder = &recorder;
     server = std::make_unique<ScriptedServer>(thread.loop(), settings);
   }
@@ -48,7 +48,7 @@
 
 std::string error_of(const std::string& script) {
   try {
-    read_script(script);
+    parse_script(script);
   } catch (const ScriptError& problem) {
     return problem.what();
   }
@@ -64,18 +64,18 @@
       "slower 5\nsize 390000\ncold 0.3 9 4\nlate 0.1\ntwice 0.02\ncut 5\ncut\ntrickle 20000\npause 1\npause "
       "1 100\n"
       "garble head\ngarble chunks\ngarble long\ngarble short\ntrailers Not-Started:1 A:b\nreset-answer 10\n";
-  const std::vector<Fault> faults = read_script(script);
+  const std::vector<Fault> faults = parse_script(script);
   EXPECT_EQ(faults.size(), 31U);
   std::string again;
   for (const Fault& fault : faults) again += to_text(fault) + "\n";
   std::string second;
-  for (const Fault& fault : read_script(again)) second += to_text(fault) + "\n";
+  for (const Fault& fault : parse_script(again)) second += to_text(fault) + "\n";
   EXPECT_EQ(again, second);
   EXPECT_EQ(faults[2].every, 3);
   EXPECT_EQ(faults[2].chance, 0.5);
-  EXPECT_EQ(faults[1].lasts, 2);
-  EXPECT_EQ(faults[0].lasts, kForever);
-  EXPECT_EQ(read_script("error").front().b, 500);
+  EXPECT_EQ(faults[1].duration, 2);
+  EXPECT_EQ(faults[0].duration, kForever);
+  EXPECT_EQ(parse_script("error").front().arg2, 500);
 }
 
 TEST(Script, NamesTheLineThatIsWrong) {
@@ -135,7 +135,7 @@
 }
 
 TEST(ScriptedServer, AnswersEachRequestWithItsOwnBody) {
-  Pair p;
+  DirectCalls p;
   EXPECT_EQ(p.call(20).all.served, 20U);
   EXPECT_EQ(p.recorder.attempts().size(), 20U);
   EXPECT_EQ(p.recorder.connections().size(), 1U);
@@ -193,8 +193,8 @@
   };
   for (const Case& c : cases) {
     ServerSettings settings;
-    settings.service = 0.001;
-    Pair p(settings);
+    settings.service_time = 0.001;
+    DirectCalls p(settings);
     p.server->run(c.script);
     p.call();
     EXPECT_EQ(p.last_call().end, c.end) << c.script;
@@ -206,13 +206,13 @@
     if (c.status == 200 && c.end == CallEnd::kAnswered) {
       EXPECT_EQ(p.last_attempt().answer_digest, p.last_call().answer_digest) << c.script;
     }
-    p.server->well();
+    p.server->clear_faults();
     EXPECT_EQ(p.call().all.served, 1U) << "well again after " << c.script;
   }
 }
 
 TEST(ScriptedServer, HitsEachNthAndKeepsItsTimes) {
-  Pair p;
+  DirectCalls p;
   p.server->run("every 3 error\nat 30 refuse\nreset-after-request for 0");
   EXPECT_TRUE(until([&] { return p.call().all.failed == 0; })) << "the reset has ended";
   const LoadResult result = p.call(30);
@@ -221,11 +221,11 @@
 }
 
 TEST(ScriptedServer, SaysThingsTwice) {
-  Pair p;
+  DirectCalls p;
   p.server->run("twice");
   EXPECT_EQ(p.call().all.served, 1U);
   EXPECT_TRUE(p.last_call().more);
-  p.server->well();
+  p.server->clear_faults();
   p.server->run("twice 0.01\nlate 0.03");  // the copy comes when the next request is out
   const LoadResult result = p.call(2);
   EXPECT_EQ(result.all.served, 1U);
@@ -233,7 +233,7 @@
 }
 
 TEST(ScriptedServer, RejectsWhatItAccepts) {
-  Pair p;
+  DirectCalls p;
   p.server->run("reject");
   EXPECT_EQ(p.call().all.served, 0U);
   ASSERT_FALSE(p.recorder.connections().empty());
@@ -243,7 +243,7 @@
 }
 
 TEST(ScriptedServer, SpeaksBeforeItIsAsked) {
-  Pair p;
+  DirectCalls p;
   p.server->run("early accept");
   const LoadResult result = p.call();
   EXPECT_EQ(result.all.failed, 1U) << "an answer to nobody";
@@ -252,10 +252,10 @@
 TEST(ScriptedServer, DropsRepeatsOfAKeyInItsGroup) {
   LoopThread thread;
   Recorder recorder;
-  const auto memory = std::make_shared<DedupMemory>();
+  const auto memory = std::make_shared<DedupStore>();
   ServerSettings settings;
   settings.recorder = &recorder;
-  settings.memory = memory;
+  settings.dedup_store = memory;
   ScriptedServer a(thread.loop(), settings), b(thread.loop(), settings);
   a.run("dedup 100");
   b.run("dedup 100");
@@ -280,8 +280,8 @@
 TEST(ScriptedServer, WorksOnAsManyAsItHasCoresAndTurnsAwayWhatWaitsTooLong) {
   ServerSettings settings;
   settings.cores = 1;
-  settings.service = 0.05;
-  settings.queue = 1;
+  settings.service_time = 0.05;
+  settings.queue_limit = 1;
   Recorder recorder;
   settings.recorder = &recorder;
   LoopThread thread;
@@ -311,8 +311,8 @@
 TEST(ScriptedServer, FallsOverWhenItIsPushedWhileCold) {
   ServerSettings settings;
   settings.cores = 1;
-  settings.service = 0.1;
-  Pair p(settings);
+  settings.service_time = 0.1;
+  DirectCalls p(settings);
   p.server->run("cold 0.5 60 1");  // half a second of work within a second, and no more
   LoadSettings load;
   load.targets = {{"s0", p.server->port()}};
@@ -322,16 +322,16 @@
   LoadClient client(p.thread.loop(), load);
   client.start();
   client.wait();
-  EXPECT_TRUE(p.server->fell_over());
+  EXPECT_TRUE(p.server->crashed_from_overload());
   ASSERT_EQ(p.recorder.fallen().size(), 1U);
   EXPECT_GT(p.recorder.fallen()[0].asked, p.recorder.fallen()[0].able);
   EXPECT_EQ(p.call().all.unsent, 1U) << "it stays down";
-  p.server->well();
+  p.server->clear_faults();
   EXPECT_EQ(p.call().all.served, 1U);
 }
 
 TEST(ScriptedServer, ClosesWhatIsIdle) {
-  Pair p;
+  DirectCalls p;
   EXPECT_EQ(p.call().all.served, 1U);
   const Fd idle = connect_to(p.server->port());
   EXPECT_TRUE(until([&] { return p.server->counts().open == 1; }));
@@ -345,17 +345,17 @@
 }
 
 // One connection of a node to discovery, read as text.
-struct Listener {
+struct DiscoveryClient {
   Fd fd;
   std::string text;
-  Listener(int port, const std::string& target) : fd(connect_to(port)) {
+  DiscoveryClient(int port, const std::string& target) : fd(connect_to(port)) {
     const std::string request = "GET " + target + " HTTP/1.1\r\nHost: x\r\n\r\n";
     until([&] {
       return send(fd.get(), request.data(), request.size(), MSG_NOSIGNAL) > 0 ||
              (errno != EAGAIN && errno != ENOTCONN);
     });
   }
-  bool hears(const std::string& part) {
+  bool receives(const std::string& part) {
     return until([&] {
       std::array<char, 4096> bytes{};
       const ssize_t got = recv(fd.get(), bytes.data(), bytes.size(), 0);
@@ -378,25 +378,25 @@
   ScriptedDiscovery discovery(thread.loop(), &recorder, 0.05);
   const int port = discovery.endpoint("n1");
   EXPECT_EQ(discovery.endpoint("n1"), port);
-  Listing a, b;
+  ServerEntry a, b;
   a.host = "s0";
   a.port = 1;
   b.host = "s1";
   b.port = 2;
-  discovery.set({a, b});
-  Listener whole(port, "/v1/servers");
-  EXPECT_TRUE(whole.hears("\"whole\":true"));
-  EXPECT_TRUE(whole.hears("127.0.0.1:2"));
-  Listener watch(port, "/v1/servers?stream=1");
-  EXPECT_TRUE(watch.hears("\"seq\":2,\"whole\":true"));
-  EXPECT_TRUE(watch.hears("\r\n1\r\n\n\r\n")) << "an empty line";
-  discovery.state("s0", "leaving");
-  EXPECT_TRUE(watch.hears("\"seq\":3,\"whole\":false"));
-  EXPECT_TRUE(watch.hears("\"health\":\"leaving\""));
-  discovery.state("s0", "left");
-  EXPECT_TRUE(watch.hears("\"health\":\"left\""));
-  Listener second(port, "/v1/servers?stream=1&index=3");
-  EXPECT_TRUE(second.hears("\"seq\":4,\"whole\":false"));
+  discovery.update({a, b});
+  DiscoveryClient whole(port, "/v1/servers");
+  EXPECT_TRUE(whole.receives("\"whole\":true"));
+  EXPECT_TRUE(whole.receives("127.0.0.1:2"));
+  DiscoveryClient watch(port, "/v1/servers?stream=1");
+  EXPECT_TRUE(watch.receives("\"seq\":2,\"whole\":true"));
+  EXPECT_TRUE(watch.receives("\r\n1\r\n\n\r\n")) << "an empty line";
+  discovery.set_health("s0", "leaving");
+  EXPECT_TRUE(watch.receives("\"seq\":3,\"whole\":false"));
+  EXPECT_TRUE(watch.receives("\"health\":\"leaving\""));
+  discovery.set_health("s0", "left");
+  EXPECT_TRUE(watch.receives("\"health\":\"left\""));
+  DiscoveryClient second(port, "/v1/servers?stream=1&index=3");
+  EXPECT_TRUE(second.receives("\"seq\":4,\"whole\":false"));
   EXPECT_EQ(discovery.list().size(), 1U);
   const std::vector<ToldRecord> told = recorder.told();
   const auto leaving =
@@ -412,31 +412,31 @@
   Recorder recorder;
   ScriptedDiscovery discovery(thread.loop(), &recorder, 0.05);
   const int port = discovery.endpoint("n1");
-  Listing a;
+  ServerEntry a;
   a.host = "s0";
   a.port = 1;
-  discovery.set(a);
-  Listener watch(port, "/v1/servers?stream=1");
-  EXPECT_TRUE(watch.hears("s0"));
-  EXPECT_EQ(discovery.watches(), 1U);
-  discovery.mode(ScriptedDiscovery::Mode::kUnavailable);
+  discovery.update(a);
+  DiscoveryClient watch(port, "/v1/servers?stream=1");
+  EXPECT_TRUE(watch.receives("s0"));
+  EXPECT_EQ(discovery.open_watches(), 1U);
+  discovery.set_mode(ScriptedDiscovery::Mode::kUnavailable);
   EXPECT_TRUE(watch.ended());
-  EXPECT_TRUE(Listener(port, "/v1/servers").hears("HTTP/1.1 503"));
-  discovery.mode(ScriptedDiscovery::Mode::kRefuse);
-  EXPECT_TRUE(Listener(port, "/v1/servers").ended());
-  discovery.mode(ScriptedDiscovery::Mode::kUp);
-  discovery.lag(0.1);
-  Listener late(port, "/v1/servers?stream=1&index=2");
-  EXPECT_TRUE(until([&] { return discovery.watches() == 1; }));
-  discovery.state("s0", "leaving");
-  EXPECT_TRUE(late.hears("leaving"));
+  EXPECT_TRUE(DiscoveryClient(port, "/v1/servers").receives("HTTP/1.1 503"));
+  discovery.set_mode(ScriptedDiscovery::Mode::kRefuse);
+  EXPECT_TRUE(DiscoveryClient(port, "/v1/servers").ended());
+  discovery.set_mode(ScriptedDiscovery::Mode::kUp);
+  discovery.set_delay(0.1);
+  DiscoveryClient late(port, "/v1/servers?stream=1&index=2");
+  EXPECT_TRUE(until([&] { return discovery.open_watches() == 1; }));
+  discovery.set_health("s0", "leaving");
+  EXPECT_TRUE(late.receives("leaving"));
   EXPECT_GE(recorder.told().back().told_at - recorder.told().back().changed_at, 0.1);
-  discovery.lag(0);
-  discovery.mode(ScriptedDiscovery::Mode::kSilent);
-  discovery.state("s0", "active");
-  Listener silent(port, "/v1/servers");
+  discovery.set_delay(0);
+  discovery.set_mode(ScriptedDiscovery::Mode::kSilent);
+  discovery.set_health("s0", "active");
+  DiscoveryClient silent(port, "/v1/servers");
   EXPECT_EQ(recorder.told().back().told_at, 0) << "it has said nothing";
-  discovery.mode(ScriptedDiscovery::Mode::kUp);
+  discovery.set_mode(ScriptedDiscovery::Mode::kUp);
   EXPECT_TRUE(until([&] { return recorder.told().back().told_at > 0; }));
 }
 
@@ -470,7 +470,7 @@
 }
 
 TEST(LoadClient, WritesOnceMoreWhatCrossesAClose) {
-  Pair p;
+  DirectCalls p;
   p.server->run("at 0 every 2 reset-after-request");  // not a close between requests: it was read
   const LoadResult result = p.call(4);
   EXPECT_EQ(result.all.served + result.all.failed, 4U);
@@ -532,8 +532,8 @@
   const int port = discovery.port();
   EXPECT_EQ(discovery.line(), "s0 127.0.0.1:3 leaving\n");
   EXPECT_EQ(discovery.line(), "s1 127.0.0.1:4 active\n");
-  Listener whole(port, "/v1/servers");
-  EXPECT_TRUE(whole.hears("\"host\":\"s1\",\"dial\":\"127.0.0.1:4\",\"site\":\"b\"")) << whole.text;
+  DiscoveryClient whole(port, "/v1/servers");
+  EXPECT_TRUE(whole.receives("\"host\":\"s1\",\"dial\":\"127.0.0.1:4\",\"site\":\"b\"")) << whole.text;
   kill(discovery.pid, SIGTERM);
   EXPECT_EQ(discovery.end(), 0);
   std::remove(commands.c_str());
--- a/tests/faults/world.h
+++ b/tests/faults/world.h
@@ -51,7 +51,7 @@
   Recorder recorder;
   ScriptedDiscovery discovery{thread.loop(), &recorder};
   std::vector<std::unique_ptr<ScriptedServer>> servers;
-  std::vector<Listing> listings;  // of the servers, by their place
+  std::vector<ServerEntry> listings;  // of the servers, by their place
   NodeConfig config;
   std::unique_ptr<NodeProcess> node;
   std::vector<NodeLife> lives;  // of nodes before this one
@@ -80,7 +80,7 @@
     settings.seed += place;
     settings.recorder = &recorder;
     servers.push_back(std::make_unique<ScriptedServer>(loop(), settings));
-    Listing listing;
+    ServerEntry listing;
     listing.host = settings.name;
     listing.port = servers.back()->port();
     listing.block = static_cast<int>(place / 2);
@@ -90,7 +90,7 @@
 
   void start() {
     config.discovery = discovery.endpoint(config.name);
-    discovery.set(listings);
+    discovery.update(listings);
     node = std::make_unique<NodeProcess>(node_binary(), config);
     node->await_ready();
   }
@@ -100,7 +100,7 @@
     out.targets = {{config.name, node->port()}};
     out.classes = usual_calls(timeout);
     out.recorder = const_cast<Recorder*>(&recorder);
-    out.patience = checked.late_slack + 0.2;
+    out.extra_wait = checked.late_slack + 0.2;
     return out;
   }
 
@@ -121,7 +121,7 @@
   std::vector<Violation> violations() {
     if (checked.classes.empty()) {
       for (const NodeClass& c : config.classes) checked.classes.push_back(standins::checked(c));
-      for (const Listing& s : listings) checked.servers.push_back({s.host, s.site, s.block});
+      for (const ServerEntry& s : listings) checked.servers.push_back({s.host, s.site, s.block});
     }
     return Checker(checked).check(evidence());
   }
--- a/tests/lab/emulator_test.cpp
+++ b/tests/lab/emulator_test.cpp
@@ -42,7 +42,7 @@
   std::string log;
   Simulation s(seed);
   for (int i = 0; i < 20; ++i) s.add(gossips(20, &log), static_cast<std::uint32_t>(i % 2));
-  standins::WayFaults network;
+  standins::LinkFaults network;
   network.delay = 0.01;
   network.jitter = 0.1;
   network.loss = 0.2;
@@ -90,7 +90,7 @@
   Simulation s(1);
   for (int i = 0; i < 4; ++i) s.add(gossips(4, &log), static_cast<std::uint32_t>(i / 2));
   for (ActorId i = 0; i < 4; ++i) s.start(i);
-  standins::WayFaults cut;
+  standins::LinkFaults cut;
   cut.cut = true;
   s.set_zones(0, 1, cut);
   s.set_way(0, 1, cut);
@@ -126,7 +126,7 @@
   constexpr std::size_t kAll = 10'000;
   Simulation s(4);
   for (std::size_t i = 0; i < kAll; ++i) s.add(gossips(kAll));
-  standins::WayFaults network;
+  standins::LinkFaults network;
   network.delay = 0.005;
   network.loss = 0.1;
   s.set_network(network);
--- a/tests/lab/links_test.cpp
+++ b/tests/lab/links_test.cpp
@@ -19,16 +19,16 @@
 namespace nettlestand::standins {
 namespace {
 
-constexpr int kPatienceMs = 20'000;  // only ends a test that would hang
-constexpr int kQuietMs = 150;        // in which nothing must come
+constexpr int kTestTimeoutMs = 20'000;  // only ends a test that would hang
+constexpr int kQuietMs = 150;           // in which nothing must come
 
-int wait_for(const Fd& fd, short events, int ms = kPatienceMs) {
+int wait_for(const Fd& fd, short events, int ms = kTestTimeoutMs) {
   pollfd p{fd.get(), events, 0};
   return poll(&p, 1, ms) > 0 ? p.revents : 0;
 }
 
 // How a connect ended: 0, an error number, or -1 where it is still unanswered.
-int connected(const Fd& fd, int ms = kPatienceMs) {
+int connected(const Fd& fd, int ms = kTestTimeoutMs) {
   if (wait_for(fd, POLLOUT, ms) == 0) return -1;
   int error = 0;
   socklen_t size = sizeof error;
@@ -42,7 +42,7 @@
 }
 
 // What can be read now: the bytes, and "FIN", "RST" or nothing behind them.
-std::string read_some(const Fd& fd, int ms = kPatienceMs) {
+std::string read_some(const Fd& fd, int ms = kTestTimeoutMs) {
   if (wait_for(fd, POLLIN, ms) == 0) return "quiet";
   char bytes[4096];
   const ssize_t got = recv(fd.get(), bytes, sizeof bytes, 0);
@@ -61,13 +61,13 @@
   return out;
 }
 
-void put(const Fd& fd, const std::string& text) {
+void send_text(const Fd& fd, const std::string& text) {
   ASSERT_EQ(send(fd.get(), text.data(), text.size(), MSG_NOSIGNAL), static_cast<ssize_t>(text.size()));
 }
 
 bool until(const std::function<bool()>& holds) {
   for (const double from = now(); !holds();) {
-    if (now() - from > kPatienceMs / 1000.0) return false;
+    if (now() - from > kTestTimeoutMs / 1000.0) return false;
     std::this_thread::sleep_for(std::chrono::milliseconds(2));
   }
   return true;
@@ -76,7 +76,7 @@
 struct Links : testing::Test {
   LoopThread thread;
   Network net{thread.loop(), 5};
-  int a = net.machine(), b = net.machine();
+  int a = net.add_machine(), b = net.add_machine();
   Fd listener = listen_on(Address{net.ip(b), 0});
   int port = address_of(listener.get()).port;
   Address at = net.tcp(a, b, port);
@@ -91,13 +91,13 @@
     EXPECT_TRUE(far);
     return {std::move(near), std::move(far)};
   }
-  std::uint64_t fault(int from, int to, const std::function<void(WayFaults&)>& set) {
-    WayFaults faults;
+  std::uint64_t fault(int from, int to, const std::function<void(LinkFaults&)>& set) {
+    LinkFaults faults;
     set(faults);
     return net.begin(from, to, faults);
   }
   std::uint64_t cut(int from, int to) {
-    return fault(from, to, [](WayFaults& f) { f.cut = true; });
+    return fault(from, to, [](LinkFaults& f) { f.cut = true; });
   }
 };
 
@@ -108,10 +108,10 @@
   getpeername(far.get(), reinterpret_cast<sockaddr*>(&who), &size);
   char text[INET_ADDRSTRLEN];
   inet_ntop(AF_INET, &who.sin_addr, text, sizeof text);
-  EXPECT_EQ(net.way(b, a), text);
-  put(near, "there");
+  EXPECT_EQ(net.link_ip(b, a), text);
+  send_text(near, "there");
   EXPECT_EQ(read_some(far), "there");
-  put(far, "back");
+  send_text(far, "back");
   EXPECT_EQ(read_some(near), "back");
   EXPECT_EQ(net.counts(a, b).bytes, 5U);
   EXPECT_EQ(net.counts(b, a).bytes, 4U);
@@ -136,10 +136,10 @@
 
 TEST_F(Links, ARefusedConnectIsRefusedAndOneThatIsTakenComesUp) {
   listener.close();
-  net.look();
+  net.refresh_listeners();
   EXPECT_EQ(connected(connect_to(at)), ECONNREFUSED);
   listener = listen_on(Address{net.ip(b), port});
-  net.look();
+  net.refresh_listeners();
   pair();
   listener.close();
   // Without a look of ours the link finds it out by itself.
@@ -161,7 +161,7 @@
   listen(listener.get(), 0);
   const Fd first = connect_to(Address{net.ip(b), port});  // takes the only place
   ASSERT_EQ(connected(first), 0);
-  net.look();
+  net.refresh_listeners();
   const Fd waits = connect_to(at);
   EXPECT_EQ(connected(waits, kQuietMs), -1);
   listen(listener.get(), 16);
@@ -171,11 +171,11 @@
 TEST_F(Links, FinIsFinAndResetIsResetBehindWhatWasSentBefore) {
   {
     auto [near, far] = pair();
-    put(near, "last words");
+    send_text(near, "last words");
     shutdown(near.get(), SHUT_WR);
     EXPECT_EQ(read_some(far), "last words");
     EXPECT_EQ(read_some(far), "FIN");
-    put(far, "still heard");  // half closed is not closed
+    send_text(far, "still heard");  // half closed is not closed
     EXPECT_EQ(read_some(near), "still heard");
     far.close();
     EXPECT_EQ(read_some(near), "FIN");
@@ -192,7 +192,7 @@
     auto [near, far] = pair();
     near.close();  // all of it: what is sent there now is answered with a reset
     EXPECT_EQ(read_some(far), "FIN");
-    put(far, "to nobody");
+    send_text(far, "to nobody");
     EXPECT_TRUE(until([&] { return (wait_for(far, POLLIN) & POLLERR) != 0; }))
         << "as a direct connection tells it";
   }
@@ -201,8 +201,8 @@
 TEST_F(Links, ACutWayIsSilentWhileTheOtherSpeaks) {
   auto [near, far] = pair();
   const std::uint64_t fault = cut(a, b);
-  put(near, "unheard");
-  put(far, "heard");
+  send_text(near, "unheard");
+  send_text(far, "heard");
   EXPECT_EQ(read_some(near), "heard");
   EXPECT_EQ(read_some(far, kQuietMs), "quiet");
   net.end(fault);
@@ -261,38 +261,38 @@
   net.half_open(a, b);
   EXPECT_EQ(read_some(near), "RST");
   EXPECT_EQ(read_some(far, kQuietMs), "quiet");
-  put(far, "anybody there?");
+  send_text(far, "anybody there?");
   EXPECT_EQ(read_some(far), "RST");
 }
 
 // Lower bounds alone: a busy machine may only be later.
 TEST_F(Links, DelaysAndNarrowBandsHoldStreamsBack) {
-  fault(a, b, [](WayFaults& f) { f.delay = 0.1; });
+  fault(a, b, [](LinkFaults& f) { f.delay = 0.1; });
   auto [near, far] = pair();
   double from = now();
-  put(near, "late");
+  send_text(near, "late");
   EXPECT_EQ(read_some(far), "late");
   EXPECT_GE(now() - from, 0.1);
   from = now();
-  put(far, "at once");
+  send_text(far, "at once");
   EXPECT_EQ(read_some(near), "at once");
-  fault(a, b, [](WayFaults& f) { f.bandwidth = 100'000; });
+  fault(a, b, [](LinkFaults& f) { f.bandwidth = 100'000; });
   from = now();
-  put(near, std::string(20'000, 'x'));
+  send_text(near, std::string(20'000, 'x'));
   read_all(far, 20'000);
   EXPECT_GE(now() - from, 0.3) << "0.1 s of delay and 0.2 s of band";
 }
 
 TEST_F(Links, LossDelaysStreamsAndKeepsTheirOrder) {
   auto [near, far] = pair();
-  fault(a, b, [](WayFaults& f) {
+  fault(a, b, [](LinkFaults& f) {
     f.loss = 0.3;
     f.jitter = 0.01;
   });
   std::string all;
   for (int i = 0; i < 30; ++i) {
     all += std::to_string(i) + ",";
-    put(near, std::to_string(i) + ",");
+    send_text(near, std::to_string(i) + ",");
     std::this_thread::sleep_for(std::chrono::milliseconds(1));  // pieces of their own
   }
   EXPECT_EQ(read_all(far, all.size()), all);
@@ -303,14 +303,14 @@
   Address to_b = net.udp(a, address_of(one.get()).port, b, address_of(two.get()).port);
   Address to_a = net.udp(b, address_of(two.get()).port, a, address_of(one.get()).port);
 
-  static void say(const Fd& from, const Address& to, const std::string& text) {
+  static void send_to(const Fd& from, const Address& to, const std::string& text) {
     sockaddr_in at{};
     at.sin_family = AF_INET;
     at.sin_port = htons(static_cast<std::uint16_t>(to.port));
     inet_pton(AF_INET, to.ip.c_str(), &at.sin_addr);
     sendto(from.get(), text.data(), text.size(), 0, reinterpret_cast<const sockaddr*>(&at), sizeof at);
   }
-  static std::string hear(const Fd& at, Address* who = nullptr, int ms = kPatienceMs) {
+  static std::string receive(const Fd& at, Address* who = nullptr, int ms = kTestTimeoutMs) {
     if (wait_for(at, POLLIN, ms) == 0) return "quiet";
     char bytes[2048];
     sockaddr_in from{};
@@ -325,69 +325,69 @@
 };
 
 TEST_F(Datagram, ArrivesFromTheAddressByWhichTheSenderIsKnown) {
-  say(one, to_b, "there");
+  send_to(one, to_b, "there");
   Address who;
-  EXPECT_EQ(hear(two, &who), "there");
+  EXPECT_EQ(receive(two, &who), "there");
   EXPECT_EQ(who, to_a);
-  say(two, who, "back");
-  EXPECT_EQ(hear(one, &who), "back");
+  send_to(two, who, "back");
+  EXPECT_EQ(receive(one, &who), "back");
   EXPECT_EQ(who, to_b);
 }
 
 TEST_F(Datagram, ToAllReachesAllThatAreTied) {
-  const int c = net.machine();
+  const int c = net.add_machine();
   const Fd three = datagrams_at(Address{net.ip(c), 0});
   net.udp(a, address_of(one.get()).port, c, address_of(three.get()).port);
-  say(one, net.udp_all(a, address_of(one.get()).port), "all");
-  EXPECT_EQ(hear(two), "all");
-  EXPECT_EQ(hear(three), "all");
-  EXPECT_EQ(hear(one, nullptr, kQuietMs), "quiet");
+  send_to(one, net.udp_broadcast(a, address_of(one.get()).port), "all");
+  EXPECT_EQ(receive(two), "all");
+  EXPECT_EQ(receive(three), "all");
+  EXPECT_EQ(receive(one, nullptr, kQuietMs), "quiet");
 }
 
 TEST_F(Datagram, StrangersAreDropped) {
   const Fd stranger = datagrams_at(Address{net.ip(b), 0});
-  say(stranger, to_b, "let me in");
-  EXPECT_TRUE(until([&] { return net.counts(a, b).strangers == 1; }));
-  say(one, to_b, "next");
-  EXPECT_EQ(hear(two), "next");
+  send_to(stranger, to_b, "let me in");
+  EXPECT_TRUE(until([&] { return net.counts(a, b).unknown_senders == 1; }));
+  send_to(one, to_b, "next");
+  EXPECT_EQ(receive(two), "next");
 }
 
 TEST_F(Datagram, IsCutOneWay) {
   const std::uint64_t fault = cut(a, b);
-  say(one, to_b, "lost");
-  say(two, to_a, "heard");
-  EXPECT_EQ(hear(one), "heard");
+  send_to(one, to_b, "lost");
+  send_to(two, to_a, "heard");
+  EXPECT_EQ(receive(one), "heard");
   EXPECT_TRUE(until([&] { return net.counts(a, b).sent == 1; }));
   net.end(fault);
-  say(one, to_b, "after");
-  EXPECT_EQ(hear(two), "after") << "what was lost stays lost";
+  send_to(one, to_b, "after");
+  EXPECT_EQ(receive(two), "after") << "what was lost stays lost";
 }
 
 TEST_F(Datagram, IsDoubledCorruptedReorderedAndLost) {
-  std::uint64_t f = fault(a, b, [](WayFaults& x) { x.duplicate = 1; });
-  say(one, to_b, "twin");
-  EXPECT_EQ(hear(two), "twin");
-  EXPECT_EQ(hear(two), "twin");
+  std::uint64_t f = fault(a, b, [](LinkFaults& x) { x.duplicate = 1; });
+  send_to(one, to_b, "twin");
+  EXPECT_EQ(receive(two), "twin");
+  EXPECT_EQ(receive(two), "twin");
   net.end(f);
-  f = fault(a, b, [](WayFaults& x) { x.corrupt = 1; });
+  f = fault(a, b, [](LinkFaults& x) { x.corrupt = 1; });
   const std::string sent(100, 'q');
-  say(one, to_b, sent);
-  const std::string got = hear(two);
+  send_to(one, to_b, sent);
+  const std::string got = receive(two);
   ASSERT_EQ(got.size(), sent.size());
   int bits = 0;
   for (std::size_t i = 0; i < got.size(); ++i)
     bits += __builtin_popcount(static_cast<unsigned char>(got[i] ^ sent[i]));
   EXPECT_EQ(bits, 1);
   net.end(f);
-  f = fault(a, b, [](WayFaults& x) {
+  f = fault(a, b, [](LinkFaults& x) {
     x.reorder = 0.5;
     x.delay = 0.01;
   });
   std::set<int> all;
   bool in_order = true;
-  for (int i = 0; i < 50; ++i) say(one, to_b, std::to_string(i));
+  for (int i = 0; i < 50; ++i) send_to(one, to_b, std::to_string(i));
   for (int i = 0, last = -1; i < 50; ++i) {
-    const int at = std::stoi(hear(two));
+    const int at = std::stoi(receive(two));
     in_order = in_order && at > last;
     last = at;
     all.insert(at);
@@ -395,27 +395,28 @@
   EXPECT_EQ(all.size(), 50U);
   EXPECT_FALSE(in_order);
   net.end(f);
-  fault(a, b, [](WayFaults& x) { x.loss = 1; });
-  say(one, to_b, "lost");
+  fault(a, b, [](LinkFaults& x) { x.loss = 1; });
+  send_to(one, to_b, "lost");
   EXPECT_TRUE(until([&] { return net.counts(a, b).sent >= 53; }));
-  EXPECT_EQ(hear(two, nullptr, kQuietMs), "quiet");
+  EXPECT_EQ(receive(two, nullptr, kQuietMs), "quiet");
 }
 
 // ------------------------------------------------------------ the deciding half
 
 TEST(Way, IsTheSameForTheSameSeed) {
-  WayFaults f;
+  LinkFaults f;
   f.loss = 0.2;
   f.burst = 3;
   f.jitter = 0.1;
   f.duplicate = f.reorder = f.corrupt = 0.3;
   const auto course = [&](std::uint64_t seed) {
-    Way way(seed);
+    LinkModel way(seed);
     way.set(f);
     std::vector<double> out;
     for (int i = 0; i < 500; ++i) {
-      for (const Way::Delivery& d : way.datagram(i * 0.01, 100)) out.push_back(d.at + (d.corrupt ? 1000 : 0));
-      out.push_back(way.piece(i * 0.01, 100, 0));
+      for (const LinkModel::Delivery& d : way.datagram_arrivals(i * 0.01, 100))
+        out.push_back(d.at + (d.corrupt ? 1000 : 0));
+      out.push_back(way.stream_arrival(i * 0.01, 100, 0));
     }
     return out;
   };
@@ -425,8 +426,8 @@
 
 TEST(Way, LosesItsShareEvenlyAndInBursts) {
   for (const double burst : {1.0, 5.0}) {
-    Way way(3);
-    WayFaults f;
+    LinkModel way(3);
+    LinkFaults f;
     f.loss = 0.25;
     f.burst = burst;
     way.set(f);
@@ -434,7 +435,7 @@
     bool before = false;
     constexpr int kCount = 200'000;
     for (int i = 0; i < kCount; ++i) {
-      const bool gone = way.datagram(i, 100).empty();
+      const bool gone = way.datagram_arrivals(i, 100).empty();
       lost += gone ? 1 : 0;
       runs += gone && !before ? 1 : 0;
       before = gone;
@@ -445,7 +446,7 @@
 }
 
 TEST(Way, FaultsTogetherAreNeverLessThanEach) {
-  WayFaults a, b;
+  LinkFaults a, b;
   a.loss = 0.5;
   a.delay = 0.1;
   a.bandwidth = 1000;
@@ -453,7 +454,7 @@
   b.jitter = 0.2;
   b.bandwidth = 500;
   b.cut = true;
-  for (const WayFaults& both : {join(a, b), join(b, a)}) {
+  for (const LinkFaults& both : {combine(a, b), combine(b, a)}) {
     EXPECT_DOUBLE_EQ(both.loss, 0.75);
     EXPECT_DOUBLE_EQ(both.delay, 0.1);
     EXPECT_DOUBLE_EQ(both.jitter, 0.2);
@@ -463,24 +464,24 @@
 }
 
 TEST(Way, StreamsKeepTheirOrderAndBandsTheirRate) {
-  Way way(9);
-  WayFaults f;
+  LinkModel way(9);
+  LinkFaults f;
   f.loss = 0.4;
   f.jitter = 0.5;
   f.bandwidth = 1000;
   way.set(f);
   double last = 0;
   for (int i = 0; i < 1000; ++i) {
-    const double at = way.piece(0, 100, last);
+    const double at = way.stream_arrival(0, 100, last);
     EXPECT_GE(at, last);
     EXPECT_GE(at, 0.1 * (i + 1)) << "100 bytes take 0.1 s";
     last = at;
   }
   f.cut = true;
   way.set(f);
-  EXPECT_EQ(way.piece(0, 1, last), Way::kNever);
-  EXPECT_EQ(way.handshake(), Way::kNever);
-  EXPECT_TRUE(way.datagram(0, 1).empty());
+  EXPECT_EQ(way.stream_arrival(0, 1, last), LinkModel::kNever);
+  EXPECT_EQ(way.handshake_time(), LinkModel::kNever);
+  EXPECT_TRUE(way.datagram_arrivals(0, 1).empty());
 }
 
 }  // namespace
--- a/tests/lab/world_test.cpp
+++ b/tests/lab/world_test.cpp
@@ -140,7 +140,7 @@
   EXPECT_DOUBLE_EQ(one.lasts, 2);
   EXPECT_EQ(one.figures, (std::vector<double>{0.25, 4}));
   const auto server = read_world_script("s0: chance 0.1 error for 3", kCast).at(0);
-  EXPECT_EQ(server.server.verb, Verb::kError);
+  EXPECT_EQ(server.server.kind, FaultKind::kError);
   EXPECT_DOUBLE_EQ(server.lasts, 3);
 }
 
--- a/tests/library/random_rules_test.cpp
+++ b/tests/library/random_rules_test.cpp
@@ -36,24 +36,24 @@
   si::Recorder recorder;
   si::ScriptedDiscovery discovery(thread.loop(), &recorder, 0.5);
   std::vector<std::unique_ptr<si::ScriptedServer>> servers;
-  std::vector<si::Listing> listings;
+  std::vector<si::ServerEntry> listings;
   const auto add = [&](int cell) {
     si::ServerSettings settings;
     settings.name = "s" + std::to_string(servers.size());
     settings.seed = servers.size() + 1;
     settings.cores = 4;
-    settings.service = 0.002;
+    settings.service_time = 0.002;
     settings.exponential = true;
     settings.recorder = &recorder;
     servers.push_back(std::make_unique<si::ScriptedServer>(thread.loop(), settings));
-    si::Listing listing;
+    si::ServerEntry listing;
     listing.host = settings.name;
     listing.port = servers.back()->port();
     listing.block = cell;
     listings.push_back(listing);
   };
   for (int i = 0; i < 6; ++i) add(i / 2);
-  discovery.set(listings);
+  discovery.update(listings);
 
   Options custom = options({}, 1500);
   custom.discovery = "127.0.0.1:" + std::to_string(discovery.endpoint("n1"));
@@ -135,7 +135,7 @@
   int kills = 0, drains = 0, cold_starts = 0;
   while (si::now() - started_at < run_seconds()) {
     const std::size_t index = random() % 6;
-    si::Listing& listing = listings[index];
+    si::ServerEntry& listing = listings[index];
     switch (random() % 3) {
       case 0:  // killed, and back a moment later
         ++kills;
@@ -144,18 +144,18 @@
         break;
       case 1:  // drains, and is back
         ++drains;
-        discovery.state(listing.host, "leaving");
+        discovery.set_health(listing.host, "leaving");
         pause(0.3, 1.5);
-        discovery.state(listing.host, "active");
+        discovery.set_health(listing.host, "active");
         break;
       default:  // goes, and another comes cold under its name and at its address
         ++cold_starts;
-        discovery.state(listing.host, "leaving");
+        discovery.set_health(listing.host, "leaving");
         pause(0.2, 0.6);
         listing.born_ms = si::unix_ms();
-        servers[index]->well();
+        servers[index]->clear_faults();
         servers[index]->run("cold 0.3 6 4");
-        discovery.set(listing);
+        discovery.update(listing);
         pause(0.3, 1);
         break;
     }
@@ -176,7 +176,7 @@
   for (const Class& c : kClasses) {
     checked.classes.push_back({c.name, c.checked, si::CheckedClass::Group::kCell, 4});
   }
-  for (const si::Listing& s : listings) checked.servers.push_back({s.host, s.site, s.block});
+  for (const si::ServerEntry& s : listings) checked.servers.push_back({s.host, s.site, s.block});
   const auto found = si::Checker(checked).check(
       {recorder.calls(), recorder.attempts(), recorder.told(), recorder.fallen(), {}});
   EXPECT_TRUE(found.empty()) << si::to_text(found).substr(0, 4000);
--- a/tests/peers/membership_test.cpp
+++ b/tests/peers/membership_test.cpp
@@ -9,16 +9,16 @@
 namespace nettlestand::peers::testing {
 namespace {
 
-standins::WayFaults loss(double part, double burst = 1) {
-  standins::WayFaults out;
+standins::LinkFaults loss(double part, double burst = 1) {
+  standins::LinkFaults out;
   out.delay = 0.002;
   out.jitter = 0.004;
   out.loss = part;
   out.burst = burst;
   return out;
 }
-standins::WayFaults cut() {
-  standins::WayFaults out;
+standins::LinkFaults cut() {
+  standins::LinkFaults out;
   out.cut = true;
   return out;
 }
@@ -193,7 +193,7 @@
 
 TEST(Peers, DuplicatesReorderingAndCorruptionAreBorne) {
   Fleet fleet(20, 6);
-  standins::WayFaults network = loss(0.05);
+  standins::LinkFaults network = loss(0.05);
   network.duplicate = 0.3;
   network.reorder = 0.3;
   network.corrupt = 0.1;
--- a/tests/peers/processes_test.cpp
+++ b/tests/peers/processes_test.cpp
@@ -83,7 +83,7 @@
 #define ASSERT_EVENTUALLY(...) ASSERT_TRUE(ProcessWorld::until([&] { return __VA_ARGS__; })) << #__VA_ARGS__
 
 std::uint64_t cut(ProcessWorld& w, std::size_t from, std::size_t to) {
-  WayFaults f;
+  LinkFaults f;
   f.cut = true;
   return w.network().begin(w.machine(from), w.machine(to), f);
 }
@@ -173,7 +173,7 @@
     w.end_node(i, SIGKILL);
     NodeConfig config = w.config_of(i);
     config.others[1 - i] = "127.0.0.1:9";
-    config.everyone = w.network().udp_all(w.machine(i), w.peer_port()).text();
+    config.everyone = w.network().udp_broadcast(w.machine(i), w.peer_port()).text();
     nodes.push_back(std::make_unique<NodeProcess>(NODE, config, w.options_of(i)));
   }
   ASSERT_EVENTUALLY(count_events(nodes[0]->log(), "member_alive", "n1") +
@@ -384,7 +384,7 @@
 // A process outside the world, on a machine of its own that all nodes reach.
 struct ExtraNode {
   ExtraNode(ProcessWorld& w, std::size_t nodes, std::size_t as) {
-    machine = w.network().machine();
+    machine = w.network().add_machine();
     NodeConfig config = w.config_of(as);
     config.ip = w.network().ip(machine);
     config.listen = 0;
@@ -464,7 +464,7 @@
 
 // A socket whose datagrams reach a node from the same address as another member's.
 struct ForgedSender {
-  ForgedSender(ProcessWorld& w, std::size_t target) : network(w.network()), machine(network.machine()) {
+  ForgedSender(ProcessWorld& w, std::size_t target) : network(w.network()), machine(network.add_machine()) {
     fd = Fd(::socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
     sockaddr_in at = address({network.ip(machine), 0});
     socklen_t size = sizeof at;
--- a/tests/process_worlds.h
+++ b/tests/process_worlds.h
@@ -21,7 +21,7 @@
     out.zones.push_back({std::string(1, static_cast<char>('a' + i)), i < 2 ? "west" : "east", 1});
   }
   out.server.cores = 4;
-  out.server.service = 0.004;
+  out.server.service_time = 0.004;
   out.server.exponential = true;
   out.node.tenants = {{"acme", 100000}};
   return out;
