--- a/standins/callers/load.cpp
+++ b/standins/callers/load.cpp
@@ -21,11 +21,11 @@
 namespace nettlestand::standins {
 namespace {
 
-constexpr double kTimeoutCheckInterval = 0.005;  // s between looks for calls whose time is up
-constexpr double kReconnectDelay =
-    0.01;  // s before a caller of the closed loop that can't connect tries again
+constexpr double kTimeoutCheckInterval = 0.005;  // s between checks for timed-out calls
+constexpr double kReconnectDelay = 0.01;         // s before a closed-loop caller retries a failed connect
 constexpr std::size_t kNone = static_cast<std::size_t>(-1);
 
+// Seeded random numbers for arrivals, classes and tenants.
 class Random {
  public:
   explicit Random(std::uint64_t seed) : engine_(seed) {}
@@ -140,6 +140,7 @@
 
  private:
   struct Connection;
+  // A call and its current attempt. `due` is when the attempt should start, `first_due` that of the first.
   struct Call {
     std::string id, key, first_id;
     double first_due = 0;
@@ -159,7 +160,7 @@
     const std::size_t target;
     const std::uint64_t id;
     bool connected = false, busy = false, used = false, wants_out = true, close_after = false;
-    std::uint64_t serial = 0;  // of the call on it
+    std::uint64_t serial = 0;  // counts calls on this connection
     Call call;
     std::string out, in;
     std::size_t written = 0;
@@ -168,19 +169,20 @@
     BodyReader body;
     std::size_t last_record = kNone;
   };
+  // A call to be checked for a timeout; `serial` tells it from later calls on its connection.
   struct PendingTimeout {
     double until;
     std::uint64_t connection, serial;
   };
 
-  // ------------------------------------------------------------ when to call
+  // ------------------------------------------------------------ starting calls
 
   bool may_begin() const {
     return running_ && !stopped_ && now() < started_at_ + s.seconds &&
            (s.calls == 0 || started_calls_ < s.calls);
   }
 
-  // Each tenant's part of the calls now, of which those that flood have more; returns the sum.
+  // Updates the share of each tenant, with active floods included. Returns the sum of the shares.
   double update_tenant_shares() {
     const double at = now() - started_at_;
     double sum = 0;
@@ -196,6 +198,7 @@
     return sum;
   }
 
+  // Draws an index with probabilities in proportion to `shares`.
   std::size_t draw(const std::vector<double>& shares) {
     if (shares.size() == 1) return 0;
     double sum = 0;
@@ -206,6 +209,7 @@
     return i;
   }
 
+  // Open loop: starts the calls that are due and schedules the next arrival.
   void start_due_calls() {
     double base_share = 0;
     for (const LoadTenant& tenant : s.tenants) base_share += tenant.share;
@@ -239,7 +243,7 @@
     dispatch(std::move(call));
   }
 
-  // A client comes again with what was not served.
+  // A client retries a call that was not served, under a new request id and idempotency key.
   void retry(Call call) {
     call.id = hex(prefix_ + ++last_id_ * 0x9E3779B97F4A7C15ULL);
     ++call.attempts;
@@ -249,6 +253,7 @@
     dispatch(std::move(call));
   }
 
+  // Sends a call on an idle connection to the next target, or on a new one.
   void dispatch(Call&& call) {
     const std::size_t target = next_target_++ % s.targets.size();
     while (!idle_[target].empty()) {
@@ -329,7 +334,7 @@
         {c.call.sent_at + s.classes[c.call.class_index].timeout + s.extra_wait, c.id, c.serial});
   }
 
-  // ------------------------------------------------------------ what comes back
+  // ------------------------------------------------------------ responses
 
   void ready(Connection& c, std::uint32_t events) {
     if (!c.connected) {
@@ -351,7 +356,7 @@
     const ssize_t got = recv(c.fd.get(), scratch_.data(), scratch_.size(), 0);
     if (got < 0 && (errno == EAGAIN || errno == EINTR)) return;
     if (got <= 0) return on_connection_lost(c, got < 0);
-    if (!c.busy) {  // nobody has asked
+    if (!c.busy) {  // unsolicited bytes
       if (c.last_record != kNone) s.recorder->call(c.last_record, [](CallRecord& r) { r.more = true; });
       return drop(c);
     }
@@ -396,7 +401,7 @@
     }
     if (c.in_body || !c.in.empty()) return end(c, CallEnd::kCut, c.status);
     if (!c.used || c.call.again_at > 0) return end(c, CallEnd::kClosed, 0);
-    // The node closed it as the request was on its way: once more, on a new one.
+    // The node closed an idle connection while the request was in transit: retry once on a new connection.
     Call call = std::move(c.call);
     call.again_at = now();
     const std::size_t target = c.target;
@@ -405,6 +410,7 @@
     open(target, std::move(call));
   }
 
+  // Ends the call on a connection, which is then kept for further calls or closed.
   void end(Connection& c, CallEnd how, int status) {
     const bool more = how == CallEnd::kAnswered && !c.in.empty();
     const double at = s.recorder != nullptr && how == CallEnd::kAnswered ? last_arrival(c.fd.get()) : now();
@@ -427,7 +433,7 @@
     idle_[c.target].push_back(c.id);
   }
 
-  // The closed loop goes on.
+  // Starts the next call of a closed-loop caller whose connection was closed.
   void continue_closed_loop(CallEnd how) {
     if (s.rate > 0) return;
     if (how != CallEnd::kNoConnect) return start_call(now());
@@ -436,6 +442,8 @@
     });
   }
 
+  // Counts and records the end of a call, and schedules a retry if one is due. `more`: bytes followed the
+  // response; `body_matches`: the body is the one for this call.
   void finish(Connection* c, const Call& call, std::size_t target, CallEnd how, double at, int status,
               std::uint64_t digest, bool more, bool body_matches = false) {
     const LoadClass& load_class = s.classes[call.class_index];
@@ -487,15 +495,16 @@
                   [this, call, alive = std::weak_ptr<int>(alive_)]() mutable {
                     if (!alive.expired()) retry(std::move(call));
                   });
-      return;  // its client is still there
+      return;  // the call is still in flight: its client will retry
     }
     --in_flight_;
     if (c == nullptr) continue_closed_loop(how);
     finish_if_done();
   }
 
-  // ------------------------------------------------------------ time
+  // ------------------------------------------------------------ timeouts
 
+  // Ends the calls whose timeout is over, every kTimeoutCheckInterval.
   void check_timeouts() {
     const double at = now();
     for (std::deque<PendingTimeout>& pending : pending_timeouts_) {
@@ -506,7 +515,7 @@
         if (c != nullptr && c->busy && c->serial == due.serial) end(*c, CallEnd::kTimedOut, 0);
       }
     }
-    // Connections that never come up, and requests that are never taken.
+    // Connects without a reply, and requests that can't be written.
     if (at - last_slow_check_ > 0.1) {
       last_slow_check_ = at;
       std::vector<Connection*> stuck;
@@ -563,7 +572,7 @@
   std::size_t next_target_ = 0;
   std::vector<double> class_shares_, tenant_shares_;
   std::vector<LoadCounts> counts_;                            // by class and tenant
-  std::vector<std::deque<PendingTimeout>> pending_timeouts_;  // by class: their time-outs come in order
+  std::vector<std::deque<PendingTimeout>> pending_timeouts_;  // per class, so that they are ordered by time
   std::vector<std::vector<std::uint64_t>> idle_;              // by target
   std::unordered_map<std::uint64_t, std::unique_ptr<Connection>> connections_;
   std::array<char, 64 * 1024> scratch_{};
--- a/standins/callers/load_main.cpp
+++ b/standins/callers/load_main.cpp
@@ -1,4 +1,4 @@
-// nettlestand-load: callers of a node as a program.
+// nettlestand-load: the load generator as a standalone program.
 #include <cstdio>
 #include <exception>
 #include <stdexcept>
@@ -41,7 +41,7 @@
   return out;
 }
 
-// The value of `name=value` for a field that is one.
+// Parses a field of the form NAME=NUMBER; returns the number and stores the name.
 double value(const std::string& field, const std::string& option, std::string* name) {
   const std::vector<std::string> pair = si::Options::split(field, '=');
   if (pair.size() != 2) throw std::invalid_argument("--" + option + ": '" + field + "' is not NAME=VALUE");
--- a/standins/relay/main.cpp
+++ b/standins/relay/main.cpp
@@ -1,7 +1,6 @@
-// nettlestand-plain-relay: a yardstick. It sends each request to the server with the least in flight, keeps
-// connections, and does nothing else: no limits, no retries, no health, no deadlines. It reads with the same
-// parser and waits on the same poller as the node, so that what differs between the two is what the node
-// does.
+// nettlestand-plain-relay: baseline for benchmarks. It forwards each request to the server with the fewest
+// requests in flight and reuses connections, without limits, retries, health checks or deadlines. It uses the
+// same parser and poller as the node, so that a difference in cost is due to what the node does in addition.
 #include <signal.h>
 
 #include <CLI/CLI.hpp>
@@ -44,11 +43,12 @@
   std::vector<Server> servers;
   std::size_t next_server = 0;
   std::array<char, 64 * 1024> scratch{};
-  std::vector<std::unique_ptr<class Upstream>> closed_upstreams;      // ended within a batch of events
-  std::vector<std::unique_ptr<class Downstream>> closed_downstreams;  // the same
+  // Closed during the current batch of events, destroyed after it.
+  std::vector<std::unique_ptr<class Upstream>> closed_upstreams;
+  std::vector<std::unique_ptr<class Downstream>> closed_downstreams;
 };
 
-// A socket with what is left to write, and one message read at a time.
+// A non-blocking socket with buffered output that reads one HTTP message at a time.
 template <bool kRequest>
 class HttpSocket : public ns::Poller::Watcher {
  public:
@@ -83,7 +83,7 @@
     return true;
   }
   enum class ReadResult { kMore, kMessage, kEnd };
-  // Reads until a message is whole, the socket is empty, or it has ended.
+  // Reads until a message is complete, the socket would block, or the peer has closed it.
   ReadResult read() {
     while (true) {
       if (!in_.empty()) {
@@ -118,6 +118,7 @@
 
 class Downstream;
 
+// Connection to a server; carries one request at a time.
 class Upstream final : public HttpSocket<false> {
  public:
   Upstream(RelayState& relay, std::size_t server) : HttpSocket(relay), server_(server) {}
@@ -141,6 +142,7 @@
   Downstream* downstream_ = nullptr;
 };
 
+// Connection from a client.
 class Downstream final : public HttpSocket<true> {
  public:
   Downstream(RelayState& relay, ns::Socket&& socket)
@@ -223,7 +225,7 @@
 };
 
 void Upstream::ready(std::uint32_t events) {
-  if (downstream_ == nullptr) {  // idle: it ends, or says what nobody asked for
+  if (downstream_ == nullptr) {  // idle: the server closed it or sent unsolicited bytes
     char byte = 0;
     if ((events & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) == 0 && socket_.read(&byte, 1, MSG_PEEK) < 0) return;
     auto& idle = relay_.servers[server_].idle;
@@ -251,6 +253,7 @@
   downstream->on_response(text.str(), keep);
 }
 
+// Accepts client connections.
 class Acceptor final : public ns::Poller::Watcher {
  public:
   Acceptor(RelayState& relay, int port) : relay_(relay), fd_(ns::standins::listen_on(port)) {
@@ -261,7 +264,7 @@
     while (true) {
       const int fd = ::accept4(fd_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
       if (fd < 0) return;
-      auto* peer = new Downstream(relay_, ns::Socket(fd));  // owns itself until its end
+      auto* peer = new Downstream(relay_, ns::Socket(fd));  // owns itself until end()
       if (!peer->start()) delete peer;
     }
   }
@@ -304,7 +307,7 @@
       relay.closed_upstreams.clear();
       relay.closed_downstreams.clear();
     }
-    std::_Exit(0);  // what is open ends with the process
+    std::_Exit(0);  // open connections end with the process
   } catch (const std::exception& problem) {
     std::fprintf(stderr, "nettlestand-plain-relay: %s\n", problem.what());
     return 1;
--- a/standins/servers/script.cpp
+++ b/standins/servers/script.cpp
@@ -10,17 +10,18 @@
 namespace nettlestand::standins {
 namespace {
 
+// Kind of arguments that a command takes.
 enum class ArgumentType { kNothing, kNumbers, kWord, kRest };
 
-// What a kind takes: so many figures at min_args and at max_args, each from 0 (or above it), or one of some
-// words.
+// Syntax of a command: min_args to max_args numbers, each 0 or greater (some must be above 0, see check()),
+// or one of a set of words.
 struct CommandSpec {
   FaultKind kind;
   const char* name;
   ArgumentType takes;
   int min_args, max_args;
-  std::array<double, 3> defaults;  // of figures left out
-  const char* words;               // between spaces; the first one where it is left out, if that is allowed
+  std::array<double, 3> defaults;  // values of omitted numbers
+  const char* words;  // allowed words, each between spaces; the first is the default if min_args is 0
 };
 
 constexpr std::array kCommands = {
@@ -79,6 +80,7 @@
   return out;
 }
 
+// Parses one line of a script into a Fault.
 class LineParser {
  public:
   LineParser(std::string_view text, int number) : words_(words_of(text)), number_(number) {}
--- a/standins/servers/script.h
+++ b/standins/servers/script.h
@@ -1,4 +1,5 @@
-// Faults of a scripted server, and the language in which scripts name them: SCRIPT.md has the list.
+// Faults that a scripted server injects, and the parser of the script language that describes them. SCRIPT.md
+// lists the commands.
 #pragma once
 
 #include <limits>
@@ -9,10 +10,12 @@
 
 namespace nettlestand::standins {
 
+// Duration of a fault that never ends by itself.
 constexpr double kForever = std::numeric_limits<double>::infinity();
 
+// What a fault does; each one has a command in SCRIPT.md.
 enum class FaultKind {
-  // about connections
+  // connection faults
   kRefuse,
   kReject,
   kHang,
@@ -20,7 +23,7 @@
   kCrash,
   kCloseIdle,
   kIdle,
-  // about requests
+  // request faults
   kSilent,
   kNotStarted,
   kDrain,
@@ -31,7 +34,7 @@
   kSlower,
   kCold,
   kSize,
-  // about answers
+  // response faults
   kLate,
   kTwice,
   kCut,
@@ -42,24 +45,25 @@
   kResetAnswer
 };
 
+// One injected fault: what it does, when it is active, and which events it affects.
 struct Fault {
   FaultKind kind = FaultKind::kRefuse;
-  double at = 0;                        // s after the script's start
+  double at = 0;                        // start, s after the script begins
   double duration = kForever;           // s
-  int every = 1;                        // hits every so-manieth connection, request or answer alone
-  double chance = 1;                    // and each of these with this probability
-  double arg1 = 0, arg2 = 0, arg3 = 0;  // the verb's figures, in the order of SCRIPT.md
-  std::string text;                     // or its word
+  int every = 1;                        // affects only every n-th connection, request or response
+  double chance = 1;                    // probability that each of these is affected
+  double arg1 = 0, arg2 = 0, arg3 = 0;  // numeric arguments, in the order of SCRIPT.md
+  std::string text;                     // text argument
 };
 
-// A line that can't be read: the text begins with "line N: ".
+// A script line that can't be parsed. The message begins with "line N: ".
 struct ScriptError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// One command a line. Throws ScriptError.
+// Parses a script of one command per line. Throws ScriptError.
 std::vector<Fault> parse_script(std::string_view text);
-// As a line that parse_script() takes.
+// Formats a fault as a line that parse_script() accepts.
 std::string to_text(const Fault& fault);
 
 }  // namespace nettlestand::standins
--- a/standins/servers/server.cpp
+++ b/standins/servers/server.cpp
@@ -23,10 +23,11 @@
 namespace {
 
 constexpr std::size_t kNone = static_cast<std::size_t>(-1);
-constexpr double kMinTrickleInterval = 0.02;  // s between the bytes of a slow answer, at least
-constexpr double kIdleCheckInterval = 0.05;   // s between looks for idle connections
-constexpr double kOverloadWindow = 1;         // s; the load on a cold server counts over so long
+constexpr double kMinTrickleInterval = 0.02;  // s between the writes of a trickled response
+constexpr double kIdleCheckInterval = 0.05;   // s between checks for idle connections
+constexpr double kOverloadWindow = 1;         // s over which the work that a cold server receives is summed
 
+// Bytes that aren't a valid HTTP head, as one block that ends with an empty line.
 std::string random_bytes(std::mt19937_64& random) {
   std::string out;
   for (int i = 0; i < 80; ++i) out += static_cast<char>(33 + random() % 200);
@@ -57,7 +58,8 @@
   Impl(Loop& loop, ServerSettings settings)
       : settings(std::move(settings)), loop_(loop), random_(this->settings.seed) {
     if (!this->settings.dedup_store) this->settings.dedup_store = std::make_shared<DedupStore>();
-    // Holds the port while the listener is closed: nobody else must be given it then.
+    // Keeps the port bound while the listener is closed, so that the kernel doesn't give it to another
+    // socket.
     port_holder_ = listen_on(Address{this->settings.ip, this->settings.port}, -1, this->settings.shared_port);
     port = port_of(port_holder_.get());
     update_listener();
@@ -101,31 +103,35 @@
   bool crashed_from_overload = false;
 
  private:
+  // A scheduled or active fault; `count` is the number of events that it was matched against.
   struct Active {
     Fault fault;
     int count;
     bool on;
   };
+  // A cold start: the speed rises from `share` to 1 within `ramp` s; more than `overload_factor` times the
+  // work that the server can do crashes it.
   struct Cold {
     double since = 0, share = 1, ramp = 0, overload_factor = kForever;
   };
+  // A request that waits for a core, or is being processed.
   struct Job {
     std::uint64_t connection = 0;
     std::size_t attempt = kNone;
     double work = 0;
   };
-  // How an answer is written.
+  // Pending output of a connection, and how it is to be written.
   struct ResponsePlan {
     std::string bytes;
     std::size_t sent = 0;
-    std::size_t allowed = kNone;   // bytes that may go by now
-    std::size_t stop_at = kNone;   // the connection ends after so many
-    std::size_t pause_at = kNone;  // and it waits here
-    double pause = 0, rate = 0;    // s; bytes/s, 0: as fast as it goes
-    bool held = false;             // nothing goes now
-    bool reset = false;            // how it ends
+    std::size_t allowed = kNone;   // bytes that may be written so far
+    std::size_t stop_at = kNone;   // the connection is closed after this many bytes
+    std::size_t pause_at = kNone;  // writing pauses after this many bytes
+    double pause = 0, rate = 0;    // s; bytes/s, 0: unlimited
+    bool held = false;             // writing is suspended
+    bool reset = false;            // close with RST rather than FIN at stop_at
     bool close_after = false;
-    std::string second;  // a copy that comes later
+    std::string second;  // duplicate of the response, written after `gap` s
     double gap = 0;
   };
 
@@ -141,12 +147,12 @@
     Impl& owner;
     Fd fd;
     const std::uint64_t id;
-    std::size_t record = kNone;   // its own
-    std::size_t attempt = kNone;  // of the request on it
+    std::size_t record = kNone;   // index of its ConnectionRecord
+    std::size_t attempt = kNone;  // index of the AttemptRecord of the current request
     std::string in;
     bool in_body = false, busy = false, answered_early = false, keep = true, wants_out = false;
     double first_byte_at = 0, used_at = 0, last_arrival_at = 0, work = 0;
-    std::string request, key;  // its id and its key
+    std::string request, key;  // Request-Id and Idempotency-Key of the current request
     BodyReader body;
     ResponsePlan plan;
     std::uint64_t plan_serial = 0;
@@ -177,7 +183,8 @@
     update_listener();
   }
 
-  // The fault of this kind that hits what happens now.
+  // Returns an active fault of this kind (and with this text, unless null) that applies to the current event,
+  // honouring its `every` and `chance`; null if there is none.
   const Fault* next_match(FaultKind kind, const char* word = nullptr) {
     for (auto& [id, active] : faults_) {
       if (!active.on || active.fault.kind != kind) continue;
@@ -188,6 +195,7 @@
     }
     return nullptr;
   }
+  // Returns an active fault of this kind, without regard to `every` and `chance`.
   const Fault* active_fault(FaultKind kind) const {
     for (const auto& [id, active] : faults_) {
       if (active.on && active.fault.kind == kind) return &active.fault;
@@ -204,7 +212,7 @@
            });
   }
 
-  // Brings the listener into the state that the faults ask for.
+  // Opens, closes or blocks the listener according to the active faults.
   void update_listener() {
     const bool closed = refuses_all();
     const bool hangs = active_fault(FaultKind::kHang) != nullptr;
@@ -220,7 +228,8 @@
     }
     if (!listener_) listener_ = listen_on(Address{settings.ip, port}, 4096, settings.shared_port);
     if (hangs && !queue_filler_) {
-      // With room for one in the accept queue and that one taken, further connections never come up.
+      // A backlog of 0 leaves space for one connection in the accept queue. With that taken by a connection
+      // of our own, further connects get no reply.
       listen(listener_.get(), 0);
       queue_filler_ = connect_to(Address{settings.ip, port});
       queue_filler_port_ = port_of(queue_filler_.get());
@@ -234,6 +243,7 @@
     }
   }
 
+  // Drops all jobs and resets all connections, as a crash does.
   void reset_all() {
     waiting_.clear();
     working_ = 0;
@@ -404,7 +414,7 @@
     return std::exponential_distribution<>(1 / mean)(random_);
   }
 
-  // The last byte has come: a request begins here.
+  // Handles a request that has been received completely.
   void on_request(Connection& c) {
     c.in_body = false;
     c.used_at = now();
@@ -487,7 +497,7 @@
         if (active.on && active.fault.kind == FaultKind::kSlower) took *= active.fault.arg1;
       }
       after(took, [this, job, generation = generation_] {
-        if (generation != generation_) return;  // it died in between
+        if (generation != generation_) return;  // the server has crashed since
         --working_;
         ++counts.answered;
         update_attempt(job.attempt, [](AttemptRecord& r) { r.finished_at = now(); });
@@ -501,11 +511,13 @@
 
   // ------------------------------------------------------------ cold starts
 
+  // Fraction of the full processing speed; below 1 during a cold start.
   double speed() const {
     if (cold_.since <= 0 || cold_.ramp <= 0) return 1;
     return std::min(1.0, cold_.share + (1 - cold_.share) * (now() - cold_.since) / cold_.ramp);
   }
 
+  // Adds `work` to the recent work of a cold server and returns whether that exceeds what it tolerates.
   bool overloads(double work) {
     const double at = now();
     if (at - cold_.since >= cold_.ramp) return false;
@@ -517,6 +529,7 @@
     }
     return recent_work_sum_ > cold_.overload_factor * cold_capacity();
   }
+  // Work (s) that the server can do within kOverloadWindow at its current speed.
   double cold_capacity() const { return std::max(1, settings.cores) * speed() * kOverloadWindow; }
 
   void crash_from_overload() {
@@ -528,7 +541,7 @@
     update_listener();
   }
 
-  // ------------------------------------------------------------ answers
+  // ------------------------------------------------------------ responses
 
   static std::string head_of(int status, std::size_t length, bool not_started, bool close) {
     std::string out = status == 200   ? "HTTP/1.1 200 OK\r\n"
@@ -555,7 +568,7 @@
     }
     ResponsePlan plan;
     plan.close_after = !c.keep;
-    plan.bytes = c.plan.bytes.substr(c.plan.sent);  // what was said early
+    plan.bytes = c.plan.bytes.substr(c.plan.sent);  // the unsent part of an early response
     const std::size_t before = plan.bytes.size();
     plan.bytes += head_of(status, body.size(), not_started, !c.keep);
     const std::size_t head = plan.bytes.size();
@@ -603,9 +616,9 @@
     return head_of(status, how == "short" ? body.size() / 2 : body.size() + 10, false, false) + body;
   }
 
-  // What the faults make of the writing of an answer.
+  // Applies the faults that affect how a response is written.
   void apply_write_faults(ResponsePlan& plan, std::size_t head, bool too_short) {
-    // A copy behind an answer that is too short would make up its length.
+    // A duplicate right behind a response that is too short would be read as its missing bytes.
     if (const Fault* f = next_match(FaultKind::kTwice); f != nullptr && !too_short) {
       if (f->arg1 <= 0) {
         plan.bytes += std::string(plan.bytes);
@@ -634,6 +647,7 @@
     plan.stop_at = plan.stop_at < size ? plan.stop_at : kNone;
   }
 
+  // Calls `f` after a delay, unless the connection is closed or has gone on to another response by then.
   void schedule_for(Connection& c, double seconds, std::function<void(Connection&)> f) {
     after(seconds, [this, id = c.id, serial = c.plan_serial, f = std::move(f)] {
       if (Connection* then = find(id); then != nullptr && then->plan_serial == serial) f(*then);
@@ -656,7 +670,7 @@
     if (serial == c.plan_serial) write_pending(c);
   }
 
-  // Writes what may go by now.
+  // Writes the part of the pending output that is allowed so far.
   void write_pending(Connection& c) {
     ResponsePlan& plan = c.plan;
     if (plan.held) return;
@@ -694,12 +708,13 @@
     parse(c);
   }
 
-  // The connection is free in between: that is what makes a late copy dangerous.
+  // Writes a duplicate response after `gap` s. The connection accepts the next request in between, so the
+  // duplicate can be taken for the response to that one.
   void send_duplicate(std::uint64_t connection, const std::string& bytes, double gap) {
     after(gap, [this, connection, bytes] {
       Connection* c = find(connection);
       if (c == nullptr) return;
-      if (c->plan.held && c->plan.sent == 0) {  // before an answer that waits
+      if (c->plan.held && c->plan.sent == 0) {  // ahead of a response that is still held back
         const ssize_t put = send(c->fd.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL);
         if (put != static_cast<ssize_t>(bytes.size())) close(*c, Closer::kServer, true);
         return;
--- a/standins/servers/server_main.cpp
+++ b/standins/servers/server_main.cpp
@@ -1,4 +1,4 @@
-// nettlestand-standin-server: a scripted server as a program.
+// nettlestand-standin-server: a ScriptedServer as a standalone program.
 #include <csignal>
 #include <cstdio>
 #include <exception>
