--- a/standins/discovery/discovery.cpp
+++ b/standins/discovery/discovery.cpp
@@ -82,7 +82,7 @@
     ++seq_;
     for (const ServerEntry& s : servers) {
       if (s.health != "active" && s.health != "leaving" && s.health != "left") {
-        throw std::invalid_argument("'" + s.health + "' is no state of a server");
+        throw std::invalid_argument("'" + s.health + "' is not a server health state");
       }
       if (s.health == "left") {
         servers_.erase(s.host);
@@ -91,8 +91,7 @@
       }
       history_[s.host] = {seq_, s};
     }
-    std::vector<Connection*>
-        watching;  // telling one may close it; closed ones live until the loop's next round
+    std::vector<Connection*> watching;  // a send may close one; it is destroyed in the next round of the loop
     for (const auto& [id, c] : connections_) {
       if (c->watching) watching.push_back(c.get());
     }
@@ -112,7 +111,7 @@
     ++seq_;
     servers_.erase(host);
     history_.erase(host);
-    oldest_ = seq_;  // what changed since before can't be told any more
+    oldest_ = seq_;  // watches can't resume from an index before this change
   }
 
   std::vector<ServerEntry> list() const {
@@ -144,6 +143,7 @@
       return address_mapping ? address_mapping(c.endpoint.node, s) : "127.0.0.1:" + std::to_string(s.port);
     };
   }
+  // The listener that serves one node. `port_holder` keeps the port bound while the listener is closed.
   struct Endpoint : Watcher {
     Endpoint(Impl& owner, std::string node) : owner(owner), node(std::move(node)) {}
     void ready(std::uint32_t) override { owner.accept(*this); }
@@ -153,7 +153,7 @@
     std::string ip;
     int port = 0;
     bool listening = false;
-    std::set<std::string> known;  // the servers that it was told of
+    std::set<std::string> known;  // hosts that this node has been sent
   };
   struct Connection : Watcher {
     Connection(Impl& owner, Fd fd, Endpoint& endpoint, std::uint64_t id)
@@ -168,11 +168,13 @@
     Endpoint& endpoint;
     const std::uint64_t id;
     std::string in, out;
-    std::uint64_t written = 0, queued = 0;                      // bytes so far
-    std::deque<std::pair<std::uint64_t, std::size_t>> pending;  // told once `written` is there: record
+    std::uint64_t written = 0, queued = 0;  // total bytes
+    std::deque<std::pair<std::uint64_t, std::size_t>>
+        pending;  // record to complete once `written` reaches the number
     bool watching = false;
   };
 
+  // Opens or closes a listener according to the mode.
   void apply_mode(Endpoint& e) {
     const bool wanted = mode_ != Mode::kRefuse;
     if (wanted == e.listening) return;
@@ -260,7 +262,7 @@
     if (!changed.empty()) send_changes(c, json_of(seq_, false, changed, mapping_for(c)) + "\n", changed);
   }
 
-  // A whole list tells of all that it holds, and that what it lacks is gone.
+  // Changes that a full list conveys: every server in it, and `left` for each known server that it omits.
   std::vector<ServerEntry> full_list_changes(const Endpoint& e) const {
     std::vector<ServerEntry> out = list();
     for (const std::string& host : e.known) {
@@ -277,6 +279,7 @@
     write_delayed(c, chunk_of(line), servers);
   }
 
+  // Writes now, or after the configured delay, and opens a record for each server conveyed.
   void write_delayed(Connection& c, const std::string& bytes, const std::vector<ServerEntry>& servers) {
     std::vector<std::size_t> records;
     for (const ServerEntry& s : servers) {
@@ -288,7 +291,8 @@
     write_at(c.id, now() + delay, bytes, records);
   }
 
-  // In order: what comes later is not written before.
+  // Timers fire in order, so later changes are not written before earlier ones. In silent mode it tries again
+  // until the mode changes.
   void write_at(std::uint64_t id, double until, const std::string& bytes,
                 const std::vector<std::size_t>& records) {
     loop_.at(until, [this, alive = std::weak_ptr<int>(alive_), id, bytes, records] {
@@ -323,6 +327,7 @@
                  EPOLLIN | EPOLLRDHUP | (c.out.empty() ? 0U : static_cast<std::uint32_t>(EPOLLOUT)), &c);
   }
 
+  // Writes an empty line to each watch, every heartbeat interval.
   void send_heartbeats() {
     loop_.after(heartbeat_interval_, [this, alive = std::weak_ptr<int>(alive_)] {
       if (alive.expired()) return;
@@ -346,7 +351,8 @@
   Mode mode_ = Mode::kUp;
   std::uint64_t seq_ = 1, oldest_ = 1, last_connection_ = 0;
   std::map<std::string, ServerEntry> servers_;
-  std::map<std::string, std::pair<std::uint64_t, ServerEntry>> history_;  // the last change of each
+  std::map<std::string, std::pair<std::uint64_t, ServerEntry>>
+      history_;  // last change of each host, with its index
   std::map<std::string, std::unique_ptr<Endpoint>> endpoints_;
   std::unordered_map<std::uint64_t, std::unique_ptr<Connection>> connections_;
   std::shared_ptr<int> alive_ = std::make_shared<int>(0);
--- a/standins/discovery/discovery_main.cpp
+++ b/standins/discovery/discovery_main.cpp
@@ -1,4 +1,4 @@
-// nettlestand-standin-discovery: scripted discovery as a program.
+// nettlestand-standin-discovery: ScriptedDiscovery as a standalone program.
 #include <csignal>
 #include <cstdio>
 #include <exception>
@@ -105,7 +105,7 @@
   if (!servers.empty()) discovery.update(servers);
   std::printf("listening on 127.0.0.1:%d\n", discovery.endpoint("any", options.whole("port", 0)));
   std::fflush(stdout);
-  // A thread of its own: reading must not keep the signal out.
+  // Reads commands on a thread of its own, so that a blocking read doesn't delay the handling of signals.
   std::thread([&discovery] {
     for (std::string line; std::getline(std::cin, line);) {
       try {
@@ -117,7 +117,7 @@
   }).detach();
   int which = 0;
   sigwait(&ends, &which);
-  std::_Exit(0);  // the thread that reads may be in the middle of it
+  std::_Exit(0);  // without destructors: the reader thread may still use `discovery`
 }
 
 }  // namespace
--- a/standins/links/link_model.cpp
+++ b/standins/links/link_model.cpp
@@ -21,8 +21,8 @@
   return out;
 }
 
-// Two states, of which one loses all: left after `burst` messages in the mean, and entered as often as makes
-// `loss` of all.
+// Gilbert-Elliott model with two states, of which one loses every message. That state lasts `burst` messages
+// on average, and is entered often enough to lose the fraction `loss` of all messages.
 bool LinkModel::draw_loss() {
   if (faults_.loss <= 0) return in_burst_ = false;
   if (faults_.loss >= 1) return true;
@@ -33,7 +33,7 @@
   return in_burst_;
 }
 
-// When its last byte is through a narrow band.
+// Time at which the last byte has been transmitted at the configured bandwidth.
 double LinkModel::transmitted_at(double now, std::size_t bytes) {
   if (faults_.bandwidth <= 0) return now;
   link_free_at_ = std::max(link_free_at_, now) + static_cast<double>(bytes) / faults_.bandwidth;
@@ -47,7 +47,8 @@
   for (std::size_t i = 0; i < copies; ++i) {
     Delivery one{transmitted_at(now, bytes) + faults_.delay, false};
     if (faults_.jitter > 0) one.at += faults_.jitter * uniform();
-    // Held back by as much again as the way takes, and 2 ms at least, so that on a quick way too others pass.
+    // Delays it by at least as much again as the link takes, and by no less than 2 ms, so that later
+    // datagrams overtake it on a fast link too.
     if (faults_.reorder > 0 && uniform() < faults_.reorder) {
       one.at += (1 + uniform()) * std::max(0.002, faults_.delay + faults_.jitter);
     }
--- a/standins/links/link_model.h
+++ b/standins/links/link_model.h
@@ -1,5 +1,6 @@
-// What a way from one machine to another does to what passes on it: decided here, carried out by links
-// (sockets) and by the emulator alike. No I/O, no clock; one seed, one course.
+// Model of one direction of a link between two machines: decides loss, delay and corruption of its traffic.
+// Used by Network (real sockets) and by the emulator. It does no I/O and reads no clock; the same seed gives
+// the same decisions.
 #pragma once
 
 #include <cstddef>
@@ -10,27 +11,30 @@
 
 namespace nettlestand::standins {
 
-// The faults of one way. Several at once go together: see combine().
+// Faults of one direction. Several at once are merged by combine().
 struct LinkFaults {
-  bool cut = false;    // nothing arrives
-  double loss = 0;     // of the messages, 0 to 1
-  double burst = 1;    // messages lost in a row, in the mean (Gilbert 1960, Elliott 1963); 1: each by itself
-  double delay = 0;    // s
-  double jitter = 0;   // s; up to so much more, evenly
-  double reorder = 0;  // of the datagrams, 0 to 1: those behind may overtake them
-  double duplicate = 0;  // of the datagrams, 0 to 1
-  double corrupt = 0;    // of the datagrams, 0 to 1
-  double bandwidth = 0;  // bytes/s; 0: without a bound
+  bool cut = false;  // nothing is delivered
+  double loss = 0;   // fraction of the messages, 0 to 1
+  // Mean number of messages lost in a row (Gilbert 1960, Elliott 1963); 1: independent losses.
+  double burst = 1;
+  double delay = 0;      // s
+  double jitter = 0;     // s; extra delay, uniform from 0 to this
+  double reorder = 0;    // fraction of the datagrams, 0 to 1, that later ones may overtake
+  double duplicate = 0;  // fraction of the datagrams, 0 to 1
+  double corrupt = 0;    // fraction of the datagrams, 0 to 1
+  double bandwidth = 0;  // bytes/s; 0: unlimited
 };
 
-// Both at once: what either cuts is cut, losses are independent, delays add up, the narrower band counts.
+// Both at once: cut if either is, losses are independent, delays add up, and the lower bandwidth applies.
 LinkFaults combine(const LinkFaults& a, const LinkFaults& b);
 
+// One direction of a link.
 class LinkModel {
  public:
   static constexpr double kNever = std::numeric_limits<double>::infinity();
-  // TCP waits so long before it sends again, and twice as long each further time (RFC 6298, Linux's least).
-  static constexpr double kRetransmitTimeout = 0.2, kSynRetransmitTimeout = 1;  // s; of the handshake
+  // Initial TCP retransmission timeouts, of data and of the handshake; doubled on each retry (RFC 6298, with
+  // Linux's minimum).
+  static constexpr double kRetransmitTimeout = 0.2, kSynRetransmitTimeout = 1;  // s
 
   explicit LinkModel(std::uint64_t seed) : random_(seed) {}
 
@@ -41,17 +45,17 @@
     double at = 0;  // s
     bool corrupt = false;
   };
-  // A datagram that is sent at `now`: when it arrives, and when its copies do; nothing where it is lost.
+  // Arrivals of a datagram sent at `now` and of its duplicates; empty if it is lost.
   std::vector<Delivery> datagram_arrivals(double now, std::size_t bytes);
 
-  // A piece of a stream: when it arrives. What is lost is sent again, so it only comes later; it never
-  // overtakes what was sent before on the same stream, whose arrival `last` is. kNever while the way is cut.
+  // Arrival time of a chunk of a stream. Lost data is retransmitted and therefore only delayed. A chunk never
+  // overtakes the previous one of its stream, which arrives at `last`. kNever while the link is cut.
   double stream_arrival(double now, std::size_t bytes, double last);
 
-  // How long a handshake of TCP takes on this way.
+  // Time that a TCP handshake spends on this direction.
   double handshake_time();
 
-  // 0 to 1.
+  // Uniformly distributed from 0 to 1.
   double uniform() { return static_cast<double>(random_() >> 11) * 0x1.0p-53; }
   std::uint64_t uniform_below(std::uint64_t below) {
     return static_cast<std::uint64_t>(uniform() * static_cast<double>(below));
@@ -64,7 +68,7 @@
   LinkFaults faults_;
   pcg64 random_;
   bool in_burst_ = false;
-  double link_free_at_ = 0;  // the band is taken until then
+  double link_free_at_ = 0;  // s; transmission of earlier messages ends then
 };
 
 }  // namespace nettlestand::standins
--- a/standins/links/listen_probe.h
+++ b/standins/links/listen_probe.h
@@ -1,18 +1,19 @@
-// Whether something listens at an address, and whether its accept queue is full: asked of the kernel
-// (sock_diag, as ss does), so that the listener notices nothing of it.
+// Queries whether a socket listens at an address and whether its accept queue is full. It asks the kernel
+// (sock_diag, as ss does), which the listener doesn't notice.
 #pragma once
 
 #include "standins/common/loop.h"
 
 namespace nettlestand::standins {
 
+// kQueueFull: a socket listens, but its accept queue is full.
 enum class ListenState { kNotListening, kListening, kQueueFull };
 
-// Not for two threads at once.
+// Not thread-safe.
 class ListenProbe {
  public:
   ListenProbe();
-  // kListening where the kernel does not tell.
+  // Returns kListening if the kernel gives no information.
   ListenState query(const Address& at);
 
  private:
--- a/standins/links/network.cpp
+++ b/standins/links/network.cpp
@@ -22,10 +22,11 @@
 namespace nettlestand::standins {
 namespace {
 
-constexpr double kListenPollInterval = 0.005;         // s between looks at who listens
-constexpr std::size_t kRelayBufferBytes = 64 * 1024;  // bytes of a direction that wait in the relay
-constexpr int kSocketBufferBytes = 64 * 1024;  // and in each socket, so that a stalled reader is felt soon
-constexpr double kDelayedAfter = 0.005;        // s; what takes longer is told of in delayed_bytes()
+constexpr double kListenPollInterval = 0.005;         // s between checks of which targets listen
+constexpr std::size_t kRelayBufferBytes = 64 * 1024;  // bytes per direction that a relay buffers
+// Kernel buffer of each socket; small, so that a stalled reader soon blocks its writer.
+constexpr int kSocketBufferBytes = 64 * 1024;
+constexpr double kDelayedAfter = 0.005;  // s; longer transfers are reported by delayed_bytes()
 constexpr int kMaxMachines = 250, kLockPort = 65001;
 
 using Direction = std::pair<int, int>;  // from, to
@@ -42,7 +43,7 @@
       } catch (const std::runtime_error&) {
       }
     }
-    if (!subnet_lock_) throw std::runtime_error("no part of the loopback network is free");
+    if (!subnet_lock_) throw std::runtime_error("no loopback subnet 127.N.0.0/16 is free");
     schedule_listener_refresh();
   }
   ~Impl() {
@@ -130,16 +131,18 @@
   }
 
  private:
+  // One direction between two machines.
   struct LinkState {
     explicit LinkState(std::uint64_t seed) : model(seed) {}
     LinkModel model;
     Counts counts;
   };
 
+  // Accepts the connections from one machine to a port of another.
   struct ProxyListener : Watcher {
     ProxyListener(Impl& owner, int from, int to, Address at, Address target)
         : owner(owner), from(from), to(to), at(std::move(at)), target(std::move(target)) {
-      port_holder = listen_on(this->at, -1);  // ours, and refusing
+      port_holder = listen_on(this->at, -1);  // reserves the address; connects are refused until it listens
     }
     void ready(std::uint32_t) override { owner.accept(*this); }
     void shut() {
@@ -155,7 +158,7 @@
     ListenState is = ListenState::kNotListening;
   };
 
-  // What goes one way on a connection.
+  // One direction of a relayed connection.
   struct StreamDirection {
     struct Chunk {
       double at = 0, sent = 0;
@@ -164,11 +167,12 @@
     };
     std::deque<Chunk> chunks;
     std::size_t buffered_bytes = 0;
-    double last_arrival = 0;                // arrival of what was taken last
-    bool ended = false, delivered = false;  // the end was read; was passed on
+    double last_arrival = 0;                // of the last chunk read
+    bool ended = false, delivered = false;  // the end of the stream was read; was delivered
     Loop::Timer timer{0, 0};
   };
   struct Relay;
+  // One of the two sockets of a relay.
   struct Side : Watcher {
     void ready(std::uint32_t events) override;
     Relay* relay = nullptr;
@@ -176,23 +180,27 @@
     Fd fd;
     std::uint32_t interest = 0;
     bool connected = true;
-    bool unwatched = false;  // dead, and not read for want of room: the poller would tell so without end
+    // Hung up, but not read because the buffer is full. It is removed from the poller, which would report the
+    // hangup without end.
+    bool unwatched = false;
   };
+  // A TCP connection relayed between two machines.
   struct Relay {
     Impl* owner = nullptr;
     std::uint64_t id = 0;
-    int from = 0, to = 0;                    // who connected to whom
-    std::array<Side, 2> sides;               // of `from`, of `to`
-    std::array<StreamDirection, 2> streams;  // from the side of that number to the other
-    bool half_open = false;                  // one side is gone and the other does not know
+    int from = 0, to = 0;                    // `from` is the side that connected
+    std::array<Side, 2> sides;               // sockets towards `from` and towards `to`
+    std::array<StreamDirection, 2> streams;  // stream i carries what sides[i] sends
+    bool half_open = false;                  // one side was closed without notifying the other
   };
+  // Receives the datagrams from one socket to another, or to all of its peers.
   struct DatagramProxy : Watcher {
     DatagramProxy(Impl& owner, Fd fd, int from, int to, int from_port, int to_port)
         : owner(owner), fd(std::move(fd)), from(from), to(to), from_port(from_port), to_port(to_port) {}
     void ready(std::uint32_t) override { owner.read_datagrams(*this); }
     Impl& owner;
     Fd fd;
-    const int from, to, from_port, to_port;  // to 0: all
+    const int from, to, from_port, to_port;  // `to` is 0 for broadcast
   };
 
   std::string prefix() const { return "127." + std::to_string(subnet_) + "."; }
@@ -206,6 +214,7 @@
         .first->second;
   }
 
+  // Applies the faults of a direction after a change.
   void changed(Direction where) {
     LinkFaults all;
     for (const auto& [id, fault] : faults_) {
@@ -217,7 +226,7 @@
         update_listener(*proxy);
       }
     }
-    // What was held back while the way was cut is sent again.
+    // Chunks that were held back while the link was cut are retransmitted.
     for (auto& [id, relay] : relays_) {
       for (int side = 0; side < 2; ++side) {
         if (direction_of(*relay, side) != where) continue;
@@ -250,7 +259,7 @@
     return out;
   }
 
-  // ------------------------------------------------------------ who listens
+  // ------------------------------------------------------------ listeners
 
   void schedule_listener_refresh() {
     refresh_timer_ = loop_.after(kListenPollInterval, [this] {
@@ -259,7 +268,7 @@
     });
   }
 
-  // Makes a proxy answer connects as the far side would.
+  // Makes a proxy react to connects as its target would: accept, refuse or not reply.
   void update_listener(ProxyListener& e) {
     const bool cut =
         link_state(e.from, e.to).model.faults().cut || link_state(e.to, e.from).model.faults().cut;
@@ -274,8 +283,9 @@
                 &e);
     }
     if (is == ListenState::kQueueFull) {
-      accept(e);  // what came up before it was full
-      // With room for one in the accept queue and that one taken, further connects are not answered.
+      accept(e);  // connections established before the queue was full
+      // A backlog of 0 leaves space for one connection in the accept queue. With that taken by a connection
+      // of our own, further connects get no reply.
       listen(e.listener.get(), 0);
       e.queue_filler = connect_to(e.at);
       e.queue_filler_port = port_of(e.queue_filler.get());
@@ -325,7 +335,7 @@
     r.sides[0].fd = std::move(near);
     r.sides[1].fd = std::move(far);
     r.sides[1].connected = false;
-    // The handshake goes there and back before the first byte may leave.
+    // The handshake takes a round trip before the first byte may be sent.
     LinkState& there = link_state(e.from, e.to);
     r.streams[0].last_arrival = now() + there.model.handshake_time() +
                                 link_state(e.to, e.from).model.handshake_time() + there.model.faults().delay;
@@ -363,7 +373,7 @@
     const bool dead = (events & (EPOLLHUP | EPOLLERR)) != 0;
     if ((side.interest & EPOLLIN) != 0 && (dead || (events & EPOLLIN) != 0)) {
       read_stream(r, side.number);
-    } else if ((events & EPOLLERR) != 0) {  // reset, and its end was read before
+    } else if ((events & EPOLLERR) != 0) {  // reset after its end of stream was read
       on_socket_reset(r, side.number);
     } else if (dead && !side.unwatched) {
       loop_.remove(side.fd.get());
@@ -372,7 +382,7 @@
     if (relays_.contains(id)) update_interest(r);
   }
 
-  // Reads what a side has sent, as far as there is room.
+  // Reads what a side has sent while there is space in the buffer.
   void read_stream(Relay& r, int from) {
     Side& side = r.sides[static_cast<std::size_t>(from)];
     StreamDirection& stream = r.streams[static_cast<std::size_t>(from)];
@@ -381,7 +391,7 @@
     while (side.fd && !stream.ended && stream.buffered_bytes < kRelayBufferBytes) {
       const ssize_t got = recv(side.fd.get(), scratch_.data(), scratch_.size(), 0);
       if (got < 0 && (errno == EAGAIN || errno == EINTR)) break;
-      if (r.half_open && got >= 0) {  // the far end has never heard of this connection
+      if (r.half_open && got >= 0) {  // the other end does not know this connection
         if (on.model.faults().cut) return stream.chunks.clear();
         set_reset_on_close(side.fd.get());
         return drop(r);
@@ -398,7 +408,7 @@
       }
       chunk.at = on.model.stream_arrival(chunk.sent, chunk.bytes.size(), stream.last_arrival);
       stream.last_arrival = chunk.at;
-      if (chunk.reset) {  // this side is gone: nothing can be passed to it any more
+      if (chunk.reset) {  // this side is closed: nothing can be delivered to it any more
         stream.chunks.push_back(std::move(chunk));
         close_side(r, from);
         break;
@@ -408,7 +418,7 @@
     deliver(r, from);
   }
 
-  // Writes to the far side what has arrived by now.
+  // Writes the chunks that have arrived by now to the other side.
   void deliver(Relay& r, int from) {
     StreamDirection& stream = r.streams[static_cast<std::size_t>(from)];
     Side& to = r.sides[static_cast<std::size_t>(1 - from)];
@@ -453,12 +463,12 @@
     const auto finished = [](const StreamDirection& p) { return p.delivered && p.chunks.empty(); };
     if (finished(r.streams[0]) && finished(r.streams[1])) return drop(r);
     if (!r.sides[0].fd && !r.sides[1].fd) return drop(r);
-    // What is due and still there waits for its reader, of which the poller tells.
+    // A due chunk that remains waits until its socket is writable, which the poller reports.
     if (!stream.chunks.empty() && stream.chunks.front().at > now()) schedule_delivery(r, from);
     update_interest(r);
   }
 
-  // A side is found reset when written to: the other is told, on the way there.
+  // A write found this side reset: the reset travels to the other side as part of the stream.
   void on_socket_reset(Relay& r, int side) {
     StreamDirection& stream = r.streams[static_cast<std::size_t>(side)];
     const auto [a, b] = direction_of(r, side);
@@ -469,7 +479,7 @@
         link_state(a, b).model.stream_arrival(chunk.sent, 0, stream.last_arrival);
     stream.chunks.push_back(std::move(chunk));
     stream.ended = true;
-    stream.delivered = false;  // where its end was passed on, its being gone is not
+    stream.delivered = false;  // its end of stream may have been delivered, but the reset hasn't
     close_side(r, side);
     schedule_delivery(r, side);
   }
@@ -586,8 +596,8 @@
 
   void deliver_datagram(const DatagramProxy& d, const std::string& bytes) {
     LinkState& on = link_state(d.from, d.to);
-    if (on.model.faults().cut) return;  // on its way when it was cut
-    // From the address by which the receiver knows the sender.
+    if (on.model.faults().cut) return;  // in transit when the link was cut
+    // Sent from the address by which the receiver reaches the sender.
     DatagramProxy& out = datagram_proxy(d.to, d.to_port, d.from, d.from_port);
     sockaddr_in to{};
     to.sin_family = AF_INET;
@@ -612,7 +622,7 @@
   std::vector<std::unique_ptr<Relay>> closed_relays_;
   std::map<Address, std::unique_ptr<DatagramProxy>> datagram_proxies_;
   std::map<std::pair<int, int>, std::vector<DatagramProxy*>>
-      proxies_by_sender_;  // by machine and port that send
+      proxies_by_sender_;  // by sending machine and port
   std::set<Loop::Timer> delivery_timers_;
   std::uint64_t last_fault_ = 0, last_relay_ = 0;
   std::array<char, 64 * 1024> scratch_{};
--- a/standins/links/network.h
+++ b/standins/links/network.h
@@ -1,22 +1,26 @@
-// Machines on loopback and the ways between them: user-space relays for TCP and UDP, with faults between any
-// two.
+// Simulated machines on loopback and the links between them: user-space relays for TCP and UDP, with faults
+// per link direction.
 //
-// A network has a part of 127.0.0.0/8 to itself, 127.N.0.0/16. Machine i has the address 127.N.0.i for its
-// processes to bind; it reaches machine j by 127.N.i.j, which nobody else uses. So the way from i to j and
-// the way back fail separately, and a datagram or a connection arrives from the address by which the receiver
-// itself would reach the sender.
+// A network uses a subnet of its own, 127.N.0.0/16. The processes of machine i bind to 127.N.0.i. Machine i
+// reaches machine j by 127.N.i.j, an address that no other machine uses. The two directions between i and j
+// can therefore fail separately, and a datagram or a connection arrives from the address by which the
+// receiver reaches the sender.
 //
-// What a relay can and can't do, seen from the two ends:
-//   a refused connect is refused, as long as the far side has listened or not for some ms; in the moment
-//   between
-//     a connect may come up and be reset at once
-//   an unanswered connect is unanswered: the way is cut, or the far side's accept queue is full
-//   FIN arrives as FIN, RST as RST, behind what was sent before; neither passes a way that is cut
-//   a connect that comes up does so at once: the time that its handshake would take is added to the first
-//   byte loss delays a stream (what is lost is sent again after 0.2 s, 0.4 s, ...) and takes datagrams away;
-//   streams
-//     are never reordered, doubled or corrupted, as their checksums see to that
-//   each direction of a connection holds 64 KiB in the relay beside the kernel's buffers
+// Behaviour of a relay, seen from its two ends:
+//
+// - A connect is refused if the target does not listen. For some ms after the target has started or stopped
+//   listening, a connect may be established and reset at once.
+//
+// - A connect gets no reply while the link is cut or the accept queue of the target is full.
+//
+// - FIN arrives as FIN and RST as RST, after the data sent before; neither passes a cut link.
+//
+// - An established connect returns at once; the time of its handshake delays the first byte instead.
+//
+// - Loss delays streams (lost data is retransmitted after 0.2 s, 0.4 s, ...) and drops datagrams. Streams are
+//   never reordered, duplicated or corrupted, as TCP's checksums prevent that.
+//
+// - The relay buffers 64 KiB per direction of a connection, in addition to the buffers of the kernel.
 #pragma once
 
 #include <cstdint>
@@ -30,52 +34,58 @@
 
 namespace nettlestand::standins {
 
-// All members are for any thread. The loop must outlive it.
+// Machines, links and link faults. Thread-safe. The loop must outlive it.
 class Network {
  public:
+  // Totals of one direction.
   struct Counts {
     std::uint64_t connections = 0, refused = 0,
-                  resets = 0;  // TCP: came up; a far side that refused; RSTs passed on
-    std::uint64_t bytes = 0;   // passed on, of streams
+                  resets = 0;  // TCP connections opened; refused by the target; RSTs delivered
+    std::uint64_t bytes = 0;   // stream bytes delivered
     std::uint64_t sent = 0, arrived = 0, corrupted = 0;  // datagrams
-    std::uint64_t unknown_senders = 0;                   // datagrams from elsewhere: dropped
+    std::uint64_t unknown_senders = 0;  // datagrams dropped because they came from another sender
   };
 
-  // Throws std::runtime_error where no part of the loopback network is free.
+  // Throws std::runtime_error if no subnet of the loopback network is free.
   Network(Loop& loop, std::uint64_t seed);
   ~Network();
   Network(const Network&) = delete;
   Network& operator=(const Network&) = delete;
 
-  // A further machine, numbered from 1; 250 at most (std::length_error).
+  // Adds a machine and returns its number, from 1. Throws std::length_error beyond 250 machines.
   int add_machine();
+  // Address to which the processes of a machine bind.
   std::string ip(int machine) const;
-  // The address by which `from` reaches `to`: as the source of what comes from there, too.
+  // Address by which `from` reaches `to`; also the source address of what `from` receives from `to`.
   std::string link_ip(int from, int to) const;
 
-  // How `from` reaches what listens at a port of `to`. Twice the same: the same. The port at the way's
-  // address is the same as there.
+  // Address by which `from` connects to a port of `to`; the port number is the same. Repeated calls return
+  // the same address.
   Address tcp(int from, int to, int port);
-  // Datagrams between a socket of each, both ways. Returns how `a` reaches `b`.
+  // Relays datagrams between a socket of `a` and one of `b`, in both directions. Returns the address by which
+  // `a` reaches `b`.
   Address udp(int a, int a_port, int b, int b_port);
-  // An address to which `from` sends what all that udp() has tied to its socket get.
+  // Broadcast address: a datagram that this socket of `from` sends to it goes to every peer that udp() has
+  // connected to the socket.
   Address udp_broadcast(int from, int from_port);
 
-  // A fault of the way from one to the other, until end(). Several at once go together.
+  // Applies faults to the direction from `from` to `to` until end(). Returns an id. Several at once are
+  // merged by combine().
   std::uint64_t begin(int from, int to, const LinkFaults& faults);
   void end(std::uint64_t fault);
-  // Resets all connections between the two, at both ends.
+  // Resets all connections between the two machines, at both ends.
   void reset(int a, int b);
-  // `gone` forgets all its connections with `other`, which learns of it when it next sends.
+  // Resets all connections between the two at `gone` only; `other` notices when it next sends.
   void half_open(int gone, int other);
-  // Asks again, at once, who listens: for a test that has just ended a process.
+  // Checks at once which targets listen, for a test that has just started or ended a process.
   void refresh_listeners();
 
   Counts counts(int from, int to) const;
 
-  // Bytes of streams that came to the far side well after they were sent, as a cut way held them back.
+  // A transfer of stream bytes from the connecting side that was delivered well after it was sent, for
+  // example because the link was cut.
   struct DelayedBytes {
-    int source_port = 0;             // as the far side sees it
+    int source_port = 0;             // as the receiver sees it
     double sent = 0, delivered = 0;  // s
   };
   std::vector<DelayedBytes> delayed_bytes() const;
--- a/tests/faults/standins_test.cpp
+++ b/tests/faults/standins_test.cpp
@@ -1,4 +1,4 @@
-// The stand-ins themselves: what a script says is what callers and records show.
+// Tests of the test doubles themselves: callers and records must show the faults that a script describes.
 #include <signal.h>
 #include <sys/socket.h>
 #include <sys/wait.h>
@@ -16,7 +16,7 @@
 namespace nettlestand::standins::testing {
 namespace {
 
-// Callers straight at one server.
+// Calls sent directly to one scripted server, without a node in between.
 struct DirectCalls {
   LoopThread thread;
   Recorder recorder;
@@ -26,7 +26,7 @@
     settings.recorder = &recorder;
     server = std::make_unique<ScriptedServer>(thread.loop(), settings);
   }
-  // So many calls, one after the other.
+  // Makes `count` calls one after another.
   LoadResult call(std::uint64_t count = 1, double timeout = 0.3) {
     LoadSettings settings;
     settings.targets = {{"s0", server->port()}};
@@ -154,7 +154,7 @@
   EXPECT_EQ(answer_body("a", 1, 500).size(), 500U);
 }
 
-// Each fault, what a caller sees of it, and whether the request may have run.
+// For each fault: what the caller sees, whether the request reached the server, and whether it may have run.
 TEST(ScriptedServer, DoesWhatItsScriptSays) {
   struct Case {
     const char* script;
@@ -207,14 +207,14 @@
       EXPECT_EQ(p.last_attempt().answer_digest, p.last_call().answer_digest) << c.script;
     }
     p.server->clear_faults();
-    EXPECT_EQ(p.call().all.served, 1U) << "well again after " << c.script;
+    EXPECT_EQ(p.call().all.served, 1U) << "must serve again after the end of " << c.script;
   }
 }
 
 TEST(ScriptedServer, HitsEachNthAndKeepsItsTimes) {
   DirectCalls p;
   p.server->run("every 3 error\nat 30 refuse\nreset-after-request for 0");
-  EXPECT_TRUE(until([&] { return p.call().all.failed == 0; })) << "the reset has ended";
+  EXPECT_TRUE(until([&] { return p.call().all.failed == 0; })) << "the reset fault must end";
   const LoadResult result = p.call(30);
   EXPECT_EQ(result.all.failed, 10U);
   EXPECT_EQ(result.all.served, 20U);
@@ -226,10 +226,10 @@
   EXPECT_EQ(p.call().all.served, 1U);
   EXPECT_TRUE(p.last_call().more);
   p.server->clear_faults();
-  p.server->run("twice 0.01\nlate 0.03");  // the copy comes when the next request is out
+  p.server->run("twice 0.01\nlate 0.03");  // the duplicate arrives while the next request is in flight
   const LoadResult result = p.call(2);
   EXPECT_EQ(result.all.served, 1U);
-  EXPECT_EQ(result.all.failed, 1U) << "another one's answer";
+  EXPECT_EQ(result.all.failed, 1U) << "gets the duplicate of the previous response";
 }
 
 TEST(ScriptedServer, RejectsWhatItAccepts) {
@@ -246,7 +246,7 @@
   DirectCalls p;
   p.server->run("early accept");
   const LoadResult result = p.call();
-  EXPECT_EQ(result.all.failed, 1U) << "an answer to nobody";
+  EXPECT_EQ(result.all.failed, 1U) << "the early response must not count for this call";
 }
 
 TEST(ScriptedServer, DropsRepeatsOfAKeyInItsGroup) {
@@ -295,7 +295,7 @@
   LoadClient client(thread.loop(), load);
   client.start();
   client.wait();
-  EXPECT_EQ(client.result().all.served, 2U) << "one worked on, one waiting";
+  EXPECT_EQ(client.result().all.served, 2U) << "one in service, one in the queue";
   EXPECT_EQ(client.result().all.refused, 3U);
   double first = 0;
   for (const AttemptRecord& a : recorder.attempts()) {
@@ -313,7 +313,7 @@
   settings.cores = 1;
   settings.service_time = 0.1;
   DirectCalls p(settings);
-  p.server->run("cold 0.5 60 1");  // half a second of work within a second, and no more
+  p.server->run("cold 0.5 60 1");  // crashes beyond 0.5 s of work within one second
   LoadSettings load;
   load.targets = {{"s0", p.server->port()}};
   load.callers = 8;
@@ -325,7 +325,7 @@
   EXPECT_TRUE(p.server->crashed_from_overload());
   ASSERT_EQ(p.recorder.fallen().size(), 1U);
   EXPECT_GT(p.recorder.fallen()[0].asked, p.recorder.fallen()[0].able);
-  EXPECT_EQ(p.call().all.unsent, 1U) << "it stays down";
+  EXPECT_EQ(p.call().all.unsent, 1U) << "must stay down until the faults are cleared";
   p.server->clear_faults();
   EXPECT_EQ(p.call().all.served, 1U);
 }
@@ -344,7 +344,7 @@
   EXPECT_TRUE(until([&] { return p.server->counts().open == 0 && p.server->counts().connections == 3; }));
 }
 
-// One connection of a node to discovery, read as text.
+// A connection of a node to discovery, with the response read as text.
 struct DiscoveryClient {
   Fd fd;
   std::string text;
@@ -389,7 +389,7 @@
   EXPECT_TRUE(whole.receives("127.0.0.1:2"));
   DiscoveryClient watch(port, "/v1/servers?stream=1");
   EXPECT_TRUE(watch.receives("\"seq\":2,\"whole\":true"));
-  EXPECT_TRUE(watch.receives("\r\n1\r\n\n\r\n")) << "an empty line";
+  EXPECT_TRUE(watch.receives("\r\n1\r\n\n\r\n")) << "heartbeat: an empty line";
   discovery.set_health("s0", "leaving");
   EXPECT_TRUE(watch.receives("\"seq\":3,\"whole\":false"));
   EXPECT_TRUE(watch.receives("\"health\":\"leaving\""));
@@ -435,7 +435,7 @@
   discovery.set_mode(ScriptedDiscovery::Mode::kSilent);
   discovery.set_health("s0", "active");
   DiscoveryClient silent(port, "/v1/servers");
-  EXPECT_EQ(recorder.told().back().told_at, 0) << "it has said nothing";
+  EXPECT_EQ(recorder.told().back().told_at, 0) << "nothing has been written yet";
   discovery.set_mode(ScriptedDiscovery::Mode::kUp);
   EXPECT_TRUE(until([&] { return recorder.told().back().told_at > 0; }));
 }
@@ -458,7 +458,7 @@
   const LoadResult result = client.result();
   EXPECT_EQ(result.all.served, result.all.calls);
   EXPECT_NEAR(static_cast<double>(result.all.calls), 2000, 300)
-      << "twice the rate: y calls three times as often";
+      << "twice the rate, as y calls three times as often";
   EXPECT_NEAR(
       static_cast<double>(result.tenants.at("y").calls) / static_cast<double>(result.tenants.at("x").calls),
       3, 0.8);
@@ -471,7 +471,8 @@
 
 TEST(LoadClient, WritesOnceMoreWhatCrossesAClose) {
   DirectCalls p;
-  p.server->run("at 0 every 2 reset-after-request");  // not a close between requests: it was read
+  // Not a close of an idle connection: the request was read.
+  p.server->run("at 0 every 2 reset-after-request");
   const LoadResult result = p.call(4);
   EXPECT_EQ(result.all.served + result.all.failed, 4U);
   for (const CallRecord& call : p.recorder.calls()) {
@@ -482,7 +483,7 @@
   }
 }
 
-// A program, run by a shell that tells its process id first.
+// A program run by a shell, which prints its process id first.
 struct Program {
   FILE* out;
   pid_t pid = 0;
@@ -499,7 +500,7 @@
     const std::size_t colon = text.rfind(':');
     return colon == std::string::npos ? 0 : std::atoi(text.c_str() + colon + 1);
   }
-  // Its exit code.
+  // Waits for its end and returns the exit code.
   int end() {
     if (out == nullptr) return 0;
     const int status = pclose(std::exchange(out, nullptr));
--- a/tests/lab/links_test.cpp
+++ b/tests/lab/links_test.cpp
@@ -1,4 +1,4 @@
-// Ways and links: each fault seen from both ends by plain sockets.
+// Tests of Network and LinkModel: each link fault as seen by plain sockets at both ends.
 #include <arpa/inet.h>
 #include <gtest/gtest.h>
 #include <netinet/in.h>
@@ -19,15 +19,15 @@
 namespace nettlestand::standins {
 namespace {
 
-constexpr int kTestTimeoutMs = 20'000;  // only ends a test that would hang
-constexpr int kQuietMs = 150;           // in which nothing must come
+constexpr int kTestTimeoutMs = 20'000;  // generous; only reached by a test that would hang
+constexpr int kQuietMs = 150;           // period in which nothing may arrive
 
 int wait_for(const Fd& fd, short events, int ms = kTestTimeoutMs) {
   pollfd p{fd.get(), events, 0};
   return poll(&p, 1, ms) > 0 ? p.revents : 0;
 }
 
-// How a connect ended: 0, an error number, or -1 where it is still unanswered.
+// Result of a connect: 0, an errno value, or -1 if there is no reply yet.
 int connected(const Fd& fd, int ms = kTestTimeoutMs) {
   if (wait_for(fd, POLLOUT, ms) == 0) return -1;
   int error = 0;
@@ -41,7 +41,7 @@
   return Fd(accept4(listener.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
 }
 
-// What can be read now: the bytes, and "FIN", "RST" or nothing behind them.
+// Reads once: the bytes, "FIN", "RST", "error N", or "quiet" if nothing arrives in time.
 std::string read_some(const Fd& fd, int ms = kTestTimeoutMs) {
   if (wait_for(fd, POLLIN, ms) == 0) return "quiet";
   char bytes[4096];
@@ -81,10 +81,10 @@
   int port = address_of(listener.get()).port;
   Address at = net.tcp(a, b, port);
 
-  // A connection and its far end.
+  // A connection of `a` to the listener of `b`, and its accepted end.
   std::pair<Fd, Fd> pair() {
     Fd near = connect_to(at);
-    const int buffer = 256 * 1024;  // the kernel would let it grow to megabytes
+    const int buffer = 256 * 1024;  // else the kernel lets it grow to megabytes
     setsockopt(near.get(), SOL_SOCKET, SO_SNDBUF, &buffer, sizeof buffer);
     EXPECT_EQ(connected(near), 0);
     Fd far = accept_from(listener);
@@ -142,7 +142,7 @@
   net.refresh_listeners();
   pair();
   listener.close();
-  // Without a look of ours the link finds it out by itself.
+  // The network notices it by itself, without refresh_listeners().
   EXPECT_TRUE(until([&] { return connected(connect_to(at)) == ECONNREFUSED; }));
 }
 
@@ -152,14 +152,14 @@
     const Fd waits = connect_to(at);
     EXPECT_EQ(connected(waits, kQuietMs), -1);
     net.end(fault);
-    EXPECT_EQ(connected(waits), 0) << "its next SYN is answered";
+    EXPECT_EQ(connected(waits), 0) << "the retransmitted SYN must be answered";
     EXPECT_TRUE(accept_from(listener));
   }
 }
 
 TEST_F(Links, AFullAcceptQueueLeavesConnectsUnanswered) {
   listen(listener.get(), 0);
-  const Fd first = connect_to(Address{net.ip(b), port});  // takes the only place
+  const Fd first = connect_to(Address{net.ip(b), port});  // takes the only place in the queue
   ASSERT_EQ(connected(first), 0);
   net.refresh_listeners();
   const Fd waits = connect_to(at);
@@ -175,7 +175,7 @@
     shutdown(near.get(), SHUT_WR);
     EXPECT_EQ(read_some(far), "last words");
     EXPECT_EQ(read_some(far), "FIN");
-    send_text(far, "still heard");  // half closed is not closed
+    send_text(far, "still heard");  // only one direction has been closed
     EXPECT_EQ(read_some(near), "still heard");
     far.close();
     EXPECT_EQ(read_some(near), "FIN");
@@ -190,11 +190,10 @@
   }
   {
     auto [near, far] = pair();
-    near.close();  // all of it: what is sent there now is answered with a reset
+    near.close();  // both directions: data sent to it now is answered with a reset
     EXPECT_EQ(read_some(far), "FIN");
     send_text(far, "to nobody");
-    EXPECT_TRUE(until([&] { return (wait_for(far, POLLIN) & POLLERR) != 0; }))
-        << "as a direct connection tells it";
+    EXPECT_TRUE(until([&] { return (wait_for(far, POLLIN) & POLLERR) != 0; })) << "as on a direct connection";
   }
 }
 
@@ -206,7 +205,7 @@
   EXPECT_EQ(read_some(near), "heard");
   EXPECT_EQ(read_some(far, kQuietMs), "quiet");
   net.end(fault);
-  EXPECT_EQ(read_some(far), "unheard") << "it is sent again";
+  EXPECT_EQ(read_some(far), "unheard") << "must be retransmitted after the cut";
 }
 
 TEST_F(Links, NeitherFinNorResetPassesACut) {
@@ -215,7 +214,7 @@
     const std::uint64_t fault = cut(a, b);
     if (reset) set_reset_on_close(near.get());
     near.close();
-    EXPECT_EQ(read_some(far, kQuietMs), "quiet") << "a machine that is cut off says nothing";
+    EXPECT_EQ(read_some(far, kQuietMs), "quiet") << "nothing may pass a cut link";
     net.end(fault);
     EXPECT_EQ(read_some(far), reset ? "RST" : "FIN");
   }
@@ -230,7 +229,7 @@
                     wait_for(near, POLLOUT, kQuietMs);) {
     if (put > 0) sent += static_cast<std::size_t>(put);
   }
-  EXPECT_LT(sent, 4U << 20) << "who is not heard is soon stopped";
+  EXPECT_LT(sent, 4U << 20) << "the sender must soon be blocked";
   shutdown(near.get(), SHUT_WR);
   net.end(fault);
   EXPECT_TRUE(read_all(far, sent) == std::string(sent, 'y'));
@@ -265,7 +264,7 @@
   EXPECT_EQ(read_some(far), "RST");
 }
 
-// Lower bounds alone: a busy machine may only be later.
+// Checks lower bounds only, as a busy machine may be later.
 TEST_F(Links, DelaysAndNarrowBandsHoldStreamsBack) {
   fault(a, b, [](LinkFaults& f) { f.delay = 0.1; });
   auto [near, far] = pair();
@@ -280,7 +279,7 @@
   from = now();
   send_text(near, std::string(20'000, 'x'));
   read_all(far, 20'000);
-  EXPECT_GE(now() - from, 0.3) << "0.1 s of delay and 0.2 s of band";
+  EXPECT_GE(now() - from, 0.3) << "0.1 s of delay and 0.2 s of transmission";
 }
 
 TEST_F(Links, LossDelaysStreamsAndKeepsTheirOrder) {
@@ -293,7 +292,7 @@
   for (int i = 0; i < 30; ++i) {
     all += std::to_string(i) + ",";
     send_text(near, std::to_string(i) + ",");
-    std::this_thread::sleep_for(std::chrono::milliseconds(1));  // pieces of their own
+    std::this_thread::sleep_for(std::chrono::milliseconds(1));  // so that each is read as a chunk of its own
   }
   EXPECT_EQ(read_all(far, all.size()), all);
 }
@@ -360,7 +359,7 @@
   EXPECT_TRUE(until([&] { return net.counts(a, b).sent == 1; }));
   net.end(fault);
   send_to(one, to_b, "after");
-  EXPECT_EQ(receive(two), "after") << "what was lost stays lost";
+  EXPECT_EQ(receive(two), "after") << "a lost datagram is not retransmitted";
 }
 
 TEST_F(Datagram, IsDoubledCorruptedReorderedAndLost) {
@@ -401,7 +400,7 @@
   EXPECT_EQ(receive(two, nullptr, kQuietMs), "quiet");
 }
 
-// ------------------------------------------------------------ the deciding half
+// ------------------------------------------------------------ LinkModel
 
 TEST(Way, IsTheSameForTheSameSeed) {
   LinkFaults f;
