--- a/standins/callers/load.cpp
+++ b/standins/callers/load.cpp
@@ -48,7 +48,7 @@
   to.latency.add(from.latency);
 }
 
-std::string json_of(const LoadCounts& c, double seconds) {
+std::string to_json(const LoadCounts& c, double seconds) {
   std::array<char, 512> out{};
   const auto n = [](std::uint64_t value) { return static_cast<unsigned long long>(value); };
   std::snprintf(out.data(), out.size(),
@@ -62,11 +62,11 @@
   return out.data();
 }
 
-std::string json_of(const std::map<std::string, LoadCounts>& all, double seconds) {
+std::string to_json(const std::map<std::string, LoadCounts>& all, double seconds) {
   std::string out = "{";
   for (const auto& [name, counts] : all) {
     if (out.size() > 1) out += ',';
-    out += "\"" + name + "\":" + json_of(counts, seconds);
+    out += "\"" + name + "\":" + to_json(counts, seconds);
   }
   return out + "}";
 }
@@ -76,8 +76,8 @@
 std::string LoadResult::json() const {
   std::array<char, 64> start{};
   std::snprintf(start.data(), start.size(), "{\"seconds\":%.3f,\"all\":", seconds);
-  return start.data() + json_of(all, seconds) + ",\"classes\":" + json_of(classes, seconds) +
-         ",\"tenants\":" + json_of(tenants, seconds) + "}";
+  return start.data() + to_json(all, seconds) + ",\"classes\":" + to_json(classes, seconds) +
+         ",\"tenants\":" + to_json(tenants, seconds) + "}";
 }
 
 class LoadClient::Impl {
--- a/standins/discovery/discovery.cpp
+++ b/standins/discovery/discovery.cpp
@@ -26,7 +26,7 @@
 
 using AddressMapping = std::function<std::string(const ServerEntry&)>;
 
-std::string json_of(const ServerEntry& s, const AddressMapping& address_mapping) {
+std::string to_json(const ServerEntry& s, const AddressMapping& address_mapping) {
   std::array<char, 32> share{};
   std::snprintf(share.data(), share.size(), "%.6g", s.share);
   return R"({"host":")" + s.host + R"(","dial":")" + address_mapping(s) + R"(","site":")" + s.site +
@@ -34,13 +34,13 @@
          R"(","share":)" + share.data() + R"(,"born_ms":)" + std::to_string(s.born_ms) + "}";
 }
 
-std::string json_of(std::uint64_t seq, bool whole, const std::vector<ServerEntry>& servers,
+std::string to_json(std::uint64_t seq, bool whole, const std::vector<ServerEntry>& servers,
                     const AddressMapping& address_mapping) {
   std::string out =
       R"({"seq":)" + std::to_string(seq) + R"(,"whole":)" + (whole ? "true" : "false") + R"(,"hosts":[)";
   for (const ServerEntry& s : servers) {
     if (out.back() != '[') out += ',';
-    out += json_of(s, address_mapping);
+    out += to_json(s, address_mapping);
   }
   return out + "]}";
 }
@@ -96,7 +96,7 @@
       if (c->watching) watching.push_back(c.get());
     }
     for (Connection* c : watching)
-      send_changes(*c, json_of(seq_, false, servers, mapping_for(*c)) + "\n", servers);
+      send_changes(*c, to_json(seq_, false, servers, mapping_for(*c)) + "\n", servers);
   }
 
   void set_health(const std::string& host, const std::string& health) {
@@ -175,26 +175,26 @@
   };
 
   // Opens or closes a listener according to the mode.
-  void apply_mode(Endpoint& e) {
+  void apply_mode(Endpoint& endpoint) {
     const bool wanted = mode_ != Mode::kRefuse;
-    if (wanted == e.listening) return;
+    if (wanted == endpoint.listening) return;
     if (wanted) {
-      e.listener = listen_on(Address{e.ip, e.port});
-      loop_.add(e.listener.get(), EPOLLIN, &e);
+      endpoint.listener = listen_on(Address{endpoint.ip, endpoint.port});
+      loop_.add(endpoint.listener.get(), EPOLLIN, &endpoint);
     } else {
-      loop_.remove(e.listener.get());
-      e.listener.close();
+      loop_.remove(endpoint.listener.get());
+      endpoint.listener.close();
     }
-    e.listening = wanted;
+    endpoint.listening = wanted;
   }
 
-  void accept(Endpoint& e) {
-    while (e.listening) {
-      Fd fd(accept4(e.listener.get(), nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK));
+  void accept(Endpoint& endpoint) {
+    while (endpoint.listening) {
+      Fd fd(accept4(endpoint.listener.get(), nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK));
       if (!fd) return;
       const int on = 1;
       setsockopt(fd.get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-      auto made = std::make_unique<Connection>(*this, std::move(fd), e, ++last_connection_);
+      auto made = std::make_unique<Connection>(*this, std::move(fd), endpoint, ++last_connection_);
       loop_.add(made->fd.get(), EPOLLIN | EPOLLRDHUP, made.get());
       connections_.emplace(made->id, std::move(made));
     }
@@ -238,7 +238,7 @@
       return write(c, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n", {});
     }
     if (target.find("stream=1") == std::string::npos) {
-      const std::string body = json_of(seq_, true, list(), mapping_for(c)) + "\n";
+      const std::string body = to_json(seq_, true, list(), mapping_for(c)) + "\n";
       return write_delayed(
           c, "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body,
           full_list_changes(c.endpoint));
@@ -253,19 +253,19 @@
         std::from_chars(target.data() + index + 6, target.data() + target.size(), since).ec == std::errc() &&
         since >= oldest_ && since <= seq_;
     if (!resumes)
-      return write_delayed(c, chunk_of(json_of(seq_, true, list(), mapping_for(c)) + "\n"),
+      return write_delayed(c, chunk_of(to_json(seq_, true, list(), mapping_for(c)) + "\n"),
                            full_list_changes(c.endpoint));
     std::vector<ServerEntry> changed;
     for (const auto& [host, entry] : history_) {
       if (entry.first > since) changed.push_back(entry.second);
     }
-    if (!changed.empty()) send_changes(c, json_of(seq_, false, changed, mapping_for(c)) + "\n", changed);
+    if (!changed.empty()) send_changes(c, to_json(seq_, false, changed, mapping_for(c)) + "\n", changed);
   }
 
   // Changes that a full list conveys: every server in it, and `left` for each known server that it omits.
-  std::vector<ServerEntry> full_list_changes(const Endpoint& e) const {
+  std::vector<ServerEntry> full_list_changes(const Endpoint& endpoint) const {
     std::vector<ServerEntry> out = list();
-    for (const std::string& host : e.known) {
+    for (const std::string& host : endpoint.known) {
       if (servers_.contains(host)) continue;
       ServerEntry gone;
       gone.host = host;
--- a/standins/links/network.cpp
+++ b/standins/links/network.cpp
@@ -155,7 +155,7 @@
     const Address at, target;
     Fd port_holder, listener, queue_filler;
     int queue_filler_port = 0;
-    ListenState is = ListenState::kNotListening;
+    ListenState state = ListenState::kNotListening;
   };
 
   // One direction of a relayed connection.
@@ -269,53 +269,53 @@
   }
 
   // Makes a proxy react to connects as its target would: accept, refuse or not reply.
-  void update_listener(ProxyListener& e) {
-    const bool cut =
-        link_state(e.from, e.to).model.faults().cut || link_state(e.to, e.from).model.faults().cut;
-    ListenState is = cut ? ListenState::kQueueFull : probe_.query(e.target);
-    if (is == e.is) return;
-    const bool was_nobody = e.is == ListenState::kNotListening;
-    e.is = is;
-    if (is == ListenState::kNotListening) return e.shut();
-    if (was_nobody) {
-      e.listener = listen_on(e.at, is == ListenState::kQueueFull ? 0 : 4096);
-      loop_.add(e.listener.get(), is == ListenState::kQueueFull ? 0U : static_cast<std::uint32_t>(EPOLLIN),
-                &e);
+  void update_listener(ProxyListener& proxy) {
+    const bool cut = link_state(proxy.from, proxy.to).model.faults().cut ||
+                     link_state(proxy.to, proxy.from).model.faults().cut;
+    ListenState state = cut ? ListenState::kQueueFull : probe_.query(proxy.target);
+    if (state == proxy.state) return;
+    const bool was_not_listening = proxy.state == ListenState::kNotListening;
+    proxy.state = state;
+    if (state == ListenState::kNotListening) return proxy.shut();
+    if (was_not_listening) {
+      proxy.listener = listen_on(proxy.at, state == ListenState::kQueueFull ? 0 : 4096);
+      loop_.add(proxy.listener.get(),
+                state == ListenState::kQueueFull ? 0U : static_cast<std::uint32_t>(EPOLLIN), &proxy);
     }
-    if (is == ListenState::kQueueFull) {
-      accept(e);  // connections established before the queue was full
+    if (state == ListenState::kQueueFull) {
+      accept(proxy);  // connections established before the queue was full
       // A backlog of 0 leaves space for one connection in the accept queue. With that taken by a connection
       // of our own, further connects get no reply.
-      listen(e.listener.get(), 0);
-      e.queue_filler = connect_to(e.at);
-      e.queue_filler_port = port_of(e.queue_filler.get());
-      if (!was_nobody) loop_.modify(e.listener.get(), 0, &e);
-    } else if (!was_nobody) {
-      listen(e.listener.get(), 4096);
-      e.queue_filler.close();
-      loop_.modify(e.listener.get(), EPOLLIN, &e);
+      listen(proxy.listener.get(), 0);
+      proxy.queue_filler = connect_to(proxy.at);
+      proxy.queue_filler_port = port_of(proxy.queue_filler.get());
+      if (!was_not_listening) loop_.modify(proxy.listener.get(), 0, &proxy);
+    } else if (!was_not_listening) {
+      listen(proxy.listener.get(), 4096);
+      proxy.queue_filler.close();
+      loop_.modify(proxy.listener.get(), EPOLLIN, &proxy);
     }
   }
 
-  void accept(ProxyListener& e) {
-    while (e.listener) {
+  void accept(ProxyListener& proxy) {
+    while (proxy.listener) {
       sockaddr_in who{};
       socklen_t size = sizeof who;
-      Fd fd(
-          accept4(e.listener.get(), reinterpret_cast<sockaddr*>(&who), &size, SOCK_NONBLOCK | SOCK_CLOEXEC));
+      Fd fd(accept4(proxy.listener.get(), reinterpret_cast<sockaddr*>(&who), &size,
+                    SOCK_NONBLOCK | SOCK_CLOEXEC));
       if (!fd) return;
-      if (e.queue_filler_port != 0 && ntohs(who.sin_port) == e.queue_filler_port) {
-        e.queue_filler_port = 0;
+      if (proxy.queue_filler_port != 0 && ntohs(who.sin_port) == proxy.queue_filler_port) {
+        proxy.queue_filler_port = 0;
         continue;
       }
-      open(e, std::move(fd));
+      open(proxy, std::move(fd));
     }
   }
 
   // ------------------------------------------------------------ streams
 
-  void open(const ProxyListener& e, Fd near) {
-    Fd far = connect_to(e.target, link_ip(e.to, e.from));
+  void open(const ProxyListener& proxy, Fd near) {
+    Fd far = connect_to(proxy.target, link_ip(proxy.to, proxy.from));
     if (!far) {
       set_reset_on_close(near.get());
       return;
@@ -324,8 +324,8 @@
     Relay& r = *made;
     r.owner = this;
     r.id = ++last_relay_;
-    r.from = e.from;
-    r.to = e.to;
+    r.from = proxy.from;
+    r.to = proxy.to;
     const int on = 1;
     setsockopt(near.get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
     for (Fd* fd : {&near, &far}) {
@@ -336,10 +336,11 @@
     r.sides[1].fd = std::move(far);
     r.sides[1].connected = false;
     // The handshake takes a round trip before the first byte may be sent.
-    LinkState& there = link_state(e.from, e.to);
-    r.streams[0].last_arrival = now() + there.model.handshake_time() +
-                                link_state(e.to, e.from).model.handshake_time() + there.model.faults().delay;
-    ++there.counts.connections;
+    LinkState& outbound = link_state(proxy.from, proxy.to);
+    r.streams[0].last_arrival = now() + outbound.model.handshake_time() +
+                                link_state(proxy.to, proxy.from).model.handshake_time() +
+                                outbound.model.faults().delay;
+    ++outbound.counts.connections;
     relays_.emplace(r.id, std::move(made));
     for (int i = 0; i < 2; ++i) {
       Side& side = r.sides[static_cast<std::size_t>(i)];
@@ -387,12 +388,12 @@
     Side& side = r.sides[static_cast<std::size_t>(from)];
     StreamDirection& stream = r.streams[static_cast<std::size_t>(from)];
     const auto [a, b] = direction_of(r, from);
-    LinkState& on = link_state(a, b);
+    LinkState& link = link_state(a, b);
     while (side.fd && !stream.ended && stream.buffered_bytes < kRelayBufferBytes) {
       const ssize_t got = recv(side.fd.get(), scratch_.data(), scratch_.size(), 0);
       if (got < 0 && (errno == EAGAIN || errno == EINTR)) break;
       if (r.half_open && got >= 0) {  // the other end does not know this connection
-        if (on.model.faults().cut) return stream.chunks.clear();
+        if (link.model.faults().cut) return stream.chunks.clear();
         set_reset_on_close(side.fd.get());
         return drop(r);
       }
@@ -406,7 +407,7 @@
         chunk.fin = got == 0;
         chunk.reset = got < 0;
       }
-      chunk.at = on.model.stream_arrival(chunk.sent, chunk.bytes.size(), stream.last_arrival);
+      chunk.at = link.model.stream_arrival(chunk.sent, chunk.bytes.size(), stream.last_arrival);
       stream.last_arrival = chunk.at;
       if (chunk.reset) {  // this side is closed: nothing can be delivered to it any more
         stream.chunks.push_back(std::move(chunk));
@@ -572,14 +573,14 @@
   }
 
   void forward_datagram(const DatagramProxy& d, const std::string& bytes) {
-    LinkState& on = link_state(d.from, d.to);
-    ++on.counts.sent;
-    for (const LinkModel::Delivery& one : on.model.datagram_arrivals(now(), bytes.size())) {
+    LinkState& link = link_state(d.from, d.to);
+    ++link.counts.sent;
+    for (const LinkModel::Delivery& one : link.model.datagram_arrivals(now(), bytes.size())) {
       std::string copy = bytes;
       if (one.corrupt && !copy.empty()) {
-        const auto at = static_cast<std::size_t>(on.model.uniform_below(copy.size()));
-        copy[at] = static_cast<char>(copy[at] ^ (1 << on.model.uniform_below(8)));
-        ++on.counts.corrupted;
+        const auto at = static_cast<std::size_t>(link.model.uniform_below(copy.size()));
+        copy[at] = static_cast<char>(copy[at] ^ (1 << link.model.uniform_below(8)));
+        ++link.counts.corrupted;
       }
       if (one.at <= now()) {
         deliver_datagram(d, copy);
@@ -595,8 +596,8 @@
   }
 
   void deliver_datagram(const DatagramProxy& d, const std::string& bytes) {
-    LinkState& on = link_state(d.from, d.to);
-    if (on.model.faults().cut) return;  // in transit when the link was cut
+    LinkState& link = link_state(d.from, d.to);
+    if (link.model.faults().cut) return;  // in transit when the link was cut
     // Sent from the address by which the receiver reaches the sender.
     DatagramProxy& out = datagram_proxy(d.to, d.to_port, d.from, d.from_port);
     sockaddr_in to{};
@@ -605,7 +606,7 @@
     inet_pton(AF_INET, ip(d.to).c_str(), &to.sin_addr);
     if (sendto(out.fd.get(), bytes.data(), bytes.size(), 0, reinterpret_cast<const sockaddr*>(&to),
                sizeof to) >= 0) {
-      ++on.counts.arrived;
+      ++link.counts.arrived;
     }
   }
 
@@ -641,7 +642,7 @@
 namespace {
 
 template <class F>
-auto on(Loop& loop, F&& f) {
+auto call_on(Loop& loop, F&& f) {
   decltype(f()) out{};
   loop.call([&] { out = f(); });
   return out;
@@ -650,21 +651,21 @@
 }  // namespace
 
 int Network::add_machine() {
-  return on(loop_, [&] { return impl_->add_machine(); });
+  return call_on(loop_, [&] { return impl_->add_machine(); });
 }
 std::string Network::ip(int machine) const { return impl_->ip(machine); }
 std::string Network::link_ip(int from, int to) const { return impl_->link_ip(from, to); }
 Address Network::tcp(int from, int to, int port) {
-  return on(loop_, [&] { return impl_->tcp(from, to, port); });
+  return call_on(loop_, [&] { return impl_->tcp(from, to, port); });
 }
 Address Network::udp(int a, int a_port, int b, int b_port) {
-  return on(loop_, [&] { return impl_->udp(a, a_port, b, b_port); });
+  return call_on(loop_, [&] { return impl_->udp(a, a_port, b, b_port); });
 }
 Address Network::udp_broadcast(int from, int from_port) {
-  return on(loop_, [&] { return impl_->udp_broadcast(from, from_port); });
+  return call_on(loop_, [&] { return impl_->udp_broadcast(from, from_port); });
 }
 std::uint64_t Network::begin(int from, int to, const LinkFaults& faults) {
-  return on(loop_, [&] { return impl_->begin(from, to, faults); });
+  return call_on(loop_, [&] { return impl_->begin(from, to, faults); });
 }
 void Network::end(std::uint64_t fault) {
   loop_.call([&] { impl_->end(fault); });
@@ -679,10 +680,10 @@
   loop_.call([&] { impl_->refresh_listeners(); });
 }
 std::vector<Network::DelayedBytes> Network::delayed_bytes() const {
-  return on(loop_, [&] { return impl_->delayed_bytes; });
+  return call_on(loop_, [&] { return impl_->delayed_bytes; });
 }
 Network::Counts Network::counts(int from, int to) const {
-  return on(loop_, [&] { return impl_->counts(from, to); });
+  return call_on(loop_, [&] { return impl_->counts(from, to); });
 }
 
 }  // namespace nettlestand::standins
--- a/standins/servers/server.cpp
+++ b/standins/servers/server.cpp
@@ -303,7 +303,7 @@
         close(c, Closer::kServer, true);
       } else if (next_match(FaultKind::kEarly, "accept") != nullptr) {
         const std::string body = "answer to nobody";
-        c.plan.bytes = head_of(200, body.size(), false, false) + body;
+        c.plan.bytes = response_head(200, body.size(), false, false) + body;
         write_pending(c);
       }
     }
@@ -398,7 +398,7 @@
       c.answered_early = true;
       const std::string body = "early answer to " + c.request;
       record_answer(c, 200, false, digest_of(body));
-      c.plan.bytes += head_of(200, body.size(), false, false) + body;
+      c.plan.bytes += response_head(200, body.size(), false, false) + body;
       write_pending(c);
     }
     return true;
@@ -447,7 +447,7 @@
       if (const Fault* dedup = active_fault(FaultKind::kDedup); dedup != nullptr && !c.key.empty()) {
         if (settings.dedup_store->check_duplicate(c.key, now(), dedup->arg1)) {
           update_attempt(c.attempt, [](AttemptRecord& r) { r.repeat = true; });
-          return answer(c, 200, false, body_for(c));
+          return answer(c, 200, false, response_body(c));
         }
       }
     }
@@ -469,14 +469,14 @@
     if (c.work <= 0 && settings.cores == 0) {
       ++counts.answered;
       update_attempt(c.attempt, [](AttemptRecord& r) { r.finished_at = now(); });
-      return answer(c, 200, false, body_for(c));
+      return answer(c, 200, false, response_body(c));
     }
     c.busy = true;
     waiting_.push_back({c.id, c.attempt, c.work});
     start_jobs();
   }
 
-  std::string body_for(const Connection& c) const {
+  std::string response_body(const Connection& c) const {
     const Fault* size = active_fault(FaultKind::kSize);
     return answer_body(c.request, c.body.digest(),
                        size != nullptr ? static_cast<std::size_t>(size->arg1) : settings.answer_bytes);
@@ -502,7 +502,7 @@
         ++counts.answered;
         update_attempt(job.attempt, [](AttemptRecord& r) { r.finished_at = now(); });
         if (Connection* c = find(job.connection); c != nullptr && c->attempt == job.attempt) {
-          answer(*c, 200, false, body_for(*c));
+          answer(*c, 200, false, response_body(*c));
         }
         start_jobs();
       });
@@ -543,7 +543,7 @@
 
   // ------------------------------------------------------------ responses
 
-  static std::string head_of(int status, std::size_t length, bool not_started, bool close) {
+  static std::string response_head(int status, std::size_t length, bool not_started, bool close) {
     std::string out = status == 200   ? "HTTP/1.1 200 OK\r\n"
                       : status == 503 ? "HTTP/1.1 503 Service Unavailable\r\n"
                                       : "HTTP/1.1 " + std::to_string(status) + " Other\r\n";
@@ -562,7 +562,7 @@
 
   void answer(Connection& c, int status, bool not_started, const std::string& body) {
     if (faults_.empty() && c.keep && settings.recorder == nullptr) {
-      c.plan.bytes += head_of(status, body.size(), not_started, false);
+      c.plan.bytes += response_head(status, body.size(), not_started, false);
       c.plan.bytes += body;
       return write_pending(c);
     }
@@ -570,7 +570,7 @@
     plan.close_after = !c.keep;
     plan.bytes = c.plan.bytes.substr(c.plan.sent);  // the unsent part of an early response
     const std::size_t before = plan.bytes.size();
-    plan.bytes += head_of(status, body.size(), not_started, !c.keep);
+    plan.bytes += response_head(status, body.size(), not_started, !c.keep);
     const std::size_t head = plan.bytes.size();
     plan.bytes += body;
     std::uint64_t digest = digest_of(body);
@@ -585,7 +585,7 @@
       }
       if (const Fault* f = next_match(FaultKind::kGarble); f != nullptr) {
         plan.bytes.resize(before);
-        plan.bytes += garbled(f->text, status, body);
+        plan.bytes += garbled_response(f->text, status, body);
         too_short = f->text == "long";
         plan.close_after = plan.close_after || too_short;
         digest = f->text == "short" ? digest_of(body.substr(0, body.size() / 2)) : 0;
@@ -606,14 +606,14 @@
     resume_write(c);
   }
 
-  std::string garbled(const std::string& how, int status, const std::string& body) {
+  std::string garbled_response(const std::string& how, int status, const std::string& body) {
     if (how == "head") return random_bytes(random_) + body;
     if (how == "chunks") {
-      std::string out = head_of(status, 0, false, false);
+      std::string out = response_head(status, 0, false, false);
       out.resize(out.find("Content-Length"));
       return out + "Transfer-Encoding: chunked\r\n\r\nzz\r\n" + body;
     }
-    return head_of(status, how == "short" ? body.size() / 2 : body.size() + 10, false, false) + body;
+    return response_head(status, how == "short" ? body.size() / 2 : body.size() + 10, false, false) + body;
   }
 
   // Applies the faults that affect how a response is written.
