--- a/bench/duties.cpp
+++ b/bench/duties.cpp
@@ -78,7 +78,7 @@
     return static_cast<ActorId>(cluster.settings.voters + holder);
   };
   const auto cut = [actor](Cluster& cluster, std::size_t holder, bool out, bool in) {
-    standins::WayFaults way;
+    standins::LinkFaults way;
     way.cut = true;
     for (ActorId other = 0; other < cluster.sim.size(); ++other) {
       if (other == actor(cluster, holder)) continue;
@@ -163,7 +163,7 @@
     if (leader != holder) world.node(leader).signal(SIGKILL);
   });
   const auto cut = [](ProcessWorld& world, std::size_t holder, bool out, bool in) {
-    WayFaults way;
+    LinkFaults way;
     way.cut = true;
     for (std::size_t i = 0; i < 6; ++i) {
       if (i == holder) continue;
--- a/standins/callers/load_main.cpp
+++ b/standins/callers/load_main.cpp
@@ -1,4 +1,4 @@
-// nettlestand-load: callers of a node as a program.
+// nettlestand-load: the load generator as a standalone program.
 #include <cstdio>
 #include <exception>
 #include <stdexcept>
@@ -41,7 +41,7 @@
   return out;
 }
 
-// The value of `name=value` for a field that is one.
+// Parses a field of the form NAME=NUMBER; returns the number and stores the name.
 double value(const std::string& field, const std::string& option, std::string* name) {
   const std::vector<std::string> pair = si::Options::split(field, '=');
   if (pair.size() != 2) throw std::invalid_argument("--" + option + ": '" + field + "' is not NAME=VALUE");
@@ -68,7 +68,7 @@
     } else if (name == "timeout") {
       out.timeout = number;
     } else if (name == "aim") {
-      out.aim = number;
+      out.latency_target = number;
     } else if (name == "body") {
       out.body_bytes = static_cast<std::size_t>(number);
     } else {
@@ -99,12 +99,12 @@
   }
   out.rate = options.number("rate", 0);
   out.callers = static_cast<std::size_t>(options.number("callers", 16));
-  out.most = static_cast<std::size_t>(options.number("most", 4000));
+  out.max_connections = static_cast<std::size_t>(options.number("most", 4000));
   out.seconds = options.number("seconds", 1);
   out.warm_up = options.number("warm-up", 0);
   out.calls = static_cast<std::uint64_t>(options.number("calls", 0));
   out.keep_alive = options.number("keep-alive", 1) != 0;
-  out.patience = options.number("patience", 0);
+  out.extra_wait = options.number("patience", 0);
   out.path = options.text("path", "/api");
   out.seed = static_cast<std::uint64_t>(options.number("seed", 1));
   return out;
