--- a/bench/duties.cpp
+++ b/bench/duties.cpp
@@ -141,7 +141,7 @@
         }
         return false;
       });
-      if (until > 0 && !w.starvation().is_void) all.push_back(until - from);
+      if (until > 0 && !w.starvation().is_invalid) all.push_back(until - from);
     }
     print_quantiles(std::string("lease 1 s, election 0.3 s: ") + name, all, "s");
   };
@@ -392,7 +392,7 @@
       if (with) add_voters(w, 3);
       w.play("", 5);
       const Timeline t = w.finish();
-      if (w.starvation().is_void) continue;
+      if (w.starvation().is_invalid) continue;
       std::vector<double> times;
       std::size_t served = 0;
       for (const CallRecord& c : t.evidence.calls) {
--- a/bench/lab_costs.cpp
+++ b/bench/lab_costs.cpp
@@ -87,8 +87,8 @@
     s.nodes = nodes;
     s.servers = servers;
     s.zones = {{"a", "r", 1}, {"b", "r", 1}, {"c", "q", 1}};
-    s.between_zones = 0.001;
-    s.between_regions = 0.005;
+    s.cross_zone_delay = 0.001;
+    s.cross_region_delay = 0.005;
     s.server.cores = 4;
     s.server.service = 0.004;
     s.node.tenants = {{"acme", 100000}};
@@ -98,17 +98,17 @@
     world.start();
     const double before = process_cpu_seconds();
     std::vector<double> ran;
-    for (std::size_t i = 0; i < nodes; ++i) ran.push_back(world.node(i).times().ran);
+    for (std::size_t i = 0; i < nodes; ++i) ran.push_back(world.node(i).times().run_seconds);
     world.play("", kSeconds);
     double cpu = 0, memory = 0;
     for (std::size_t i = 0; i < nodes; ++i) {
-      cpu += (world.node(i).times().ran - ran[i]) / kSeconds / static_cast<double>(nodes);
+      cpu += (world.node(i).times().run_seconds - ran[i]) / kSeconds / static_cast<double>(nodes);
       memory += static_cast<double>(world.node(i).resident_kb()) / static_cast<double>(nodes);
     }
     const double harness_cpu = (process_cpu_seconds() - before) / kSeconds;
     rusage usage{};
     getrusage(RUSAGE_SELF, &usage);
-    const double start = world.seconds_to_start(), waited = world.starvation().most;
+    const double start = world.seconds_to_start(), waited = world.starvation().max_cpu_wait;
     const Timeline t = world.finish();
     const auto served = std::count_if(t.evidence.calls.begin(), t.evidence.calls.end(),
                                       [](const CallRecord& c) { return c.status == 200; });
--- a/bench/peers_processes.cpp
+++ b/bench/peers_processes.cpp
@@ -60,9 +60,9 @@
   const double joining_seconds = now() - from;
   std::this_thread::sleep_for(std::chrono::seconds(3));
   double cpu_seconds = 0;
-  for (std::size_t i = 0; i < s.nodes; ++i) cpu_seconds -= w.node(i).times().ran;
+  for (std::size_t i = 0; i < s.nodes; ++i) cpu_seconds -= w.node(i).times().run_seconds;
   std::this_thread::sleep_for(std::chrono::duration<double>(idle_seconds));
-  for (std::size_t i = 0; i < s.nodes; ++i) cpu_seconds += w.node(i).times().ran;
+  for (std::size_t i = 0; i < s.nodes; ++i) cpu_seconds += w.node(i).times().run_seconds;
   std::vector<double> first, all;
   int incomplete = 0;
   for (int round = 0; round < deaths; ++round) {
--- a/daemon/demo.cpp
+++ b/daemon/demo.cpp
@@ -169,11 +169,14 @@
     si::CheckerSettings settings;
     settings.classes = checked_classes();
     settings.late_slack = 0.5;
-    settings.crossing = 0.5;
+    settings.answer_race_slack = 0.5;
     for (const si::Listing& server : listings_)
       settings.servers.push_back({server.host, server.site, server.block});
-    const auto violations = si::Checker(settings).check(
-        {recorder_.calls(), recorder_.attempts(), recorder_.told(), recorder_.fallen(), {node_->life()}});
+    const auto violations = si::Checker(settings).check({recorder_.calls(),
+                                                         recorder_.attempts(),
+                                                         recorder_.list_changes(),
+                                                         recorder_.overloads(),
+                                                         {node_->lifetime()}});
     const si::LoadCounts& all = result.all;
     std::printf(
         "\n%llu calls: %llu served, %llu refused, %llu failed or timed out; %zu attempts at servers\n",
--- a/lab/experiment.cpp
+++ b/lab/experiment.cpp
@@ -166,7 +166,7 @@
   bool any = false;
   for (const standins::WorldFault& fault : faults()) {
     from = any ? std::min(from, fault.at) : fault.at;
-    until = std::max(until, fault.lasts == standins::kForever ? fault.at : fault.at + fault.lasts);
+    until = std::max(until, fault.duration == standins::kForever ? fault.at : fault.at + fault.duration);
     any = true;
   }
   return {from, until};
--- a/lab/experiment.h
+++ b/lab/experiment.h
@@ -42,7 +42,7 @@
   double capacity() const { return static_cast<double>(servers) * cores / work; }
   // As a world of processes names them, in its order.
   std::vector<standins::Member> members() const;
-  std::vector<standins::WorldFault> faults() const { return standins::read_world_script(script, members()); }
+  std::vector<standins::WorldFault> faults() const { return standins::parse_world_script(script, members()); }
   // From the first fault's beginning to the last one's end; {0, 0} where there is none.
   std::pair<double, double> trouble() const;
 };
--- a/lab/play_emulated.cpp
+++ b/lab/play_emulated.cpp
@@ -104,8 +104,8 @@
   Cuts cuts;
   for (const si::WorldFault& f : setup.faults()) {
     const si::Member& who = members[f.who];
-    const double until = f.lasts == si::kForever ? kForGood : f.at + f.lasts;
-    if (f.to != si::WorldFault::kNobody) {
+    const double until = f.duration == si::kForever ? kForGood : f.at + f.duration;
+    if (f.to != si::WorldFault::kNoMember) {
       const si::Member& to = members[f.to];
       if (f.verb != "cut") throw CantPlay("the emulator does not play '" + f.verb + "' on ways; only 'cut'");
       if (who.role == si::Role::kNode && to.role == si::Role::kServer)
@@ -155,7 +155,7 @@
                                            : quinceusher::ServerState::kReady;
         change.restarted = f.verb == "back";
         out.changes.push_back(change);
-        if (f.verb != "back" && f.lasts != si::kForever) {
+        if (f.verb != "back" && f.duration != si::kForever) {
           change.at = until;
           change.state = quinceusher::ServerState::kReady;
           change.restarted = true;
--- a/lab/play_processes.cpp
+++ b/lab/play_processes.cpp
@@ -17,7 +17,7 @@
   out.seed = seed;
   out.zones.clear();
   for (const std::string& zone : setup.zones) out.zones.push_back({zone, "r", 1});
-  out.between_zones = setup.between_zones;
+  out.cross_zone_delay = setup.between_zones;
   out.nodes = setup.nodes;
   out.servers = setup.servers;
   out.server.cores = setup.cores;
@@ -65,8 +65,8 @@
   Run out;
   out.variant = setup.variant;
   out.seed = seed;
-  out.is_void = world.starvation().is_void;
-  const std::string broken = si::broken_rules(si::four_rules(world.checked()), timeline);
+  out.is_void = world.starvation().is_invalid;
+  const std::string broken = si::describe_violations(si::request_rules(world.checker_settings()), timeline);
   out.rules_broken = static_cast<std::uint64_t>(std::count(broken.begin(), broken.end(), '\n'));
   if (!broken.empty()) std::fprintf(stderr, "%s", broken.c_str());
   std::map<std::string, Request> requests;
@@ -74,7 +74,7 @@
   for (const si::AttemptRecord& attempt : timeline.evidence.attempts) ++attempts[attempt.id];
   for (const si::CallRecord& call : timeline.evidence.calls) {
     Request& r = requests[call.first_id];
-    r.born = call.born;
+    r.born = call.due_at;
     ++r.tries;
     r.attempts += attempts[call.id];
     const std::size_t member = std::stoul(call.node.substr(1));
@@ -135,7 +135,7 @@
   if (setup.uneven > 0) throw CantPlay("processes: traffic.uneven is the emulator's alone");
   if (setup.draw == "uniform") throw CantPlay("processes: work is exponential or fixed");
   for (const si::WorldFault& fault : setup.faults()) {
-    if (si::needs_seams(fault))
+    if (si::needs_interposed_faults(fault))
       throw CantPlay("processes: '" + fault.verb + "' is for tests, whose worlds have seams");
   }
 }
--- a/standins/callers/load.cpp
+++ b/standins/callers/load.cpp
@@ -144,7 +144,7 @@
     double born = 0;
     int tries = 1;
     std::size_t cls = 0, tenant = 0;
-    double due = 0, first_byte_at = 0, sent_at = 0, again_at = 0;
+    double due = 0, first_byte_at = 0, sent_at = 0, resent_at = 0;
     bool counts = true;
   };
   struct Connection : Watcher {
@@ -242,7 +242,7 @@
     call.id = hex(prefix_ + ++last_id_ * 0x9E3779B97F4A7C15ULL);
     ++call.tries;
     call.due = now();
-    call.first_byte_at = call.sent_at = call.again_at = 0;
+    call.first_byte_at = call.sent_at = call.resent_at = 0;
     if (!call.key.empty()) call.key = call.id + hex(random_.next());
     dispatch(std::move(call));
   }
@@ -348,13 +348,14 @@
     if (got < 0 && (errno == EAGAIN || errno == EINTR)) return;
     if (got <= 0) return broken(c, got < 0);
     if (!c.busy) {  // nobody has asked
-      if (c.last_record != kNone) s.recorder->call(c.last_record, [](CallRecord& r) { r.more = true; });
+      if (c.last_record != kNone)
+        s.recorder->call(c.last_record, [](CallRecord& r) { r.has_extra_bytes = true; });
       return drop(c);
     }
     c.in.append(scratch_.data(), static_cast<std::size_t>(got));
     try {
       parse(c);
-    } catch (const BadMessage&) {
+    } catch (const MessageError&) {
       end(c, CallEnd::kCut, 0);
     }
   }
@@ -362,7 +363,7 @@
   void parse(Connection& c) {
     while (true) {
       if (!c.in_body) {
-        const std::optional<Head> head = read_head(c.in);
+        const std::optional<MessageHead> head = parse_head(c.in);
         if (!head) return;
         c.status = head->status();
         c.close_after = c.close_after || head->close;
@@ -391,10 +392,10 @@
       }
     }
     if (c.in_body || !c.in.empty()) return end(c, CallEnd::kCut, c.status);
-    if (!c.used || c.call.again_at > 0) return end(c, CallEnd::kClosed, 0);
+    if (!c.used || c.call.resent_at > 0) return end(c, CallEnd::kClosed, 0);
     // The node closed it as the request was on its way: once more, on a new one.
     Call call = std::move(c.call);
-    call.again_at = now();
+    call.resent_at = now();
     const std::size_t target = c.target;
     c.busy = false;
     drop(c);
@@ -403,7 +404,8 @@
 
   void end(Connection& c, CallEnd how, int status) {
     const bool more = how == CallEnd::kAnswered && !c.in.empty();
-    const double at = s.recorder != nullptr && how == CallEnd::kAnswered ? last_arrival(c.fd.get()) : now();
+    const double at =
+        s.recorder != nullptr && how == CallEnd::kAnswered ? last_data_received_at(c.fd.get()) : now();
     const bool keep = how == CallEnd::kAnswered && !more && !c.close_after && s.keep_alive;
     c.busy = false;
     const Call call = std::move(c.call);
@@ -458,19 +460,19 @@
       r.node = s.targets[target].node;
       r.id = call.id;
       r.first_id = call.first_id;
-      r.born = call.born;
+      r.due_at = call.born;
       r.request_class = cls.name;
       r.tenant = s.tenants[call.tenant].name;
       r.key = call.key;
       r.timeout = cls.timeout;
       r.first_byte_at = call.first_byte_at;
       r.sent_at = call.sent_at;
-      r.again_at = call.again_at;
+      r.resent_at = call.resent_at;
       r.answered_at = at;
       r.end = how;
       r.status = status;
       r.answer_digest = digest;
-      r.more = more;
+      r.has_extra_bytes = more;
       const std::size_t record = s.recorder->open(std::move(r));
       if (c != nullptr) c->last_record = record;
     }
@@ -537,7 +539,7 @@
     loop_.remove(c.fd.get());
     c.fd.close();
     const auto it = connections_.find(c.id);
-    loop_.bury(std::move(it->second));
+    loop_.destroy_later(std::move(it->second));
     connections_.erase(it);
   }
 
--- a/standins/callers/load.h
+++ b/standins/callers/load.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "standins/common/latencies.h"
+#include "standins/common/latency_histogram.h"
 #include "standins/common/loop.h"
 #include "standins/common/recorder.h"
 
@@ -72,7 +72,7 @@
   std::uint64_t failed = 0;     // any other answer, a cut one, a wrong one, or none as the connection ended
   std::uint64_t timed_out = 0;  // the caller gave up
   std::uint64_t unsent = 0;     // no connection came about
-  Latencies latency;            // of the served, from when the call was due
+  LatencyHistogram latency;     // of the served, from when the call was due
 };
 
 struct LoadResult {
--- a/standins/checker/checker.cpp
+++ b/standins/checker/checker.cpp
@@ -31,26 +31,26 @@
 }
 
 // What happened to a request, in one line.
-std::string story(const CallRecord& call, const Attempts& attempts) {
+std::string describe(const CallRecord& call, const Attempts& attempts) {
   static constexpr std::array kEnds = {"open", "answered", "cut", "closed", "timed out", "no connection"};
   const double from = call.sent_at;
   std::string out = call.request_class + " at " + call.node + ", " +
                     kEnds[static_cast<std::size_t>(call.end)] + " " + std::to_string(call.status) + " " +
                     since(call.answered_at, from);
-  if (call.again_at > 0) out += ", written again " + since(call.again_at, from);
+  if (call.resent_at > 0) out += ", written again " + since(call.resent_at, from);
   for (const AttemptRecord* a : attempts) {
     out += "; " + a->server + " first byte " + since(a->first_byte_at, from);
     out += a->last_byte_at > 0 ? ", whole " + since(a->last_byte_at, from) : ", never whole";
     if (a->status > 0) out += ", " + std::to_string(a->status) + (a->not_started ? " not started" : "");
     if (a->answered_at > 0) out += " written " + since(a->answered_at, from);
-    if (a->broke_at > 0) out += ", broke " + since(a->broke_at, from);
+    if (a->connection_lost_at > 0) out += ", broke " + since(a->connection_lost_at, from);
   }
   return out;
 }
 
-class Check {
+class CheckRun {
  public:
-  Check(const CheckerSettings& settings, const Evidence& evidence) : s_(settings), e_(evidence) {
+  CheckRun(const CheckerSettings& settings, const Evidence& evidence) : s_(settings), e_(evidence) {
     for (const CheckedClass& c : s_.classes) classes_[c.name] = &c;
     for (const CheckedServer& server : s_.servers) servers_[server.name] = &server;
     for (const AttemptRecord& a : e_.attempts) attempts_[a.id].push_back(&a);
@@ -66,14 +66,14 @@
     for (const CallRecord& call : e_.calls) no_request_is_lost(call);
     for (const AttemptRecord& a : e_.attempts) {
       if (!calls_.contains(a.id))
-        out_.push_back({Rule::kLost, a.id, "no caller sent it; it came to " + a.server});
+        out_.push_back({Rule::kLostRequest, a.id, "no caller sent it; it came to " + a.server});
     }
     for (const CallRecord& call : e_.calls) no_effect_twice(call);
     drains_are_kept();
-    for (const FellOver& f : e_.fallen) {
-      out_.push_back({Rule::kColdServer, f.server,
-                      "fell over: asked for " + since(f.asked, 0) +
-                          " s of work in a second in which it could do " + since(f.able, 0)});
+    for (const OverloadRecord& f : e_.overloads) {
+      out_.push_back({Rule::kColdServerOverloaded, f.server,
+                      "fell over: asked for " + since(f.requested_work, 0) +
+                          " s of work in a second in which it could do " + since(f.available_work, 0)});
     }
     return std::move(out_);
   }
@@ -85,22 +85,23 @@
     return it == attempts_.end() ? kNone : it->second;
   }
 
-  void broken(Rule rule, const CallRecord& call, const std::string& what) {
-    out_.push_back({rule, call.id, what + ": " + story(call, attempts_of(call))});
+  void report(Rule rule, const CallRecord& call, const std::string& what) {
+    out_.push_back({rule, call.id, what + ": " + describe(call, attempts_of(call))});
   }
 
   // ------------------------------------------------------------ no request is lost
 
   // Whether the node was ended while it held this request.
   bool forgiven(const CallRecord& call) const {
-    return std::any_of(e_.lives.begin(), e_.lives.end(), [&](const NodeLife& life) {
-      if (life.node != call.node || life.ended_at == 0) return false;
-      const bool in_time = life.term_at == 0 || life.ended_at <= life.term_at + s_.told_to_end;
-      const bool killed = life.killed && s_.forgive_killed && in_time;
-      if (!killed && !(s_.forgive_terminated && life.term_at > 0)) return false;
-      const double sent = std::max(call.sent_at, call.again_at);
-      return call.sent_at <= life.ended_at + s_.order_slack && sent >= life.started_at &&
-             call.answered_at >= life.ended_at - s_.order_slack;
+    return std::any_of(e_.lifetimes.begin(), e_.lifetimes.end(), [&](const ProcessLifetime& lifetime) {
+      if (lifetime.node != call.node || lifetime.ended_at == 0) return false;
+      const bool in_time =
+          lifetime.sigterm_at == 0 || lifetime.ended_at <= lifetime.sigterm_at + s_.termination_limit;
+      const bool killed = lifetime.killed && s_.forgive_killed && in_time;
+      if (!killed && !(s_.forgive_terminated && lifetime.sigterm_at > 0)) return false;
+      const double sent = std::max(call.sent_at, call.resent_at);
+      return call.sent_at <= lifetime.ended_at + s_.order_slack && sent >= lifetime.started_at &&
+             call.answered_at >= lifetime.ended_at - s_.order_slack;
     });
   }
 
@@ -109,28 +110,28 @@
     const Attempts& attempts = attempts_of(call);
     const bool excused = forgiven(call);
     // A connection that the node closes may cross a request that it has not read, and not one that it has.
-    if (call.again_at > 0 && !excused &&
+    if (call.resent_at > 0 && !excused &&
         std::any_of(attempts.begin(), attempts.end(),
-                    [&](const AttemptRecord* a) { return a->first_byte_at < call.again_at; })) {
-      broken(Rule::kLost, call, "its connection was closed after it had been sent on");
+                    [&](const AttemptRecord* a) { return a->first_byte_at < call.resent_at; })) {
+      report(Rule::kLostRequest, call, "its connection was closed after it had been sent on");
     }
     if (call.end != CallEnd::kAnswered) {
       if (excused || (call.end == CallEnd::kCut && s_.cut_is_failure)) return;
       if (call.end == CallEnd::kNoConnect) return;  // written again, and there was no node to take it
-      return broken(Rule::kLost, call, "no whole answer");
+      return report(Rule::kLostRequest, call, "no whole answer");
     }
     if (call.answered_at > call.sent_at + call.timeout + s_.socket_slack + s_.late_slack) {
-      broken(Rule::kLost, call, "answered after the caller's time");
+      report(Rule::kLostRequest, call, "answered after the caller's time");
     }
-    if (call.more) broken(Rule::kLost, call, "more than one answer");
+    if (call.has_extra_bytes) report(Rule::kLostRequest, call, "more than one answer");
     if (call.status == 200 && std::none_of(attempts.begin(), attempts.end(), [&](const AttemptRecord* a) {
           return a->status == 200 && a->answer_digest == call.answer_digest;
         })) {
-      broken(Rule::kLost, call, "served with what no server made for it");
+      report(Rule::kLostRequest, call, "served with what no server made for it");
     }
     for (const AttemptRecord* a : attempts) {
-      if (std::max(a->first_byte_at, a->last_byte_at) > call.answered_at + s_.crossing) {
-        broken(Rule::kLost, call, "sent to " + a->server + " after its final answer");
+      if (std::max(a->first_byte_at, a->last_byte_at) > call.answered_at + s_.answer_race_slack) {
+        report(Rule::kLostRequest, call, "sent to " + a->server + " after its final answer");
       }
     }
   }
@@ -153,7 +154,7 @@
     const auto ran = std::find_if(attempts.begin(), attempts.end(),
                                   [](const AttemptRecord* a) { return !known_not_run(*a); });
     if (refused(call) && ran != attempts.end() && (c.effect == Effect::kUnsafe || c.group != Group::kAll)) {
-      broken(Rule::kTwice, call, "refused, and it may have run at " + (*ran)->server);
+      report(Rule::kDuplicateEffect, call, "refused, and it may have run at " + (*ran)->server);
     }
     if (ran == attempts.end()) {
       if (c.effect == Effect::kUnsafe) one_at_a_time(call, attempts);
@@ -164,16 +165,16 @@
       if (a == *ran || (known_not_run(*a) && a->first_byte_at <= (*ran)->last_byte_at + s_.order_slack))
         continue;
       if (c.effect == Effect::kUnsafe) {
-        return broken(Rule::kTwice, call,
+        return report(Rule::kDuplicateEffect, call,
                       "sent to " + a->server + " after it may have run at " + (*ran)->server);
       }
       if (a->last_byte_at == 0) continue;
       if (group_of(a->server, c.group) != group_of((*ran)->server, c.group)) {
-        broken(Rule::kTwice, call,
+        report(Rule::kDuplicateEffect, call,
                "sent again to " + a->server + ", which knows nothing of " + (*ran)->server);
       }
       if (a->last_byte_at > until) {
-        broken(Rule::kTwice, call, "sent again to " + a->server + " when its key was forgotten");
+        report(Rule::kDuplicateEffect, call, "sent again to " + a->server + " when its key was forgotten");
       }
     }
     if (c.effect == Effect::kUnsafe) one_at_a_time(call, attempts);
@@ -185,7 +186,7 @@
       const AttemptRecord& a = *attempts[i];
       const AttemptRecord& next = *attempts[i + 1];
       if (known_not_run(a) && a.last_byte_at > 0 && a.answered_at > next.first_byte_at + s_.order_slack) {
-        return broken(Rule::kTwice, call,
+        return report(Rule::kDuplicateEffect, call,
                       "sent to " + next.server + " before " + a.server + " had turned it away");
       }
     }
@@ -194,33 +195,34 @@
   // ------------------------------------------------------------ drains are kept
 
   void drains_are_kept() {
-    struct Told {
+    struct StateChange {
       double at;
       bool active;
     };
-    std::map<std::pair<std::string, std::string>, std::vector<Told>> told;  // by node and server
-    for (const ToldRecord& t : e_.told) {
-      double at = t.told_at;
-      if (s_.told_within > 0 && (at == 0 || at > t.changed_at + s_.told_within))
-        at = t.changed_at + s_.told_within;
-      if (at > 0) told[{t.node, t.server}].push_back({at, t.state == "active"});
+    std::map<std::pair<std::string, std::string>, std::vector<StateChange>>
+        changes_told;  // by node and server
+    for (const ListChangeRecord& t : e_.list_changes) {
+      double at = t.delivered_at;
+      if (s_.notification_limit > 0 && (at == 0 || at > t.changed_at + s_.notification_limit))
+        at = t.changed_at + s_.notification_limit;
+      if (at > 0) changes_told[{t.node, t.server}].push_back({at, t.state == "active"});
     }
-    for (auto& [key, changes] : told) {
+    for (auto& [key, changes] : changes_told) {
       std::stable_sort(changes.begin(), changes.end(),
-                       [](const Told& a, const Told& b) { return a.at < b.at; });
+                       [](const StateChange& a, const StateChange& b) { return a.at < b.at; });
     }
     for (const AttemptRecord& a : e_.attempts) {
       const auto call = calls_.find(a.id);
       if (call == calls_.end()) continue;
-      const auto it = told.find({call->second->node, a.server});
-      if (it == told.end()) continue;
+      const auto it = changes_told.find({call->second->node, a.server});
+      if (it == changes_told.end()) continue;
       double gone = 0;
-      for (const Told& t : it->second) {
+      for (const StateChange& t : it->second) {
         if (t.at > a.first_byte_at) break;
         gone = t.active ? 0 : gone > 0 ? gone : t.at;
       }
       if (gone > 0 && a.first_byte_at > gone + s_.grace + s_.drain_slack) {
-        broken(Rule::kDrain, *call->second,
+        report(Rule::kDrainIgnored, *call->second,
                "sent to " + a.server + " " + since(a.first_byte_at, gone) +
                    " s after the node was told that it drains");
       }
@@ -240,11 +242,11 @@
 
 const char* name_of(Rule rule) {
   switch (rule) {
-    case Rule::kLost:
+    case Rule::kLostRequest:
       return "no request is lost";
-    case Rule::kTwice:
+    case Rule::kDuplicateEffect:
       return "no effect happens twice";
-    case Rule::kDrain:
+    case Rule::kDrainIgnored:
       return "drains are kept";
     default:
       return "a cold server is not pushed over";
@@ -262,7 +264,7 @@
 }
 
 std::vector<Violation> Checker::check(const Evidence& evidence) const {
-  return Check(settings_, evidence).run();
+  return CheckRun(settings_, evidence).run();
 }
 
 std::string to_text(const std::vector<Violation>& violations) {
--- a/standins/checker/checker.h
+++ b/standins/checker/checker.h
@@ -9,16 +9,16 @@
 namespace nettlestand::standins {
 
 enum class Rule {
-  kLost,       // no request is lost
-  kTwice,      // no effect happens twice
-  kDrain,      // drains are kept
-  kColdServer  // a cold server is not pushed over
+  kLostRequest,          // no request is lost
+  kDuplicateEffect,      // no effect happens twice
+  kDrainIgnored,         // drains are kept
+  kColdServerOverloaded  // a cold server is not pushed over
 };
 
 const char* name_of(Rule rule);
 
 struct Violation {
-  Rule rule = Rule::kLost;
+  Rule rule = Rule::kLostRequest;
   std::string subject;  // the request's id, or the server
   std::string what;     // with times in s before and after the request was sent
 };
@@ -42,14 +42,14 @@
   std::vector<CheckedServer> servers;  // those that keyed requests go to; an unnamed one is a group by itself
   double socket_slack = 0.05;          // s that each time limit is longer on sockets
   double late_slack = 0;               // s more for answers, on a busy machine
-  double crossing = 0.05;              // s in which a send may cross the final answer
+  double answer_race_slack = 0.05;     // s in which a send may cross the final answer
   double order_slack = 0.03;           // s in which the order of two records says nothing
   double grace = 1;                    // s in which servers that drain may still be sent to
   double drain_slack = 0;              // s more
   double window_slack = 0;             // s more for repeats of a key
-  double told_within = 0;           // s after which a change counts as told, come or not; 0: only once told
+  double notification_limit = 0;    // s after which a change counts as told, come or not; 0: only once told
   bool cut_is_failure = false;      // an answer that a caller can tell is not whole has failed, not been lost
-  double told_to_end = 0.7;         // s after SIGTERM; what SIGKILL finds later is not forgiven
+  double termination_limit = 0.7;   // s after SIGTERM; what SIGKILL finds later is not forgiven
   bool forgive_killed = true;       // what a node held when it was killed
   bool forgive_terminated = false;  // what it had not answered when it ended after SIGTERM
 };
@@ -57,9 +57,9 @@
 struct Evidence {
   std::vector<CallRecord> calls;
   std::vector<AttemptRecord> attempts;
-  std::vector<ToldRecord> told;
-  std::vector<FellOver> fallen;
-  std::vector<NodeLife> lives;  // of nodes that were ended
+  std::vector<ListChangeRecord> list_changes;
+  std::vector<OverloadRecord> overloads;
+  std::vector<ProcessLifetime> lifetimes;  // of nodes that were ended
 };
 
 class Checker {
--- a/standins/common/http.cpp
+++ b/standins/common/http.cpp
@@ -9,8 +9,8 @@
 namespace nettlestand::standins {
 namespace {
 
-constexpr std::size_t kLongestHead = 64 * 1024;  // bytes
-constexpr std::size_t kStart = 256;              // bytes kept of a body
+constexpr std::size_t kMaxHeadBytes = 64 * 1024;  // bytes
+constexpr std::size_t kKeptBodyBytes = 256;       // bytes kept of a body
 
 char lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c + 32) : c; }
 
@@ -35,14 +35,14 @@
     const std::string_view line = lines.substr(0, end);
     lines.remove_prefix(std::min(end + 1, lines.size()));
     const std::size_t colon = line.find(':');
-    if (colon == std::string_view::npos) throw BadMessage("a header without a colon");
+    if (colon == std::string_view::npos) throw MessageError("a header without a colon");
     if (!visit(line.substr(0, colon), trimmed(line.substr(colon + 1)))) return;
   }
 }
 
 }  // namespace
 
-std::string_view Head::field(std::string_view name) const {
+std::string_view MessageHead::field(std::string_view name) const {
   std::string_view out;
   each_field(lines, [&](std::string_view key, std::string_view value) {
     if (!same(key, name)) return true;
@@ -52,7 +52,7 @@
   return out;
 }
 
-std::string_view Head::word(int which) const {
+std::string_view MessageHead::word(int which) const {
   std::string_view rest = start;
   for (; which > 0; --which) {
     const std::size_t space = rest.find(' ');
@@ -62,30 +62,30 @@
   return rest.substr(0, rest.find(' '));
 }
 
-int Head::status() const {
+int MessageHead::status() const {
   int out = 0;
   const std::string_view text = word(1);
   std::from_chars(text.data(), text.data() + text.size(), out);
   return out;
 }
 
-std::optional<Head> read_head(std::string_view bytes) {
+std::optional<MessageHead> parse_head(std::string_view bytes) {
   const std::size_t end = bytes.find("\r\n\r\n");
   if (end == std::string_view::npos) {
-    if (bytes.size() > kLongestHead) throw BadMessage("a head without end");
+    if (bytes.size() > kMaxHeadBytes) throw MessageError("a head without end");
     return std::nullopt;
   }
-  Head out;
+  MessageHead out;
   out.size = end + 4;
   const std::size_t line = bytes.find("\r\n");
   out.start = bytes.substr(0, line);
-  if (out.start.find("HTTP/1.") == std::string_view::npos) throw BadMessage("not HTTP");
+  if (out.start.find("HTTP/1.") == std::string_view::npos) throw MessageError("not HTTP");
   if (line < end) out.lines = bytes.substr(line + 2, end - line);
   each_field(out.lines, [&](std::string_view name, std::string_view value) {
     if (same(name, "content-length")) {
       std::uint64_t length = 0;
       const auto [stop, bad] = std::from_chars(value.data(), value.data() + value.size(), length);
-      if (bad != std::errc() || stop != value.data() + value.size()) throw BadMessage("a bad length");
+      if (bad != std::errc() || stop != value.data() + value.size()) throw MessageError("a bad length");
       out.length = length;
     } else if (same(name, "transfer-encoding")) {
       out.chunked = same(value, "chunked");
@@ -97,21 +97,21 @@
   return out;
 }
 
-void BodyReader::eat(std::string_view piece) {
+void BodyReader::append_body(std::string_view piece) {
   digest_.add(piece);
   size_ += piece.size();
-  if (start_.size() < kStart) start_.append(piece.substr(0, kStart - start_.size()));
+  if (start_.size() < kKeptBodyBytes) start_.append(piece.substr(0, kKeptBodyBytes - start_.size()));
 }
 
 std::size_t BodyReader::take(std::string_view bytes) {
   if (done_) return 0;
   if (kind_ == Kind::kUntilClose) {
-    eat(bytes);
+    append_body(bytes);
     return bytes.size();
   }
   if (kind_ == Kind::kLength) {
     const std::size_t part = static_cast<std::size_t>(std::min<std::uint64_t>(left_, bytes.size()));
-    eat(bytes.substr(0, part));
+    append_body(bytes.substr(0, part));
     left_ -= part;
     done_ = left_ == 0;
     return part;
@@ -121,7 +121,7 @@
     const std::string_view rest = bytes.substr(from);
     if (part_ == Part::kData) {
       const std::size_t part = static_cast<std::size_t>(std::min<std::uint64_t>(left_, rest.size()));
-      eat(rest.substr(0, part));
+      append_body(rest.substr(0, part));
       from += part;
       left_ -= part;
       if (left_ == 0) part_ = Part::kDataEnd;
@@ -132,12 +132,12 @@
     const std::string_view line = rest.substr(0, end);
     from += end + 2;
     if (part_ == Part::kDataEnd) {
-      if (!line.empty()) throw BadMessage("a chunk longer than it says");
+      if (!line.empty()) throw MessageError("a chunk longer than it says");
       part_ = Part::kSize;
     } else if (part_ == Part::kSize) {
       const auto [stop, bad] = std::from_chars(line.data(), line.data() + line.size(), left_, 16);
       if (bad != std::errc() || (stop != line.data() + line.size() && *stop != ';')) {
-        throw BadMessage("a bad chunk size");
+        throw MessageError("a bad chunk size");
       }
       part_ = left_ == 0 ? Part::kTrailers : Part::kData;
     } else if (line.empty()) {
--- a/standins/common/http.h
+++ b/standins/common/http.h
@@ -14,12 +14,12 @@
 namespace nettlestand::standins {
 
 // A message that can't be read on.
-struct BadMessage : std::runtime_error {
+struct MessageError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
 // The head of a message. Views into the buffer it was parsed from.
-struct Head {
+struct MessageHead {
   std::string_view start;  // request line or status line
   std::string_view lines;  // the headers, with their line ends
   std::size_t size = 0;    // bytes, with the empty line
@@ -32,7 +32,7 @@
 };
 
 // The head at the start of `bytes`; none until it is whole. Throws BadMessage.
-std::optional<Head> read_head(std::string_view bytes);
+std::optional<MessageHead> parse_head(std::string_view bytes);
 
 // Of bytes, however they are cut into pieces (XXH64).
 class Digest {
@@ -63,7 +63,7 @@
   const std::string& trailers() const { return trailers_; }  // lines behind the last chunk
 
  private:
-  void eat(std::string_view piece);
+  void append_body(std::string_view piece);
 
   Kind kind_;
   std::uint64_t left_;
--- a/standins/common/latencies.h
+++ b/standins/common/latency_histogram.h
@@ -7,19 +7,19 @@
 namespace nettlestand::standins {
 
 // Times in s; those from 1 µs to 1,000 s are held to 3 %. Copies are deep.
-class Latencies {
+class LatencyHistogram {
  public:
-  Latencies();
-  Latencies(const Latencies& other);
-  Latencies(Latencies&&) noexcept;
-  Latencies& operator=(const Latencies& other);
-  Latencies& operator=(Latencies&&) noexcept;
-  ~Latencies();
+  LatencyHistogram();
+  LatencyHistogram(const LatencyHistogram& other);
+  LatencyHistogram(LatencyHistogram&&) noexcept;
+  LatencyHistogram& operator=(const LatencyHistogram& other);
+  LatencyHistogram& operator=(LatencyHistogram&&) noexcept;
+  ~LatencyHistogram();
 
   void add(double seconds);
-  void add(const Latencies& other);
+  void add(const LatencyHistogram& other);
   std::uint64_t count() const { return count_; }
-  double quantile(double part) const;  // of 0 to 1; 0 where there are none
+  double quantile(double fraction) const;  // of 0 to 1; 0 where there are none
 
  private:
   struct Buckets;
--- a/standins/common/loop.cpp
+++ b/standins/common/loop.cpp
@@ -22,9 +22,9 @@
 namespace nettlestand::standins {
 namespace {
 
-constexpr double kTicks = 0.02;  // s; some of the kernel's
+constexpr double kKernelClockSlackSeconds = 0.02;  // s; some of the kernel's
 
-sockaddr_in raw(const Address& address) {
+sockaddr_in to_sockaddr(const Address& address) {
   sockaddr_in at{};
   at.sin_family = AF_INET;
   at.sin_port = htons(static_cast<std::uint16_t>(address.port));
@@ -65,7 +65,7 @@
   const int on = 1;
   setsockopt(out.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
   if (shared) setsockopt(out.get(), SOL_SOCKET, SO_REUSEPORT, &on, sizeof on);
-  const sockaddr_in at = raw(where);
+  const sockaddr_in at = to_sockaddr(where);
   if (bind(out.get(), reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0 ||
       (backlog >= 0 && listen(out.get(), backlog) != 0)) {
     fail("can't listen on " + where.text());
@@ -80,10 +80,10 @@
   return ntohs(at.sin_port);
 }
 
-Fd datagrams_at(const Address& where) {
+Fd bind_udp(const Address& where) {
   Fd out(socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
   if (!out) fail("no socket");
-  const sockaddr_in at = raw(where);
+  const sockaddr_in at = to_sockaddr(where);
   if (bind(out.get(), reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0) {
     fail("can't bind " + where.text());
   }
@@ -108,24 +108,24 @@
   setsockopt(out.get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
   if (!from_ip.empty()) {
     setsockopt(out.get(), IPPROTO_IP, IP_BIND_ADDRESS_NO_PORT, &on, sizeof on);
-    const sockaddr_in from = raw({from_ip, 0});
+    const sockaddr_in from = to_sockaddr({from_ip, 0});
     if (bind(out.get(), reinterpret_cast<const sockaddr*>(&from), sizeof from) != 0)
       fail("can't bind " + from_ip);
   }
-  const sockaddr_in at = raw(to);
+  const sockaddr_in at = to_sockaddr(to);
   if (connect(out.get(), reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0 && errno != EINPROGRESS) {
     out.close();
   }
   return out;
 }
 
-double last_arrival(int fd) {
+double last_data_received_at(int fd) {
   tcp_info info{};
   socklen_t size = sizeof info;
   if (getsockopt(fd, IPPROTO_TCP, TCP_INFO, &info, &size) != 0) return now();
   // The kernel counts in ticks: what came just now came now.
   const double ago = info.tcpi_last_data_recv / 1000.0;
-  return ago < kTicks ? now() : now() - ago;
+  return ago < kKernelClockSlackSeconds ? now() : now() - ago;
 }
 
 void set_reset_on_close(int fd) {
@@ -173,7 +173,7 @@
         static_cast<Watcher*>(event.data.ptr)->ready(event.events);
       }
     }
-    const std::vector<std::unique_ptr<Watcher>> over = std::exchange(buried_, {});
+    const std::vector<std::unique_ptr<Watcher>> over = std::exchange(destroy_later_, {});
   }
   const std::lock_guard lock(mutex_);
   running_ = stopping_ = false;
@@ -265,7 +265,7 @@
 
 void Loop::remove(int fd) { epoll_ctl(epoll_.get(), EPOLL_CTL_DEL, fd, nullptr); }
 
-void Loop::bury(std::unique_ptr<Watcher> watcher) { buried_.push_back(std::move(watcher)); }
+void Loop::destroy_later(std::unique_ptr<Watcher> watcher) { destroy_later_.push_back(std::move(watcher)); }
 
 Loop::Timer Loop::at(double when, Function f) {
   const Timer out{when, ++last_timer_};
--- a/standins/common/loop.h
+++ b/standins/common/loop.h
@@ -46,7 +46,7 @@
 // From an address of this machine, where one is named: the far side sees it.
 Fd connect_to(const Address& to, const std::string& from_ip = "");
 // A bound, non-blocking UDP socket. Throws std::runtime_error.
-Fd datagrams_at(const Address& at);
+Fd bind_udp(const Address& at);
 Address address_of(int fd);
 
 // A non-blocking listener on 127.0.0.1. Port 0: the kernel gives one. `shared`: several may listen on the
@@ -58,7 +58,7 @@
 Fd connect_to(int port);
 // When the last data on a connection came to this machine (to some ms): earlier than it is read where a loop
 // is late, or does not read at all.
-double last_arrival(int fd);
+double last_data_received_at(int fd);
 // Ends a connection with RST instead of FIN.
 void set_reset_on_close(int fd);
 
@@ -93,7 +93,7 @@
   void modify(int fd, std::uint32_t events, Watcher* watcher);
   void remove(int fd);
   // Destroys `watcher` after the events at hand, of which some may still be for it.
-  void bury(std::unique_ptr<Watcher> watcher);
+  void destroy_later(std::unique_ptr<Watcher> watcher);
 
   Timer at(double when, Function f);  // on now()'s clock
   Timer after(double seconds, Function f) { return at(now() + seconds, std::move(f)); }
@@ -107,7 +107,7 @@
   Fd epoll_, wake_;
   std::map<Timer, Function> timers_;
   std::uint64_t last_timer_ = 0;
-  std::vector<std::unique_ptr<Watcher>> buried_;
+  std::vector<std::unique_ptr<Watcher>> destroy_later_;
   mutable std::mutex mutex_;
   std::vector<Function> posted_;
   std::thread::id thread_;
--- a/standins/common/options.h
+++ b/standins/common/options.h
@@ -16,24 +16,24 @@
     for (int i = 1; i < argc; i += 2) {
       const std::string name = argv[i];
       bool good = false;
-      for (const std::string& k : known) good = good || name == "--" + k;
+      for (const std::string& known_name : known) good = good || name == "--" + known_name;
       if (!good) throw std::invalid_argument("unknown option " + name);
       if (i + 1 == argc) throw std::invalid_argument(name + " needs a value");
       values_[name.substr(2)].emplace_back(argv[i + 1]);
     }
   }
   bool has(const std::string& name) const { return values_.contains(name); }
-  std::string text(const std::string& name, const std::string& otherwise) const {
-    return has(name) ? values_.at(name).back() : otherwise;
+  std::string text(const std::string& name, const std::string& fallback) const {
+    return has(name) ? values_.at(name).back() : fallback;
   }
   std::vector<std::string> all(const std::string& name) const {
     return has(name) ? values_.at(name) : std::vector<std::string>{};
   }
-  double number(const std::string& name, double otherwise) const {
-    return has(name) ? to_number(values_.at(name).back(), "--" + name) : otherwise;
+  double number(const std::string& name, double fallback) const {
+    return has(name) ? to_number(values_.at(name).back(), "--" + name) : fallback;
   }
-  int whole(const std::string& name, int otherwise) const {
-    return static_cast<int>(number(name, otherwise));
+  int integer(const std::string& name, int fallback) const {
+    return static_cast<int>(number(name, fallback));
   }
   static double to_number(const std::string& text, const std::string& what) {
     double out = 0;
@@ -44,10 +44,10 @@
     return out;
   }
   // The parts of a value between `mark`s.
-  static std::vector<std::string> split(const std::string& text, char mark) {
+  static std::vector<std::string> split(const std::string& text, char separator) {
     std::vector<std::string> out(1);
     for (const char c : text) {
-      if (c == mark) {
+      if (c == separator) {
         out.emplace_back();
       } else {
         out.back() += c;
--- a/standins/common/recorder.h
+++ b/standins/common/recorder.h
@@ -15,9 +15,9 @@
  public:
   std::size_t open(ConnectionRecord record) { return append(connections_, std::move(record)); }
   std::size_t open(AttemptRecord record) { return append(attempts_, std::move(record)); }
-  std::size_t open(ToldRecord record) { return append(told_, std::move(record)); }
+  std::size_t open(ListChangeRecord record) { return append(list_changes_, std::move(record)); }
   std::size_t open(CallRecord record) { return append(calls_, std::move(record)); }
-  void add(FellOver record) { append(fallen_, std::move(record)); }
+  void add(OverloadRecord record) { append(overloads_, std::move(record)); }
 
   void connection(std::size_t i, const std::function<void(ConnectionRecord&)>& change) {
     const std::lock_guard lock(mutex_);
@@ -27,9 +27,9 @@
     const std::lock_guard lock(mutex_);
     change(attempts_[i]);
   }
-  void told(std::size_t i, const std::function<void(ToldRecord&)>& change) {
+  void list_change(std::size_t i, const std::function<void(ListChangeRecord&)>& change) {
     const std::lock_guard lock(mutex_);
-    change(told_[i]);
+    change(list_changes_[i]);
   }
   void call(std::size_t i, const std::function<void(CallRecord&)>& change) {
     const std::lock_guard lock(mutex_);
@@ -38,8 +38,8 @@
 
   std::vector<ConnectionRecord> connections() const { return copy(connections_); }
   std::vector<AttemptRecord> attempts() const { return copy(attempts_); }
-  std::vector<FellOver> fallen() const { return copy(fallen_); }
-  std::vector<ToldRecord> told() const { return copy(told_); }
+  std::vector<OverloadRecord> overloads() const { return copy(overloads_); }
+  std::vector<ListChangeRecord> list_changes() const { return copy(list_changes_); }
   std::vector<CallRecord> calls() const { return copy(calls_); }
 
  private:
@@ -58,8 +58,8 @@
   mutable std::mutex mutex_;
   std::vector<ConnectionRecord> connections_;
   std::vector<AttemptRecord> attempts_;
-  std::vector<FellOver> fallen_;
-  std::vector<ToldRecord> told_;
+  std::vector<OverloadRecord> overloads_;
+  std::vector<ListChangeRecord> list_changes_;
   std::vector<CallRecord> calls_;
 };
 
--- a/standins/discovery/discovery.cpp
+++ b/standins/discovery/discovery.cpp
@@ -200,7 +200,7 @@
     loop_.remove(c.fd.get());
     c.fd.close();
     const auto it = connections_.find(c.id);
-    loop_.bury(std::move(it->second));
+    loop_.destroy_later(std::move(it->second));
     connections_.erase(it);
   }
 
@@ -212,13 +212,13 @@
     c.in.append(bytes.data(), static_cast<std::size_t>(got));
     if (mode_ == Mode::kSilent || c.watching) return;
     try {
-      while (const std::optional<Head> head = read_head(c.in)) {
+      while (const std::optional<MessageHead> head = parse_head(c.in)) {
         const std::string target(head->word(1));
         c.in.erase(0, head->size);
         answer(c, target);
         if (!c.fd || c.watching) return;
       }
-    } catch (const BadMessage&) {
+    } catch (const MessageError&) {
       close(c);
     }
   }
@@ -277,7 +277,7 @@
     for (const Listing& s : servers) {
       c.at.known.insert(s.host);
       if (recorder_ == nullptr) continue;
-      records.push_back(recorder_->open(ToldRecord{c.at.node, s.host, s.health, now(), 0}));
+      records.push_back(recorder_->open(ListChangeRecord{c.at.node, s.host, s.health, now(), 0}));
     }
     if (lag <= 0 && mode_ != Mode::kSilent) return write(c, bytes, records);
     wait(c.id, now() + lag, bytes, records);
@@ -311,7 +311,7 @@
       c.put += static_cast<std::uint64_t>(put);
     }
     while (!c.pending.empty() && c.pending.front().first <= c.put) {
-      recorder_->told(c.pending.front().second, [](ToldRecord& r) { r.told_at = now(); });
+      recorder_->list_change(c.pending.front().second, [](ListChangeRecord& r) { r.delivered_at = now(); });
       c.pending.pop_front();
     }
     loop_.modify(c.fd.get(),
--- a/standins/discovery/discovery_main.cpp
+++ b/standins/discovery/discovery_main.cpp
@@ -103,7 +103,7 @@
   std::vector<si::Listing> servers;
   for (const std::string& one : options.all("server")) servers.push_back(read_server(one));
   if (!servers.empty()) discovery.set(servers);
-  std::printf("listening on 127.0.0.1:%d\n", discovery.endpoint("any", options.whole("port", 0)));
+  std::printf("listening on 127.0.0.1:%d\n", discovery.endpoint("any", options.integer("port", 0)));
   std::fflush(stdout);
   // A thread of its own: reading must not keep the signal out.
   std::thread([&discovery] {
--- a/standins/seams/control.cpp
+++ b/standins/interposition/interposed_faults.cpp
@@ -1,4 +1,4 @@
-#include "standins/seams/control.h"
+#include "standins/interposition/interposed_faults.h"
 
 #include <fcntl.h>
 #include <sys/mman.h>
@@ -28,20 +28,21 @@
 
 }  // namespace
 
-Seams::Seams(const std::string& folder) {
+InterposedFaults::InterposedFaults(const std::string& folder) {
   path_ = base() + "/nettlestand_seams_XXXXXX";
   const int fd = mkstemp(path_.data());
-  if (fd < 0 || ftruncate(fd, sizeof(SeamSettings)) != 0) throw std::runtime_error("no file in " + base());
-  void* at = mmap(nullptr, sizeof(SeamSettings), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
+  if (fd < 0 || ftruncate(fd, sizeof(InterposedFaultSettings)) != 0)
+    throw std::runtime_error("no file in " + base());
+  void* at = mmap(nullptr, sizeof(InterposedFaultSettings), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
   close(fd);
   if (at == MAP_FAILED) throw std::runtime_error("can't share " + path_);
-  settings_ = new (at) SeamSettings;
+  settings_ = new (at) InterposedFaultSettings;
   if (folder.size() + 1 > sizeof settings_->folder) throw std::runtime_error(folder + " is too long a name");
   std::memcpy(settings_->folder, folder.c_str(), folder.size() + 1);
 }
 
-Seams::~Seams() {
-  munmap(settings_, sizeof(SeamSettings));
+InterposedFaults::~InterposedFaults() {
+  munmap(settings_, sizeof(InterposedFaultSettings));
   unlink(path_.c_str());
 }
 
@@ -64,11 +65,11 @@
 }
 
 void StateFolder::roll_back() {
-  lose();
+  clear();
   fs::copy(saved_, path_, fs::copy_options::recursive);
 }
 
-void StateFolder::lose() {
+void StateFolder::clear() {
   for (const auto& entry : fs::directory_iterator(path_)) fs::remove_all(entry.path());
 }
 
--- a/standins/seams/control.h
+++ b/standins/interposition/interposed_faults.h
@@ -9,30 +9,31 @@
 namespace nettlestand::standins {
 
 // Shared with the process through a file, whose name it finds in NETTLESTAND_SEAMS.
-struct SeamSettings {
-  std::atomic<double> wall_offset = 0;          // s that its wall clock is ahead
+struct InterposedFaultSettings {
+  std::atomic<double> wall_clock_offset = 0;    // s that its wall clock is ahead
   std::atomic<std::int64_t> disk_delay_us = 0;  // before each write and sync
-  std::atomic<std::int64_t> disk_left = -1;     // bytes that may still be written; below 0: without a bound
-  std::atomic<bool> torn = false;               // the next write stops half way, and the process with it
-  char folder[512] = {};                        // of the files that it is about
+  std::atomic<std::int64_t> disk_bytes_left =
+      -1;                                // bytes that may still be written; below 0: without a bound
+  std::atomic<bool> torn_write = false;  // the next write stops half way, and the process with it
+  char folder[512] = {};                 // of the files that it is about
 };
 
 // The test's end. Ends the file with itself.
-class Seams {
+class InterposedFaults {
  public:
   // `folder`: whose files are slow, full or torn. Throws std::runtime_error.
-  explicit Seams(const std::string& folder);
-  ~Seams();
-  Seams(const Seams&) = delete;
-  Seams& operator=(const Seams&) = delete;
+  explicit InterposedFaults(const std::string& folder);
+  ~InterposedFaults();
+  InterposedFaults(const InterposedFaults&) = delete;
+  InterposedFaults& operator=(const InterposedFaults&) = delete;
 
-  SeamSettings& settings() { return *settings_; }
+  InterposedFaultSettings& settings() { return *settings_; }
   // What a process needs in its environment; `library` is the preloaded one's file.
   std::string environment() const { return "NETTLESTAND_SEAMS=" + path_; }
 
  private:
   std::string path_;
-  SeamSettings* settings_ = nullptr;
+  InterposedFaultSettings* settings_ = nullptr;
 };
 
 // A folder in which a process keeps what must outlive it, and what may become of that between two lives.
@@ -46,7 +47,7 @@
   const std::string& path() const { return path_; }
   void save();       // remembers what is there now
   void roll_back();  // what was there when it was saved last
-  void lose();       // nothing is there
+  void clear();      // nothing is there
 
  private:
   std::string path_, saved_;
--- a/standins/seams/preload.cpp
+++ b/standins/interposition/preload.cpp
@@ -15,34 +15,34 @@
 #include <cstdlib>
 #include <cstring>
 
-#include "standins/seams/control.h"
+#include "standins/interposition/interposed_faults.h"
 
 namespace {
 
-using nettlestand::standins::SeamSettings;
+using nettlestand::standins::InterposedFaultSettings;
 
-SeamSettings* settings() {
-  static SeamSettings* const shared = []() -> SeamSettings* {
+InterposedFaultSettings* settings() {
+  static InterposedFaultSettings* const shared = []() -> InterposedFaultSettings* {
     const char* path = std::getenv("NETTLESTAND_SEAMS");
     if (path == nullptr) return nullptr;
     const int fd = open(path, O_RDWR | O_CLOEXEC);
     if (fd < 0) return nullptr;
-    void* at = mmap(nullptr, sizeof(SeamSettings), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
+    void* at = mmap(nullptr, sizeof(InterposedFaultSettings), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
     close(fd);
-    return at == MAP_FAILED ? nullptr : static_cast<SeamSettings*>(at);
+    return at == MAP_FAILED ? nullptr : static_cast<InterposedFaultSettings*>(at);
   }();
   return shared;
 }
 
 template <class F>
-F next(const char* name) {
+F next_symbol(const char* name) {
   return reinterpret_cast<F>(dlsym(RTLD_NEXT, name));
 }
 
 // Whether a descriptor is a file below the folder; asks the kernel only where something is wrong with the
 // disk.
-bool concerned(const SeamSettings* s, int fd) {
-  if (s == nullptr || (s->disk_delay_us == 0 && s->disk_left < 0 && !s->torn)) return false;
+bool is_affected(const InterposedFaultSettings* s, int fd) {
+  if (s == nullptr || (s->disk_delay_us == 0 && s->disk_bytes_left < 0 && !s->torn_write)) return false;
   char link[64], path[1024];
   std::snprintf(link, sizeof link, "/proc/self/fd/%d", fd);
   const ssize_t size = readlink(link, path, sizeof path - 1);
@@ -52,7 +52,7 @@
   return std::strncmp(path, s->folder, length) == 0 && path[length] == '/';
 }
 
-void wait(const SeamSettings* s) {
+void delay_disk(const InterposedFaultSettings* s) {
   const std::int64_t us = s->disk_delay_us;
   if (us <= 0) return;
   const timespec time{us / 1000000, us % 1000000 * 1000};
@@ -60,23 +60,23 @@
 }
 
 // How many of `size` bytes go, once what is wrong has been seen to: below 0 with errno for none.
-template <class Put>
-ssize_t put(int fd, size_t size, Put&& real) {
-  SeamSettings* s = settings();
-  if (!concerned(s, fd)) return real(size);
-  wait(s);
-  if (s->torn && size > 1) {
+template <class Write>
+ssize_t write_with_faults(int fd, size_t size, Write&& real) {
+  InterposedFaultSettings* s = settings();
+  if (!is_affected(s, fd)) return real(size);
+  delay_disk(s);
+  if (s->torn_write && size > 1) {
     real(size / 2);
     kill(getpid(), SIGKILL);
   }
-  std::int64_t left = s->disk_left;
+  std::int64_t left = s->disk_bytes_left;
   if (left < 0) return real(size);
   if (left == 0) {
     errno = ENOSPC;
     return -1;
   }
   const ssize_t done = real(static_cast<std::int64_t>(size) < left ? size : static_cast<size_t>(left));
-  if (done > 0) s->disk_left = left - done;
+  if (done > 0) s->disk_bytes_left = left - done;
   return done;
 }
 
@@ -85,12 +85,12 @@
 extern "C" {
 
 int clock_gettime(clockid_t clock, timespec* out) {
-  static const auto real = next<int (*)(clockid_t, timespec*)>("clock_gettime");
+  static const auto real = next_symbol<int (*)(clockid_t, timespec*)>("clock_gettime");
   const int result = real(clock, out);
-  const SeamSettings* s = settings();
+  const InterposedFaultSettings* s = settings();
   if (result != 0 || s == nullptr || (clock != CLOCK_REALTIME && clock != CLOCK_REALTIME_COARSE))
     return result;
-  const double offset = s->wall_offset;
+  const double offset = s->wall_clock_offset;
   const double whole = std::floor(offset);
   out->tv_sec += static_cast<time_t>(whole);
   out->tv_nsec += static_cast<long>((offset - whole) * 1e9);
@@ -116,29 +116,29 @@
 }
 
 ssize_t write(int fd, const void* from, size_t size) {
-  static const auto real = next<ssize_t (*)(int, const void*, size_t)>("write");
-  return put(fd, size, [&](size_t n) { return real(fd, from, n); });
+  static const auto real = next_symbol<ssize_t (*)(int, const void*, size_t)>("write");
+  return write_with_faults(fd, size, [&](size_t n) { return real(fd, from, n); });
 }
 
 ssize_t pwrite(int fd, const void* from, size_t size, off_t at) {
-  static const auto real = next<ssize_t (*)(int, const void*, size_t, off_t)>("pwrite");
-  return put(fd, size, [&](size_t n) { return real(fd, from, n, at); });
+  static const auto real = next_symbol<ssize_t (*)(int, const void*, size_t, off_t)>("pwrite");
+  return write_with_faults(fd, size, [&](size_t n) { return real(fd, from, n, at); });
 }
 
 ssize_t pwrite64(int fd, const void* from, size_t size, off64_t at) {
-  static const auto real = next<ssize_t (*)(int, const void*, size_t, off64_t)>("pwrite64");
-  return put(fd, size, [&](size_t n) { return real(fd, from, n, at); });
+  static const auto real = next_symbol<ssize_t (*)(int, const void*, size_t, off64_t)>("pwrite64");
+  return write_with_faults(fd, size, [&](size_t n) { return real(fd, from, n, at); });
 }
 
 int fsync(int fd) {
-  static const auto real = next<int (*)(int)>("fsync");
-  if (const SeamSettings* s = settings(); concerned(s, fd)) wait(s);
+  static const auto real = next_symbol<int (*)(int)>("fsync");
+  if (const InterposedFaultSettings* s = settings(); is_affected(s, fd)) delay_disk(s);
   return real(fd);
 }
 
 int fdatasync(int fd) {
-  static const auto real = next<int (*)(int)>("fdatasync");
-  if (const SeamSettings* s = settings(); concerned(s, fd)) wait(s);
+  static const auto real = next_symbol<int (*)(int)>("fdatasync");
+  if (const InterposedFaultSettings* s = settings(); is_affected(s, fd)) delay_disk(s);
   return real(fd);
 }
 
--- a/standins/links/network.cpp
+++ b/standins/links/network.cpp
@@ -81,7 +81,7 @@
   Address udp_all(int from, int from_port) {
     const Address at{prefix() + std::to_string(from) + ".255", from_port};
     if (!sockets_.contains(at)) {
-      auto made = std::make_unique<Datagrams>(*this, datagrams_at(at), from, 0, from_port, 0);
+      auto made = std::make_unique<Datagrams>(*this, bind_udp(at), from, 0, from_port, 0);
       loop_.add(made->fd.get(), EPOLLIN, made.get());
       sockets_.emplace(at, std::move(made));
     }
@@ -511,11 +511,11 @@
     for (Pump& pump : r.pumps) loop_.cancel(pump.timer);
     for (int i = 0; i < 2; ++i) close_side(r, i);
     const auto it = relays_.find(r.id);
-    buried_.push_back(std::move(it->second));
+    destroy_later_.push_back(std::move(it->second));
     relays_.erase(it);
-    if (buried_.size() == 1)
+    if (destroy_later_.size() == 1)
       loop_.post([this, alive = std::weak_ptr<int>(alive_)] {
-        if (!alive.expired()) buried_.clear();
+        if (!alive.expired()) destroy_later_.clear();
       });
   }
 
@@ -525,7 +525,7 @@
     const Address at{way_ip(from, to), to_port};
     auto it = sockets_.find(at);
     if (it == sockets_.end()) {
-      auto made = std::make_unique<Datagrams>(*this, datagrams_at(at), from, to, from_port, to_port);
+      auto made = std::make_unique<Datagrams>(*this, bind_udp(at), from, to, from_port, to_port);
       loop_.add(made->fd.get(), EPOLLIN, made.get());
       it = sockets_.emplace(at, std::move(made)).first;
       tied_[{from, from_port}].push_back(it->second.get());
@@ -603,7 +603,7 @@
   std::map<std::uint64_t, std::pair<Pair, WayFaults>> faults_;
   std::map<Address, std::unique_ptr<Entrance>> entrances_;
   std::map<std::uint64_t, std::unique_ptr<Relay>> relays_;
-  std::vector<std::unique_ptr<Relay>> buried_;
+  std::vector<std::unique_ptr<Relay>> destroy_later_;
   std::map<Address, std::unique_ptr<Datagrams>> sockets_;
   std::map<std::pair<int, int>, std::vector<Datagrams*>> tied_;  // by machine and port that send
   std::set<Loop::Timer> flying_;
--- a/standins/servers/server.cpp
+++ b/standins/servers/server.cpp
@@ -311,13 +311,13 @@
         r.closed_by = by;
         r.reset = reset;
       });
-      if (c.attempt != kNone) note(c.attempt, [](AttemptRecord& r) { r.broke_at = now(); });
+      if (c.attempt != kNone) note(c.attempt, [](AttemptRecord& r) { r.connection_lost_at = now(); });
     }
     if (reset && by == Closer::kServer) set_reset_on_close(c.fd.get());
     loop_.remove(c.fd.get());
     c.fd.close();
     const auto it = connections_.find(c.id);
-    loop_.bury(std::move(it->second));
+    loop_.destroy_later(std::move(it->second));
     connections_.erase(it);
     counts.open = connections_.size();
   }
@@ -334,7 +334,7 @@
     if (got < 0 && (errno == EAGAIN || errno == EINTR)) return;
     if (got <= 0) return close(c, Closer::kPeer, got < 0);
     if (settings.recorder != nullptr) {
-      c.came_at = last_arrival(c.fd.get());
+      c.came_at = last_data_received_at(c.fd.get());
       if (c.in.empty() && !c.in_body) c.first_byte_at = c.came_at;
     }
     c.in.append(scratch_.data(), static_cast<std::size_t>(got));
@@ -351,13 +351,13 @@
         whole(c);
         if (find(id) == nullptr) return;
       }
-    } catch (const BadMessage&) {
+    } catch (const MessageError&) {
       if (find(id) != nullptr) close(c, Closer::kServer, false);
     }
   }
 
   bool take_head(Connection& c) {
-    const std::optional<Head> head = read_head(c.in);
+    const std::optional<MessageHead> head = parse_head(c.in);
     if (!head) return false;
     c.request = head->field("request-id");
     c.key.clear();
@@ -394,7 +394,7 @@
     return true;
   }
 
-  double work_of(const Head& head) {
+  double work_of(const MessageHead& head) {
     double mean = settings.service;
     if (!settings.service_of.empty()) {
       const auto it = settings.service_of.find(std::string(head.field("request-class")));
@@ -521,7 +521,7 @@
 
   void fall_over() {
     if (settings.recorder != nullptr) {
-      settings.recorder->add(FellOver{settings.name, now(), asked_sum_, able()});
+      settings.recorder->add(OverloadRecord{settings.name, now(), asked_sum_, able()});
     }
     fell_over = true;
     reset_all();
--- a/standins/servers/server_main.cpp
+++ b/standins/servers/server_main.cpp
@@ -38,8 +38,8 @@
 int serve(const si::Options& options) {
   si::ServerSettings settings;
   settings.name = options.text("name", "s0");
-  settings.port = options.whole("port", 0);
-  settings.cores = options.whole("cores", 0);
+  settings.port = options.integer("port", 0);
+  settings.cores = options.integer("cores", 0);
   settings.service = options.number("service-ms", 0) / 1000;
   for (const std::string& one : options.all("class-ms")) {
     const std::vector<std::string> parts = si::Options::split(one, '=');
@@ -62,7 +62,7 @@
     script.assign(std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>());
     si::read_script(script);
   }
-  const int threads = options.whole("threads", 1);
+  const int threads = options.integer("threads", 1);
   settings.shared_port = threads > 1;
 
   sigset_t ends;
--- a/standins/tier/demo_main.cpp
+++ b/standins/tier/demo_main.cpp
@@ -19,7 +19,7 @@
   "services":[{"name":"models","health_path":"/health","max_connections":100}],
   "tenants":[{"name":"desk","api_keys":["demo-key"],"rate_per_s":200,"burst":200}]})";
 
-std::string job_of(int items) {
+std::string make_job(int items) {
   std::string out = "{\"requests\":[";
   for (int i = 0; i < items; ++i) {
     out += std::string(i > 0 ? "," : "") + "{\"id\":\"item-" + std::to_string(i) + "\",\"path\":\"/sweep/" +
@@ -28,16 +28,17 @@
   return out + "]}";
 }
 
-HeaderList headers(const std::string& id) {
+HeaderList request_headers(const std::string& id) {
   return {
       {"Host", "demo.example"}, {"X-Api-Key", "demo-key"}, {"X-Request-Id", id}, {"X-Deadline-Ms", "3000"}};
 }
 
-int served(TierWorld& world, int from, int count) {
+int count_served(TierWorld& world, int from, int count) {
   int out = 0;
   for (int i = from; i < from + count; ++i) {
     const auto node = static_cast<std::size_t>(i) % world.edges();
-    if (world.client(node, "POST", "/ask/x", headers("request-" + std::to_string(i)), "hello").status == 200)
+    if (world.client(node, "POST", "/ask/x", request_headers("request-" + std::to_string(i)), "hello")
+            .status == 200)
       ++out;
   }
   return out;
@@ -52,7 +53,7 @@
   return 0;
 }
 
-bool say(bool ok, const std::string& what) {
+bool report(bool ok, const std::string& what) {
   std::cout << (ok ? "ok    " : "WRONG ") << what << std::endl;
   return ok;
 }
@@ -60,44 +61,48 @@
 }  // namespace
 
 int main(int, char** argv) {
-  WorldOptions options;
+  TierOptions options;
   options.program = (std::filesystem::absolute(argv[0]).parent_path() / "nettlestand").string();
   TierWorld world(options);
   std::cout << world.nodes() << " processes, " << options.engines << " engines\n";
-  bool good = say(world.order("replace", 0, kConfiguration).status == 200, "a configuration is taken");
-  good = say(until(15000,
-                   [&] {
-                     for (std::size_t i = 0; i < world.edges(); ++i) {
-                       if (!world.ready(i)) return false;
-                     }
-                     return true;
-                   }),
-             "all edges are ready") &&
+  bool good = report(world.change_configuration("replace", 0, kConfiguration).status == 200,
+                     "a configuration is taken");
+  good = report(until(15000,
+                      [&] {
+                        for (std::size_t i = 0; i < world.edges(); ++i) {
+                          if (!world.ready(i)) return false;
+                        }
+                        return true;
+                      }),
+                "all edges are ready") &&
          good;
-  const int first = served(world, 0, 40);
-  good = say(first == 40, std::to_string(first) + " of 40 streams are served whole") && good;
-  const HttpResult job = world.client(3, "POST", "/sweep/x", headers("job-1"), job_of(30));
-  good = say(job.status == 202, "a batch job of 30 items is accepted") && good;
+  const int first = count_served(world, 0, 40);
+  good = report(first == 40, std::to_string(first) + " of 40 streams are served whole") && good;
+  const HttpResult job = world.client(3, "POST", "/sweep/x", request_headers("job-1"), make_job(30));
+  good = report(job.status == 202, "a batch job of 30 items is accepted") && good;
   const std::size_t leader = leader_of(world);
   world.kill(leader);
   std::cout << "      killed " << world.name(leader) << ", which led the configuration's group\n";
   std::string page;
-  good = say(until(15000,
-                   [&] {
-                     HeaderList read = headers("read");
-                     read.emplace_back("X-Wait-Ms", "500");
-                     page = world.client(3, "GET", "/nettlestand/lots/job-1?start_after=0", read, "").body;
-                     return page.find("\"next_token\":30") != std::string::npos;
-                   }),
-             "all 30 results can be read") &&
+  good = report(until(15000,
+                      [&] {
+                        HeaderList read = request_headers("read");
+                        read.emplace_back("X-Wait-Ms", "500");
+                        page = world.client(3, "GET", "/nettlestand/lots/job-1?start_after=0", read, "").body;
+                        return page.find("\"next_token\":30") != std::string::npos;
+                      }),
+                "all 30 results can be read") &&
          good;
   const std::string change =
       R"({"generation":5,"upsert":{"tenants":[{"name":"desk","api_keys":["demo-key"]}]}})";
-  good = say(world.order("update", 2, change).status == 200, "a change is taken without it") && good;
+  good =
+      report(world.change_configuration("update", 2, change).status == 200, "a change is taken without it") &&
+      good;
   world.start(leader);
-  good = say(until(15000, [&] { return world.ready(leader); }), world.name(leader) + " is back and ready") &&
-         good;
-  const int second = served(world, 100, 40);
-  good = say(second == 40, std::to_string(second) + " of 40 streams are served whole") && good;
+  good =
+      report(until(15000, [&] { return world.ready(leader); }), world.name(leader) + " is back and ready") &&
+      good;
+  const int second = count_served(world, 100, 40);
+  good = report(second == 40, std::to_string(second) + " of 40 streams are served whole") && good;
   return good ? 0 : 1;
 }
--- a/standins/tier/engine.cpp
+++ b/standins/tier/engine.cpp
@@ -26,14 +26,14 @@
 
 }  // namespace
 
-LoopThread::LoopThread() : thread_([this] { io_.run(); }) {}
+IoThread::IoThread() : thread_([this] { io_.run(); }) {}
 
-LoopThread::~LoopThread() {
+IoThread::~IoThread() {
   io_.stop();
   thread_.join();
 }
 
-void LoopThread::run(const std::function<void()>& function) {
+void IoThread::run(const std::function<void()>& function) {
   std::promise<void> done;
   asio::post(io_, [&] {
     function();
@@ -42,7 +42,7 @@
   done.get_future().get();
 }
 
-Engine::Engine(LoopThread& loop, std::string id, std::string address, int events)
+Engine::Engine(IoThread& loop, std::string id, std::string address, int events)
     : loop_(loop), address_(std::move(address)), events_(events), id_(std::move(id)) {
   loop_.run([this] {
     server_ = std::make_unique<HttpServer>(
@@ -54,7 +54,7 @@
 
 std::string Engine::whole_stream() {
   std::string out;
-  for (std::uint64_t number = 1; number <= kUsualEvents; ++number) out += event_of(number);
+  for (std::uint64_t number = 1; number <= kDefaultEvents; ++number) out += event_of(number);
   return out;
 }
 
@@ -63,9 +63,9 @@
   id_ = std::move(id);
 }
 
-std::vector<SeenRequest> Engine::seen() const {
+std::vector<ReceivedRequest> Engine::received() const {
   const std::lock_guard lock(mutex_);
-  return seen_;
+  return received_;
 }
 
 asio::awaitable<void> Engine::handle(std::shared_ptr<HttpExchange> exchange) {
@@ -87,8 +87,9 @@
   }
   {
     const std::lock_guard lock(mutex_);
-    seen_.push_back({id, request.target, std::string(request.header("X-Tenant")), request.body,
-                     std::string(request.header("Last-Event-Id")), std::string(request.header("X-Api-Key"))});
+    received_.push_back({id, request.target, std::string(request.header("X-Tenant")), request.body,
+                         std::string(request.header("Last-Event-Id")),
+                         std::string(request.header("X-Api-Key"))});
   }
   if (mode == EngineMode::kError) co_return co_await exchange->respond(500, headers, "broken");
   if (mode == EngineMode::kUnprocessable) co_return co_await exchange->respond(422, headers, "never");
@@ -111,7 +112,7 @@
   co_await exchange->finish();
 }
 
-Platform::Platform(LoopThread& loop, std::string address) : address_(std::move(address)) {
+Platform::Platform(IoThread& loop, std::string address) : address_(std::move(address)) {
   loop.run([this, &loop] {
     server_ = std::make_unique<HttpServer>(
         loop.io(), address_, [] { return wide_limits(); },
--- a/standins/tier/engine.h
+++ b/standins/tier/engine.h
@@ -16,10 +16,10 @@
 namespace nettlestand::tier::standins {
 
 // Runs an event loop on a thread.
-class LoopThread {
+class IoThread {
  public:
-  LoopThread();
-  ~LoopThread();
+  IoThread();
+  ~IoThread();
   boost::asio::io_context& io() { return io_; }
   // Runs a function on the loop and waits for it.
   void run(const std::function<void()>& function);
@@ -39,21 +39,21 @@
   kUnprocessable  // 422
 };
 
-struct SeenRequest {
+struct ReceivedRequest {
   std::string id, target, tenant, body, last_event_id, api_key;
 };
 
 class Engine {
  public:
-  static constexpr int kUsualEvents = 4;
+  static constexpr int kDefaultEvents = 4;
   // `id` is its instance; it turns requests for other instances away with 421.
-  Engine(LoopThread& loop, std::string id, std::string address, int events = kUsualEvents);
+  Engine(IoThread& loop, std::string id, std::string address, int events = kDefaultEvents);
   void set_mode(EngineMode mode) { mode_ = mode; }
   void set_instance(std::string id);
   // Time between events; the stream of a test that wants to act in its middle.
   void set_pause_ms(int pause) { pause_ms_ = pause; }
-  std::vector<SeenRequest> seen() const;
-  std::size_t runs() const { return seen().size(); }
+  std::vector<ReceivedRequest> received() const;
+  std::size_t runs() const { return received().size(); }
   // The body of a whole answer of an engine with the usual number of events.
   static std::string whole_stream();
   const std::string& address() const { return address_; }
@@ -61,14 +61,14 @@
  private:
   boost::asio::awaitable<void> handle(std::shared_ptr<HttpExchange> exchange);
 
-  LoopThread& loop_;
+  IoThread& loop_;
   std::string address_;
   int events_;
   std::atomic<EngineMode> mode_{EngineMode::kStream};
   std::atomic<int> pause_ms_{0};
   mutable std::mutex mutex_;
   std::string id_;
-  std::vector<SeenRequest> seen_;
+  std::vector<ReceivedRequest> received_;
   std::unique_ptr<HttpServer> server_;
 };
 
@@ -78,7 +78,7 @@
   struct Entry {
     std::string id, service, address, zone, state = "ready";
   };
-  Platform(LoopThread& loop, std::string address);
+  Platform(IoThread& loop, std::string address);
   void set_servers(std::vector<Entry> servers);
   // How often the list was read.
   std::size_t calls() const { return calls_; }
--- a/standins/tier/kept_connection.cpp
+++ b/standins/tier/persistent_connection.cpp
@@ -1,4 +1,4 @@
-#include "standins/tier/kept_connection.h"
+#include "standins/tier/persistent_connection.h"
 
 #include <boost/asio/write.hpp>
 #include <boost/beast/http.hpp>
@@ -14,9 +14,9 @@
 namespace http = beast::http;
 using boost::system::error_code;
 
-constexpr std::uint64_t kMostBody = 64U << 20;
+constexpr std::uint64_t kMaxBodyBytes = 64U << 20;
 
-bool KeptConnection::open(const std::string& address, Millis timeout) {
+bool PersistentConnection::open(const std::string& address, Millis timeout) {
   buffer_.clear();
   stream_ = std::make_unique<beast::tcp_stream>(io_);
   stream_->expires_after(std::chrono::milliseconds(timeout));
@@ -28,10 +28,10 @@
   return is_open();
 }
 
-HttpResult KeptConnection::exchange(const std::string& request, Millis timeout) {
+HttpResult PersistentConnection::exchange(const std::string& request, Millis timeout) {
   HttpResult out;
   http::response_parser<http::string_body> parser;
-  parser.body_limit(kMostBody);
+  parser.body_limit(kMaxBodyBytes);
   error_code result = asio::error::would_block;
   stream_->expires_after(std::chrono::milliseconds(timeout));
   asio::async_write(*stream_, asio::buffer(request), [&](error_code failed, std::size_t) {
--- a/standins/tier/kept_connection.h
+++ b/standins/tier/persistent_connection.h
@@ -20,7 +20,7 @@
   std::string body;
 };
 
-class KeptConnection {
+class PersistentConnection {
  public:
   // Whether a connection came about.
   bool open(const std::string& address, Millis timeout);
--- a/standins/tier/tier_world.cpp
+++ b/standins/tier/tier_world.cpp
@@ -19,7 +19,7 @@
 constexpr int kPlatformPort = 18408, kEnginePort = 19000;
 // The last byte of addresses: nodes from 1 on, then engines and the platform.
 constexpr std::size_t kFirstEngineIp = 230, kPlatformIp = 229;
-constexpr std::size_t kMostNodes = kPlatformIp - 1;
+constexpr std::size_t kMaxNodes = kPlatformIp - 1;
 constexpr int kSignalBase = 128;
 
 // Of a child between fork and exec: its parent's handlers may allocate or print, among locks that other
@@ -30,20 +30,20 @@
 
 }  // namespace
 
-TierWorld::TierWorld(const WorldOptions& options) : options_(options) {
-  if (options_.core + options_.plain_edges + options_.stores > kMostNodes)
+TierWorld::TierWorld(const TierOptions& options) : options_(options) {
+  if (options_.core + options_.plain_edges + options_.stores > kMaxNodes)
     throw std::runtime_error("too many nodes for one network");
   std::string pattern = (std::filesystem::temp_directory_path() / "nettlestand-tier-XXXXXX").string();
   if (::mkdtemp(pattern.data()) == nullptr) throw std::runtime_error("no temporary folder");
   folder_ = pattern;
   // Loopback addresses of this process's own, so that worlds stand beside each other.
-  net_ = static_cast<unsigned>(::getpid()) % 50000;
+  network_ = static_cast<unsigned>(::getpid()) % 50000;
   platform_ = std::make_unique<Platform>(loop_, ip(kPlatformIp) + ":" + std::to_string(kPlatformPort));
   for (std::size_t i = 0; i < options_.engines; ++i) {
     engines_.push_back(std::make_unique<Engine>(loop_, "i-" + std::to_string(i),
                                                 ip(kFirstEngineIp + i) + ":" + std::to_string(kEnginePort)));
   }
-  platform_->set_servers(listed());
+  platform_->set_servers(full_server_list());
   for (std::size_t i = 0; i < options_.core + options_.plain_edges + options_.stores; ++i) {
     Node node;
     const bool store = i >= edges();
@@ -61,15 +61,15 @@
 TierWorld::~TierWorld() {
   for (std::size_t i = 0; i < nodes_.size(); ++i) kill(i);
   std::error_code ignored;
-  if (!keeps_logs_) std::filesystem::remove_all(folder_, ignored);
+  if (!keep_logs_) std::filesystem::remove_all(folder_, ignored);
 }
 
 std::string TierWorld::ip(std::size_t i) const {
-  return "127." + std::to_string(10 + net_ / 250) + "." + std::to_string(net_ % 250) + "." +
+  return "127." + std::to_string(10 + network_ / 250) + "." + std::to_string(network_ % 250) + "." +
          std::to_string(i);
 }
 
-std::vector<Platform::Entry> TierWorld::listed() const {
+std::vector<Platform::Entry> TierWorld::full_server_list() const {
   std::vector<Platform::Entry> out;
   for (std::size_t i = 0; i < engines_.size(); ++i) {
     Platform::Entry entry;
@@ -110,7 +110,7 @@
 
 void TierWorld::start(std::size_t i, bool bootstrap) {
   Node& node = nodes_.at(i);
-  node.logged = log(i).size();
+  node.log_start = log(i).size();
   write_settings(node, bootstrap);
   const std::string settings = folder_ + "/" + node.name + ".toml", log = folder_ + "/" + node.name + ".log";
   const int out = ::open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
@@ -150,7 +150,7 @@
 void TierWorld::terminate(std::size_t i) { signal(i, SIGTERM); }
 
 bool TierWorld::has_started(std::size_t i) const {
-  return log(i).find("started node=", nodes_.at(i).logged) != std::string::npos;
+  return log(i).find("started node=", nodes_.at(i).log_start) != std::string::npos;
 }
 
 std::optional<int> TierWorld::ended(std::size_t i) {
@@ -182,7 +182,7 @@
 }
 
 std::string TierWorld::keep_logs() {
-  keeps_logs_ = true;
+  keep_logs_ = true;
   return folder_;
 }
 
@@ -193,7 +193,7 @@
   for (const auto& [name, value] : headers) request += name + ": " + value + "\r\n";
   request += "\r\n" + body;
   const Millis until = steady_now() + timeout_ms;
-  KeptConnection connection;
+  PersistentConnection connection;
   if (!connection.open(address, timeout_ms)) return {};
   return connection.exchange(request, std::max<Millis>(until - steady_now(), 1));
 }
@@ -218,7 +218,8 @@
              .status == 200;
 }
 
-HttpResult TierWorld::order(const std::string& verb, std::uint64_t base, const std::string& body) const {
+HttpResult TierWorld::change_configuration(const std::string& verb, std::uint64_t base,
+                                           const std::string& body) const {
   HttpResult out;
   until(15000, [&] {
     for (std::size_t node = 0; node < edges(); ++node) {
--- a/standins/tier/tier_world.h
+++ b/standins/tier/tier_world.h
@@ -9,11 +9,11 @@
 #include <vector>
 
 #include "standins/tier/engine.h"
-#include "standins/tier/kept_connection.h"
+#include "standins/tier/persistent_connection.h"
 
 namespace nettlestand::tier::standins {
 
-struct WorldOptions {
+struct TierOptions {
   std::string program;
   std::size_t core = 3, plain_edges = 1, stores = 3, engines = 3;
   std::string more_settings;
@@ -21,7 +21,7 @@
 
 class TierWorld {
  public:
-  explicit TierWorld(const WorldOptions& options);
+  explicit TierWorld(const TierOptions& options);
   ~TierWorld();
   TierWorld(const TierWorld&) = delete;
   TierWorld& operator=(const TierWorld&) = delete;
@@ -56,30 +56,30 @@
   std::string front_address(std::size_t node) const;
   bool ready(std::size_t node) const;
   // Sends an order to one node after the other until it is decided.
-  HttpResult order(const std::string& verb, std::uint64_t base, const std::string& body) const;
+  HttpResult change_configuration(const std::string& verb, std::uint64_t base, const std::string& body) const;
 
   std::size_t engines() const { return engines_.size(); }
   Engine& engine(std::size_t i) { return *engines_.at(i); }
   Platform& platform() { return *platform_; }
   // The list as it is when all engines are well.
-  std::vector<Platform::Entry> listed() const;
+  std::vector<Platform::Entry> full_server_list() const;
 
  private:
   struct Node {
     std::string name, ip, role, folder;
     bool has_disk = false;
     int pid = 0;
-    std::size_t logged = 0;  // bytes of its log at its last start
+    std::size_t log_start = 0;  // bytes of its log at its last start
   };
   std::string ip(std::size_t i) const;
   void write_settings(const Node& node, bool bootstrap) const;
 
-  WorldOptions options_;
+  TierOptions options_;
   std::string folder_;
-  unsigned net_ = 0;
-  bool keeps_logs_ = false;
+  unsigned network_ = 0;
+  bool keep_logs_ = false;
   std::vector<Node> nodes_;
-  LoopThread loop_;
+  IoThread loop_;
   std::unique_ptr<Platform> platform_;
   std::vector<std::unique_ptr<Engine>> engines_;
 };
--- a/standins/world/lateness.cpp
+++ b/standins/world/host_load.cpp
@@ -1,4 +1,4 @@
-#include "standins/world/lateness.h"
+#include "standins/world/host_load.h"
 
 #include <sys/resource.h>
 
@@ -9,10 +9,10 @@
 namespace nettlestand::standins {
 namespace {
 
-constexpr double kBeat = 0.02;  // s
+constexpr double kSampleIntervalSeconds = 0.02;  // s
 
 // The time in which some process waited, of a line such as "some avg10=0.00 ... total=3180563".
-double total_of(const char* path) {
+double stalled_seconds(const char* path) {
   std::ifstream in(path);
   std::string line;
   std::getline(in, line);
@@ -22,42 +22,42 @@
 
 }  // namespace
 
-LoopBeat::LoopBeat(Loop& loop) : loop_(loop) {
-  loop_.call([this] { await_beat(loop_, state_); });
+LoopDelayMonitor::LoopDelayMonitor(Loop& loop) : loop_(loop) {
+  loop_.call([this] { schedule_sample(loop_, state_); });
 }
 
-LoopBeat::~LoopBeat() {
+LoopDelayMonitor::~LoopDelayMonitor() {
   loop_.call([this] {
-    state_->over = true;
+    state_->stopped = true;
     loop_.cancel(state_->timer);
   });
 }
 
-void LoopBeat::await_beat(Loop& loop, const std::shared_ptr<State>& state) {
-  const double due = now() + kBeat;
+void LoopDelayMonitor::schedule_sample(Loop& loop, const std::shared_ptr<State>& state) {
+  const double due = now() + kSampleIntervalSeconds;
   state->timer = loop.at(due, [&loop, state, due] {
-    if (state->over) return;
+    if (state->stopped) return;
     const double late = now() - due;
-    if (late > state->most_late) state->most_late = late;
-    await_beat(loop, state);
+    if (late > state->max_delay) state->max_delay = late;
+    schedule_sample(loop, state);
   });
 }
 
-MachineWaits MachineWaits::now() {
-  MachineWaits out;
-  out.cpu = total_of("/proc/pressure/cpu");
-  out.io = total_of("/proc/pressure/io");
-  out.memory = total_of("/proc/pressure/memory");
+HostStalls HostStalls::now() {
+  HostStalls out;
+  out.cpu = stalled_seconds("/proc/pressure/cpu");
+  out.io = stalled_seconds("/proc/pressure/io");
+  out.memory = stalled_seconds("/proc/pressure/memory");
   rusage usage{};
   if (getrusage(RUSAGE_SELF, &usage) == 0) out.major_faults = static_cast<double>(usage.ru_majflt);
   return out;
 }
 
-MachineWaits MachineWaits::since(const MachineWaits& before) const {
+HostStalls HostStalls::since(const HostStalls& before) const {
   return {cpu - before.cpu, io - before.io, memory - before.memory, major_faults - before.major_faults};
 }
 
-std::string MachineWaits::text() const {
+std::string HostStalls::text() const {
   char out[160];
   std::snprintf(
       out, sizeof out,
--- a/standins/world/lateness.h
+++ b/standins/world/host_load.h
@@ -12,23 +12,23 @@
 
 // Measures on the event loop itself, by a timer of its own. So it also tells where the whole process stood
 // still, and with it every thread that might have watched from outside.
-class LoopBeat {
+class LoopDelayMonitor {
  public:
-  explicit LoopBeat(Loop& loop);
-  ~LoopBeat();
-  LoopBeat(const LoopBeat&) = delete;
-  LoopBeat& operator=(const LoopBeat&) = delete;
+  explicit LoopDelayMonitor(Loop& loop);
+  ~LoopDelayMonitor();
+  LoopDelayMonitor(const LoopDelayMonitor&) = delete;
+  LoopDelayMonitor& operator=(const LoopDelayMonitor&) = delete;
 
   // s that the loop was late at the most so far; for any thread.
-  double most_late() const { return state_->most_late; }
+  double max_delay() const { return state_->max_delay; }
 
  private:
   struct State {
-    std::atomic<double> most_late = 0;
+    std::atomic<double> max_delay = 0;
     Loop::Timer timer{0, 0};
-    bool over = false;  // on the loop
+    bool stopped = false;  // on the loop
   };
-  static void await_beat(Loop& loop, const std::shared_ptr<State>& state);
+  static void schedule_sample(Loop& loop, const std::shared_ptr<State>& state);
 
   Loop& loop_;
   std::shared_ptr<State> state_ = std::make_shared<State>();
@@ -36,12 +36,12 @@
 
 // What a machine has made its processes wait for, in s since it started, and this process's part of it. All 0
 // where the kernel does not tell.
-struct MachineWaits {
+struct HostStalls {
   double cpu = 0, io = 0, memory = 0;  // somebody waited
   double major_faults = 0;             // of this process: pages read from a disk
 
-  static MachineWaits now();
-  MachineWaits since(const MachineWaits& before) const;
+  static HostStalls now();
+  HostStalls since(const HostStalls& before) const;
   std::string text() const;
 };
 
--- a/standins/world/membership_rules.cpp
+++ b/standins/world/membership_rules.cpp
@@ -10,27 +10,27 @@
 namespace nettlestand::standins {
 namespace {
 
-constexpr double kEver = std::numeric_limits<double>::infinity();
+constexpr double kNoEnd = std::numeric_limits<double>::infinity();
 
 struct Interval {
-  double from = 0, until = kEver;
-  bool meets(double a, double b) const { return from < b && until > a; }
+  double from = 0, until = kNoEnd;
+  bool overlaps(double a, double b) const { return from < b && until > a; }
 };
 
 // What one node said of another's state.
-struct Word {
+struct StateReport {
   double at = 0;
   std::string by, of, state;
-  std::string life;
-  bool own = false;  // found out by itself
+  std::string generation;
+  bool first_hand = false;  // found out by itself
 };
 
 // What a timeline tells of processes, ways and words.
-struct Truth {
+struct GroundTruth {
   std::vector<std::string> nodes;
-  std::map<std::string, std::vector<Interval>> runs, stands;
+  std::map<std::string, std::vector<Interval>> runs, stalls;
   std::map<std::pair<std::string, std::string>, std::vector<Interval>> cuts;
-  std::vector<Word> words;
+  std::vector<StateReport> reports;
   double began = 0, ended = 0, last_fault = 0;
 
   bool ran(const std::string& who, double a, double b) const {
@@ -38,34 +38,36 @@
     return it != runs.end() && std::any_of(it->second.begin(), it->second.end(),
                                            [&](const Interval& i) { return i.from <= a && i.until >= b; });
   }
-  bool stood(const std::string& who, double a, double b) const { return meets(stands, who, a, b); }
-  bool both_ways(const std::string& x, const std::string& y, double a, double b) const {
-    return !meets(cuts, std::pair(x, y), a, b) && !meets(cuts, std::pair(y, x), a, b);
+  bool was_stalled(const std::string& who, double a, double b) const { return overlaps(stalls, who, a, b); }
+  bool connected(const std::string& x, const std::string& y, double a, double b) const {
+    return !overlaps(cuts, std::pair(x, y), a, b) && !overlaps(cuts, std::pair(y, x), a, b);
   }
   // Ran all the while, and was not kept from it.
-  bool well(const std::string& who, double a, double b) const { return ran(who, a, b) && !stood(who, a, b); }
+  bool was_healthy(const std::string& who, double a, double b) const {
+    return ran(who, a, b) && !was_stalled(who, a, b);
+  }
 
  private:
   template <class Map, class Of>
-  static bool meets(const Map& map, const Of& of, double a, double b) {
+  static bool overlaps(const Map& map, const Of& of, double a, double b) {
     const auto it = map.find(of);
     return it != map.end() && std::any_of(it->second.begin(), it->second.end(),
-                                          [&](const Interval& i) { return i.meets(a, b); });
+                                          [&](const Interval& i) { return i.overlaps(a, b); });
   }
 };
 
-Truth truth_of(const Timeline& t) {
-  Truth out;
+GroundTruth ground_truth_of(const Timeline& t) {
+  GroundTruth out;
   out.began = t.began;
   out.ended = t.ended;
   for (const Member& m : t.members) {
     if (m.role == Role::kNode) out.nodes.push_back(m.name);
   }
-  for (const NodeLife& life : t.evidence.lives) {
+  for (const ProcessLifetime& lifetime : t.evidence.lifetimes) {
     // A process is as good as gone from the signal on that ends it.
-    double until = life.ended_at > 0 ? life.ended_at : kEver;
-    if (life.term_at > 0) until = std::min(until, life.term_at);
-    out.runs[life.node].push_back({life.started_at, until});
+    double until = lifetime.ended_at > 0 ? lifetime.ended_at : kNoEnd;
+    if (lifetime.sigterm_at > 0) until = std::min(until, lifetime.sigterm_at);
+    out.runs[lifetime.node].push_back({lifetime.started_at, until});
   }
   // A member is told of by its key until its name is known.
   std::map<std::string, std::string> names;
@@ -84,19 +86,19 @@
       if (arrow != std::string::npos && e.what.rfind("cut", 0) == 0) {
         auto& all = out.cuts[{e.who.substr(0, arrow), e.who.substr(arrow + 4)}];
         if (begins) {
-          all.push_back({e.at, kEver});
+          all.push_back({e.at, kNoEnd});
         } else {
           for (Interval& i : all) {
-            if (i.until == kEver) {
+            if (i.until == kNoEnd) {
               i.until = e.at;
               break;
             }
           }
         }
       } else if (e.what.rfind("pause", 0) == 0 || e.what.rfind("starve", 0) == 0) {
-        auto& all = out.stands[e.who];
+        auto& all = out.stalls[e.who];
         if (begins) {
-          all.push_back({e.at, kEver});
+          all.push_back({e.at, kNoEnd});
         } else if (!all.empty()) {
           all.back().until = e.at;
         }
@@ -105,48 +107,49 @@
     }
     if (e.kind != "log" || e.what.rfind("peers.member_", 0) != 0) continue;
     const auto name = names.find(field(e, "key"));
-    out.words.push_back({e.at, e.who, name == names.end() ? field(e, "member") : name->second,
-                         e.what.substr(13), field(e, "life"), field(e, "by") == "itself"});
+    out.reports.push_back({e.at, e.who, name == names.end() ? field(e, "member") : name->second,
+                           e.what.substr(13), field(e, "life"), field(e, "by") == "itself"});
   }
   return out;
 }
 
-std::string at_text(const Truth& t, double at) {
+std::string at_text(const GroundTruth& t, double at) {
   std::ostringstream out;
   out.precision(2);
   out << std::fixed << at - t.began << " s";
   return out.str();
 }
 
-bool is_over(const std::string& state) { return state == "dead" || state == "left"; }
+bool is_terminal(const std::string& state) { return state == "dead" || state == "left"; }
 
-std::vector<std::string> deaths_are_known(const Truth& t, const MembershipBounds& b) {
+std::vector<std::string> check_deaths_are_known(const GroundTruth& t, const MembershipBounds& b) {
   std::vector<std::string> out;
   for (const std::string& who : t.nodes) {
     const auto runs = t.runs.find(who);
     if (runs == t.runs.end()) continue;
     for (const Interval& life : runs->second) {
-      const double until = life.until + b.death;
-      if (life.until == kEver || until > t.ended || life.until - life.from < b.grace + b.death) continue;
+      const double until = life.until + b.detection;
+      if (life.until == kNoEnd || until > t.ended || life.until - life.from < b.startup_grace + b.detection)
+        continue;
       const bool again = std::any_of(runs->second.begin(), runs->second.end(), [&](const Interval& i) {
         return i.from >= life.until && i.from < until;
       });
       if (again) continue;
       // Those that are well and reach, both ways and all the while, more than half of those that are well.
-      std::vector<std::string> well;
+      std::vector<std::string> healthy;
       for (const std::string& x : t.nodes) {
-        if (x != who && t.well(x, life.until - b.memory, until)) well.push_back(x);
+        if (x != who && t.was_healthy(x, life.until - b.evidence_window, until)) healthy.push_back(x);
       }
-      for (const std::string& x : well) {
-        const auto reached = std::count_if(well.begin(), well.end(), [&](const std::string& y) {
-          return x == y || t.both_ways(x, y, life.until - b.memory, until);
+      for (const std::string& x : healthy) {
+        const auto reached = std::count_if(healthy.begin(), healthy.end(), [&](const std::string& y) {
+          return x == y || t.connected(x, y, life.until - b.evidence_window, until);
         });
-        if (well.size() < 2 || reached * 2 <= static_cast<std::ptrdiff_t>(well.size())) continue;
+        if (healthy.size() < 2 || reached * 2 <= static_cast<std::ptrdiff_t>(healthy.size())) continue;
         std::string last;
-        for (const Word& w : t.words) {
+        for (const StateReport& w : t.reports) {
           if (w.by == x && w.of == who && w.at <= until && w.state != "described") last = w.state;
         }
-        if (!last.empty() && !is_over(last)) {
+        if (!last.empty() && !is_terminal(last)) {
           out.push_back(x + " still holds " + who + " for " + last + " at " + at_text(t, until) +
                         ", and its process had ended at " + at_text(t, life.until));
         }
@@ -156,43 +159,43 @@
   return out;
 }
 
-std::vector<std::string> nobody_well_is_dead(const Truth& t, const MembershipBounds& b) {
+std::vector<std::string> check_no_false_deaths(const GroundTruth& t, const MembershipBounds& b) {
   std::vector<std::string> out;
-  for (const Word& w : t.words) {
-    const double from = w.at - b.memory;
-    if (w.state != "dead" || !w.own || from < t.began + b.grace) continue;
-    if (!t.well(w.of, from, w.at) || !t.well(w.by, from, w.at)) continue;
+  for (const StateReport& w : t.reports) {
+    const double from = w.at - b.evidence_window;
+    if (w.state != "dead" || !w.first_hand || from < t.began + b.startup_grace) continue;
+    if (!t.was_healthy(w.of, from, w.at) || !t.was_healthy(w.by, from, w.at)) continue;
     // A quarter of the others reaches it both ways, and the accuser reaches one of these.
-    std::size_t well = 0, reach = 0;
+    std::size_t healthy = 0, reach = 0;
     bool heard = false;
     for (const std::string& x : t.nodes) {
-      if (x == w.of || !t.well(x, from, w.at)) continue;
-      ++well;
-      if (!t.both_ways(x, w.of, from, w.at)) continue;
+      if (x == w.of || !t.was_healthy(x, from, w.at)) continue;
+      ++healthy;
+      if (!t.connected(x, w.of, from, w.at)) continue;
       ++reach;
-      heard = heard || x == w.by || t.both_ways(x, w.by, from, w.at);
+      heard = heard || x == w.by || t.connected(x, w.by, from, w.at);
     }
-    if (heard && reach * 4 >= well && reach >= 2) {
+    if (heard && reach * 4 >= healthy && reach >= 2) {
       out.push_back(w.by + " called " + w.of + " dead at " + at_text(t, w.at) +
                     ", which ran and was reached by " + std::to_string(reach) + " of " +
-                    std::to_string(well));
+                    std::to_string(healthy));
     }
   }
   return out;
 }
 
-std::vector<std::string> views_are_equal(const Truth& t, const MembershipBounds& b) {
+std::vector<std::string> check_views_agree(const GroundTruth& t, const MembershipBounds& b) {
   std::vector<std::string> out;
-  if (t.ended - t.last_fault < b.heal) return out;
+  if (t.ended - t.last_fault < b.convergence) return out;
   const double at = t.ended - 0.3;
   for (const std::string& x : t.nodes) {
-    if (!t.well(x, at - b.heal, at)) continue;
+    if (!t.was_healthy(x, at - b.convergence, at)) continue;
     std::map<std::string, std::string> view;
-    for (const Word& w : t.words) {
+    for (const StateReport& w : t.reports) {
       if (w.by == x && w.at <= at && w.state != "described") view[w.of] = w.state;
     }
     for (const std::string& y : t.nodes) {
-      if (x == y || !t.well(y, at - b.heal, at)) continue;
+      if (x == y || !t.was_healthy(y, at - b.convergence, at)) continue;
       const auto it = view.find(y);
       if (it == view.end() || it->second != "alive") {
         out.push_back("at the end " + x + " holds " + y + " for " +
@@ -203,12 +206,12 @@
   return out;
 }
 
-std::vector<std::string> no_life_comes_back(const Truth& t) {
+std::vector<std::string> check_no_resurrection(const GroundTruth& t) {
   std::vector<std::string> out;
   std::map<std::pair<std::string, std::string>, std::set<std::string>>
       ended;  // lives, by who says so and of whom
   std::map<std::string, double> started;
-  for (const Word& w : t.words) {
+  for (const StateReport& w : t.reports) {
     // Each process that says so begins anew.
     const auto runs = t.runs.find(w.by);
     double life = 0;
@@ -224,10 +227,10 @@
       }
     }
     auto& over = ended[{w.by, w.of}];
-    if (is_over(w.state)) {
-      over.insert(w.life);
-    } else if (w.state != "described" && over.contains(w.life)) {
-      out.push_back(w.by + " holds life " + w.life + " of " + w.of + " for " + w.state + " at " +
+    if (is_terminal(w.state)) {
+      over.insert(w.generation);
+    } else if (w.state != "described" && over.contains(w.generation)) {
+      out.push_back(w.by + " holds life " + w.generation + " of " + w.of + " for " + w.state + " at " +
                     at_text(t, w.at) + ", which it had called ended");
     }
   }
@@ -238,13 +241,13 @@
 
 std::vector<TimelineRule> membership_rules(const MembershipBounds& bounds) {
   return {{"a death is known to all that are connected",
-           [bounds](const Timeline& t) { return deaths_are_known(truth_of(t), bounds); }},
+           [bounds](const Timeline& t) { return check_deaths_are_known(ground_truth_of(t), bounds); }},
           {"nobody is called dead that a quarter reaches",
-           [bounds](const Timeline& t) { return nobody_well_is_dead(truth_of(t), bounds); }},
+           [bounds](const Timeline& t) { return check_no_false_deaths(ground_truth_of(t), bounds); }},
           {"views are equal at the end",
-           [bounds](const Timeline& t) { return views_are_equal(truth_of(t), bounds); }},
+           [bounds](const Timeline& t) { return check_views_agree(ground_truth_of(t), bounds); }},
           {"no life comes back from the dead",
-           [](const Timeline& t) { return no_life_comes_back(truth_of(t)); }}};
+           [](const Timeline& t) { return check_no_resurrection(ground_truth_of(t)); }}};
 }
 
 }  // namespace nettlestand::standins
--- a/standins/world/membership_rules.h
+++ b/standins/world/membership_rules.h
@@ -9,10 +9,10 @@
 namespace nettlestand::standins {
 
 struct MembershipBounds {
-  double death = 5;   // s from a process' end until all know that live and are connected
-  double memory = 4;  // s before a verdict in which its reasons may lie
-  double heal = 8;    // s that a timeline has to be quiet at its end, for views to be equal
-  double grace = 1;   // s at the start for the rules on deaths, for nodes to hear of each other
+  double detection = 5;        // s from a process' end until all know that live and are connected
+  double evidence_window = 4;  // s before a verdict in which its reasons may lie
+  double convergence = 8;      // s that a timeline has to be quiet at its end, for views to be equal
+  double startup_grace = 1;    // s at the start for the rules on deaths, for nodes to hear of each other
 };
 
 // - a death is known to all that live and are connected
--- a/standins/world/node_process.cpp
+++ b/standins/world/node_process.cpp
@@ -28,11 +28,11 @@
 namespace nettlestand::standins {
 namespace {
 
-constexpr double kPatience = 20;                      // s; only ends what would hang
-constexpr auto kLook = std::chrono::milliseconds(4);  // between looks at what tells no other way
-constexpr std::string_view kWords = "listening on ";  // of the log, before the address
+constexpr double kStartTimeoutSeconds = 20;                   // s; only ends what would hang
+constexpr auto kPollInterval = std::chrono::milliseconds(4);  // between looks at what tells no other way
+constexpr std::string_view kListeningText = "listening on ";  // of the log, before the address
 
-std::string temporary(const char* what) {
+std::string temporary_path(const char* what) {
   static std::atomic<int> count = 0;
   const char* dir = std::getenv("TMPDIR");
   return std::string(dir != nullptr ? dir : "/tmp") + "/standins_" + std::to_string(getpid()) + "_" +
@@ -45,7 +45,7 @@
 
 }  // namespace
 
-CheckedClass checked(const NodeClass& c) {
+CheckedClass checked_class(const NodeRequestClass& c) {
   CheckedClass to;
   to.name = c.name;
   to.effect = c.effect == "safe"    ? CheckedClass::Effect::kSafe
@@ -62,12 +62,14 @@
   std::ostringstream out;
   out << R"({"name":")" << name << R"(","listen":")" << ip << ":" << listen << R"(","discovery":")"
       << discovery_ip << ":" << discovery << R"(","seed":")" << seed << R"(","limits":{"sockets":)" << sockets
-      << R"(,"memory_mb":)" << memory_mb << "}," << (known.empty() ? "" : "\"known\":" + known + ",") << more;
+      << R"(,"memory_mb":)" << memory_mb << "},"
+      << (known_servers.empty() ? "" : "\"known\":" + known_servers + ",") << extra_members;
   if (!peer_listen.empty()) {
     out << R"("peer_listen":")" << peer_listen << R"(","peers":[)";
-    for (std::size_t i = 0; i < others.size(); ++i) out << (i > 0 ? "," : "") << '"' << others[i] << '"';
+    for (std::size_t i = 0; i < peer_addresses.size(); ++i)
+      out << (i > 0 ? "," : "") << '"' << peer_addresses[i] << '"';
     out << "],";
-    if (!everyone.empty()) out << R"("peers_all":")" << everyone << R"(",)";
+    if (!broadcast_address.empty()) out << R"("peers_all":")" << broadcast_address << R"(",)";
   }
   out << R"("settings":{"zone":)" << zone << R"(,"position":)" << position << R"(,"peersTotal":)" << peers
       << R"(,"stage":)" << stage << R"(,"registryMode":")" << (subscribe ? "subscribe" : "push")
@@ -85,7 +87,7 @@
   out << R"(],"rules":{"askWithin":)" << ask_within << R"(,"startCapacity":)" << start_capacity
       << R"(,"rampTime":)" << ramp_time << R"(},"categories":[)";
   for (std::size_t i = 0; i < classes.size(); ++i) {
-    const NodeClass& c = classes[i];
+    const NodeRequestClass& c = classes[i];
     out << (i > 0 ? "," : "") << R"({"name":")" << c.name << R"(","aim":)" << c.aim << R"(,"giveUp":)"
         << c.give_up << R"(,"lateWorth":)" << c.late_worth << R"(,"effect":")" << c.effect << '"';
     if (c.effect == "keyed") out << R"(,"group":")" << c.group << R"(","dedupWindow":)" << c.window;
@@ -109,14 +111,14 @@
 }  // namespace
 
 NodeProcess::NodeProcess(std::string binary, const NodeConfig& config, ProcessOptions options)
-    : binary_(std::move(binary)), config_path_(temporary("config")), log_path_(temporary("log")) {
+    : binary_(std::move(binary)), config_path_(temporary_path("config")), log_path_(temporary_path("log")) {
   write_file(config_path_, config.json());
   if (!options.operator_file.empty()) {
-    file_path_ = temporary("file");
-    write_file(file_path_, options.operator_file);
+    operator_file_path_ = temporary_path("file");
+    write_file(operator_file_path_, options.operator_file);
     if (options.arguments.empty()) options.arguments.push_back("run");
     options.arguments.push_back("--config");
-    options.arguments.push_back(file_path_);
+    options.arguments.push_back(operator_file_path_);
   }
   const Fd log(open(log_path_.c_str(), O_CREAT | O_TRUNC | O_WRONLY | O_APPEND | O_CLOEXEC, 0600));
   if (!log) throw std::runtime_error("can't write " + log_path_);
@@ -133,8 +135,8 @@
   for (std::string& a : options.arguments) arguments.push_back(a.data());
   arguments.push_back(nullptr);
   ip_ = config.ip;
-  life_.node = config.name;
-  life_.started_at = now();
+  lifetime_.node = config.name;
+  lifetime_.started_at = now();
   const pid_t parent = getpid();
   child_ = on_spawner([&] {
     const pid_t child = fork();
@@ -143,7 +145,7 @@
     if (getppid() != parent) _exit(127);  // this process is dead already
     dup2(log.get(), 1);
     dup2(log.get(), 2);
-    const rlimit limit{options.descriptors, options.descriptors};
+    const rlimit limit{options.max_descriptors, options.max_descriptors};
     setrlimit(RLIMIT_NOFILE, &limit);
     execve(binary_.c_str(), arguments.data(), environment.data());
     _exit(127);
@@ -157,7 +159,7 @@
     reap(true);
   }
   std::remove(config_path_.c_str());
-  if (!file_path_.empty()) std::remove(file_path_.c_str());
+  if (!operator_file_path_.empty()) std::remove(operator_file_path_.c_str());
   std::remove(log_path_.c_str());
 }
 
@@ -165,8 +167,8 @@
   if (child_ <= 0) return true;
   if (waitpid(child_, &status_, wait ? 0 : WNOHANG) != child_) return false;
   child_ = -1;
-  life_.ended_at = now();
-  life_.killed = WIFSIGNALED(status_) && WTERMSIG(status_) == SIGKILL;
+  lifetime_.ended_at = now();
+  lifetime_.killed = WIFSIGNALED(status_) && WTERMSIG(status_) == SIGKILL;
   return true;
 }
 
@@ -180,14 +182,14 @@
 int NodeProcess::port() {
   for (const double from = now(); port_ == 0;) {
     const std::string text = log();
-    const std::string words = std::string(kWords) + ip_ + ":";
+    const std::string words = std::string(kListeningText) + ip_ + ":";
     const std::size_t at = text.find(words);
     if (at != std::string::npos && text.find('\n', at) != std::string::npos) {
       port_ = std::stoi(text.substr(at + words.size()));
-    } else if (!running() || now() - from > kPatience) {
+    } else if (!running() || now() - from > kStartTimeoutSeconds) {
       throw std::runtime_error("the node does not listen: " + text);
     } else {
-      std::this_thread::sleep_for(kLook);
+      std::this_thread::sleep_for(kPollInterval);
     }
   }
   return port_;
@@ -198,8 +200,10 @@
   if (!fd) return 0;
   pollfd p{fd.get(), POLLOUT, 0};
   poll(&p, 1, 1000);
-  static constexpr std::string_view kAsk = "GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
-  if (send(fd.get(), kAsk.data(), kAsk.size(), MSG_NOSIGNAL) != static_cast<ssize_t>(kAsk.size())) return 0;
+  static constexpr std::string_view kRequest =
+      "GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
+  if (send(fd.get(), kRequest.data(), kRequest.size(), MSG_NOSIGNAL) != static_cast<ssize_t>(kRequest.size()))
+    return 0;
   p.events = POLLIN;
   poll(&p, 1, 1000);
   std::array<char, 256> answer{};
@@ -209,14 +213,15 @@
 
 void NodeProcess::await_ready() {
   for (const double from = now(); health() != 200;) {
-    if (!running() || now() - from > kPatience) throw std::runtime_error("the node is not ready: " + log());
-    std::this_thread::sleep_for(kLook);
+    if (!running() || now() - from > kStartTimeoutSeconds)
+      throw std::runtime_error("the node is not ready: " + log());
+    std::this_thread::sleep_for(kPollInterval);
   }
 }
 
 void NodeProcess::signal(int which) {
   if (child_ <= 0) return;
-  if (which == SIGTERM && life_.term_at == 0) life_.term_at = now();
+  if (which == SIGTERM && lifetime_.sigterm_at == 0) lifetime_.sigterm_at = now();
   kill(child_, which);
   if (which == SIGKILL) reap(true);  // so that its end is known to the moment
 }
@@ -236,7 +241,8 @@
   ProcessTimes out;
   if (child_ <= 0) return out;
   std::ifstream in("/proc/" + std::to_string(child_) + "/schedstat");
-  if (in >> out.ran >> out.waited) return {out.ran * 1e-9, out.waited * 1e-9};
+  if (in >> out.run_seconds >> out.cpu_wait_seconds)
+    return {out.run_seconds * 1e-9, out.cpu_wait_seconds * 1e-9};
   return {};
 }
 
--- a/standins/world/node_process.h
+++ b/standins/world/node_process.h
@@ -12,7 +12,7 @@
 namespace nettlestand::standins {
 
 // A class of requests as the node's settings name it.
-struct NodeClass {
+struct NodeRequestClass {
   std::string name;
   std::string effect = "safe";                    // safe, keyed or unsafe
   std::string group = "all";                      // keyed: all, zone or cell
@@ -21,9 +21,9 @@
 };
 
 // As the checker wants it.
-CheckedClass checked(const NodeClass& c);
+CheckedClass checked_class(const NodeRequestClass& c);
 
-struct NodeTenant {
+struct NodeTenantConfig {
   std::string name;
   double allowance = 1000;  // calls/s over all nodes
 };
@@ -40,27 +40,27 @@
   int sockets = 1024, memory_mb = 64;
   int stage = 1, peers = 1, position = 0;  // its tier, how many nodes stand before it, its number among them
   std::vector<std::string> zones = {"a"};
-  std::vector<NodeClass> classes = {{"safe"}};
-  std::vector<NodeTenant> tenants = {{"acme"}};
+  std::vector<NodeRequestClass> classes = {{"safe"}};
+  std::vector<NodeTenantConfig> tenants = {{"acme"}};
   double connect_timeout = 0.25, idle_close = 5;  // s
   int attempts = 4;
   bool cancel = true, second_copies = false, subscribe = true;
   double retry_after = 2;  // s, the longest advice; 0: none
   double ask_within = 0.4, start_capacity = 1, ramp_time = 0;
   double over_share_worth = 1;
-  std::string peer_listen;  // address of its socket for other nodes, where they may speak to each other
-  std::string everyone;     // an address that reaches all of them at once, or nothing
+  std::string peer_listen;        // address of its socket for other nodes, where they may speak to each other
+  std::string broadcast_address;  // an address that reaches all of them at once, or nothing
   std::vector<std::string>
-      others;         // the nodes' addresses as it reaches them, in the order of their positions
-  std::string known;  // a list in discovery's form, or nothing
-  std::string more;   // further members of the configuration, each with a comma behind it
+      peer_addresses;         // the nodes' addresses as it reaches them, in the order of their positions
+  std::string known_servers;  // a list in discovery's form, or nothing
+  std::string extra_members;  // further members of the configuration, each with a comma behind it
 
   std::string json() const;
 };
 
 // What a process is started with besides.
 struct ProcessOptions {
-  unsigned descriptors = 1024;           // its limit
+  unsigned max_descriptors = 1024;       // its limit
   std::vector<std::string> arguments;    // of the program
   std::vector<std::string> environment;  // NAME=VALUE, beside this process's own
   std::string operator_file;             // text of a file that it runs on too (--config), or nothing
@@ -68,8 +68,8 @@
 
 // What the machine has given a process, in s.
 struct ProcessTimes {
-  double ran = 0;     // on a core
-  double waited = 0;  // ready to run, and no core was free
+  double run_seconds = 0;       // on a core
+  double cpu_wait_seconds = 0;  // ready to run, and no core was free
 };
 
 // One process. Not for two threads at once. Ends only what it has started, at the latest with its own end,
@@ -103,15 +103,15 @@
   ProcessTimes times() const;
   std::size_t resident_kb() const;
   // When it was started, signalled and ended, as far as that is known by now.
-  const NodeLife& life() const { return life_; }
+  const ProcessLifetime& lifetime() const { return lifetime_; }
 
  private:
   bool reap(bool wait);
 
-  std::string binary_, config_path_, file_path_, log_path_, ip_;
+  std::string binary_, config_path_, operator_file_path_, log_path_, ip_;
   pid_t child_ = -1;
   int status_ = 0, port_ = 0;
-  NodeLife life_;
+  ProcessLifetime lifetime_;
 };
 
 }  // namespace nettlestand::standins
--- a/standins/world/script.h
+++ b/standins/world/script.h
@@ -21,21 +21,21 @@
 
 // One line, for one machine or one way between two.
 struct WorldFault {
-  double at = 0, lasts = kForever;  // s
-  std::size_t who = 0;              // place among the members; of a way: where it begins
-  std::size_t to = kNobody;         // of a way: where it ends
+  double at = 0, duration = kForever;  // s
+  std::size_t who = 0;                 // place among the members; of a way: where it begins
+  std::size_t to = kNoMember;          // of a way: where it ends
   std::string verb;
-  std::vector<double> figures;  // in the order of SCRIPT.md
-  Fault server;                 // where a scripted server does it: `verb` is "server"
-  std::size_t line = 0;         // of the script, from 1
+  std::vector<double> arguments;  // in the order of SCRIPT.md
+  Fault server;                   // where a scripted server does it: `verb` is "server"
+  std::size_t line = 0;           // of the script, from 1
 
-  static constexpr std::size_t kNobody = static_cast<std::size_t>(-1);
+  static constexpr std::size_t kNoMember = static_cast<std::size_t>(-1);
 };
 
 // Whether it is one of a wrong clock or a bad disk, for which a world has to have seams.
-bool needs_seams(const WorldFault& fault);
+bool needs_interposed_faults(const WorldFault& fault);
 
 // In the order of their times, and then of the script. Throws ScriptError, which names the line.
-std::vector<WorldFault> read_world_script(std::string_view text, const std::vector<Member>& members);
+std::vector<WorldFault> parse_world_script(std::string_view text, const std::vector<Member>& members);
 
 }  // namespace nettlestand::standins
--- a/standins/world/timeline.cpp
+++ b/standins/world/timeline.cpp
@@ -60,22 +60,28 @@
                           {"status", std::to_string(a.status)},
                           {"took", a.answered_at > 0 ? fixed(a.answered_at - a.first_byte_at) : ""}}});
   }
-  for (const ToldRecord& told : t.evidence.told) {
-    t.entries.push_back({told.told_at > 0 ? told.told_at : told.changed_at,
-                         told.node,
+  for (const ListChangeRecord& change : t.evidence.list_changes) {
+    t.entries.push_back({change.delivered_at > 0 ? change.delivered_at : change.changed_at,
+                         change.node,
                          "told",
-                         told.server + " " + told.state + (told.told_at > 0 ? "" : " (not yet)"),
+                         change.server + " " + change.state + (change.delivered_at > 0 ? "" : " (not yet)"),
                          {}});
   }
-  for (const FellOver& f : t.evidence.fallen) {
-    t.entries.push_back(
-        {f.at, f.server, "life", "fell over", {{"asked", fixed(f.asked)}, {"able", fixed(f.able)}}});
+  for (const OverloadRecord& f : t.evidence.overloads) {
+    t.entries.push_back({f.at,
+                         f.server,
+                         "life",
+                         "fell over",
+                         {{"asked", fixed(f.requested_work)}, {"able", fixed(f.available_work)}}});
   }
-  for (const NodeLife& life : t.evidence.lives) {
-    if (life.started_at > 0) t.entries.push_back({life.started_at, life.node, "life", "started", {}});
-    if (life.term_at > 0) t.entries.push_back({life.term_at, life.node, "life", "SIGTERM", {}});
-    if (life.ended_at > 0) {
-      t.entries.push_back({life.ended_at, life.node, "life", life.killed ? "killed" : "ended", {}});
+  for (const ProcessLifetime& lifetime : t.evidence.lifetimes) {
+    if (lifetime.started_at > 0)
+      t.entries.push_back({lifetime.started_at, lifetime.node, "life", "started", {}});
+    if (lifetime.sigterm_at > 0)
+      t.entries.push_back({lifetime.sigterm_at, lifetime.node, "life", "SIGTERM", {}});
+    if (lifetime.ended_at > 0) {
+      t.entries.push_back(
+          {lifetime.ended_at, lifetime.node, "life", lifetime.killed ? "killed" : "ended", {}});
     }
   }
 }
@@ -115,11 +121,11 @@
                    [](const TimelineEntry& a, const TimelineEntry& b) { return a.at < b.at; });
 }
 
-std::string Timeline::text(const std::function<bool(const TimelineEntry&)>& holds) const {
+std::string Timeline::text(const std::function<bool(const TimelineEntry&)>& filter) const {
   std::string out;
   for (const TimelineEntry& e : entries) {
     const bool traffic = e.kind == "call" || e.kind == "attempt" || e.kind == "answer";
-    if (holds ? !holds(e) : traffic) continue;
+    if (filter ? !filter(e) : traffic) continue;
     out += fixed(e.at - began) + " " + e.who + " " + e.kind + " " + e.what;
     for (const auto& [name, value] : e.fields) out += " " + name + "=" + value;
     out += '\n';
@@ -152,9 +158,10 @@
   return out;
 }
 
-std::vector<TimelineRule> four_rules(const CheckerSettings& settings) {
+std::vector<TimelineRule> request_rules(const CheckerSettings& settings) {
   std::vector<TimelineRule> out;
-  for (const Rule rule : {Rule::kLost, Rule::kTwice, Rule::kDrain, Rule::kColdServer}) {
+  for (const Rule rule :
+       {Rule::kLostRequest, Rule::kDuplicateEffect, Rule::kDrainIgnored, Rule::kColdServerOverloaded}) {
     out.push_back({standins::name_of(rule), [rule, settings](const Timeline& t) {
                      std::vector<std::string> broken;
                      for (const Violation& v : Checker(settings).check(t.evidence)) {
@@ -166,10 +173,10 @@
   return out;
 }
 
-std::string broken_rules(const std::vector<TimelineRule>& rules, const Timeline& timeline) {
+std::string describe_violations(const std::vector<TimelineRule>& rules, const Timeline& timeline) {
   std::string out;
   for (const TimelineRule& rule : rules) {
-    for (const std::string& what : rule.broken(timeline)) out += rule.name + ": " + what + "\n";
+    for (const std::string& what : rule.violations(timeline)) out += rule.name + ": " + what + "\n";
   }
   return out;
 }
--- a/standins/world/timeline.h
+++ b/standins/world/timeline.h
@@ -28,7 +28,7 @@
   Evidence evidence;                   // the stand-ins' records, whole
 
   // One entry a line, with times from `began`; of the calls and attempts those alone that `holds` names.
-  std::string text(const std::function<bool(const TimelineEntry&)>& holds = {}) const;
+  std::string text(const std::function<bool(const TimelineEntry&)>& filter = {}) const;
   // A JSON object a line.
   std::string json_lines() const;
 };
@@ -42,14 +42,14 @@
 // A rule over the timeline. Directions add theirs.
 struct TimelineRule {
   std::string name;
-  std::function<std::vector<std::string>(const Timeline&)> broken;  // a sentence each
+  std::function<std::vector<std::string>(const Timeline&)> violations;  // a sentence each
 };
 
 // The four rules over all nodes together: one final answer, effects once, drains, and cold servers by the sum
 // of what all nodes send them.
-std::vector<TimelineRule> four_rules(const CheckerSettings& settings);
+std::vector<TimelineRule> request_rules(const CheckerSettings& settings);
 
 // All that is broken, a line each; empty where nothing is.
-std::string broken_rules(const std::vector<TimelineRule>& rules, const Timeline& timeline);
+std::string describe_violations(const std::vector<TimelineRule>& rules, const Timeline& timeline);
 
 }  // namespace nettlestand::standins
--- a/standins/world/world.cpp
+++ b/standins/world/world.cpp
@@ -14,83 +14,89 @@
 namespace nettlestand::standins {
 namespace {
 
-constexpr auto kStep = std::chrono::milliseconds(2);
-constexpr double kTipMultiple = 4;    // of what a cold server can do; beyond it, it falls over
-constexpr double kTurn = 0.02;        // s; of a process that is starved
-constexpr double kLookEvery = 1;      // s between looks at who waited for a core
-constexpr double kLookForEnd = 0.02;  // s
-constexpr double kMostLate = 0.1;     // s; later than that, and a run is void
-constexpr double kMostWaited = 0.25;  // s of that, beyond which a run is void
+constexpr auto kPollInterval = std::chrono::milliseconds(2);
+constexpr double kOverloadFactor = 4;          // of what a cold server can do; beyond it, it falls over
+constexpr double kStarvePeriodSeconds = 0.02;  // s; of a process that is starved
+constexpr double kStarvationCheckIntervalSeconds = 1;  // s between looks at who waited for a core
+constexpr double kExitPollIntervalSeconds = 0.02;      // s
+constexpr double kMaxLoopDelaySeconds = 0.1;           // s; later than that, and a run is void
+constexpr double kMaxCpuWaitSeconds = 0.25;            // s of that, beyond which a run is void
 
 }  // namespace
 
-ProcessWorld::ProcessWorld(WorldSettings settings) : s_(std::move(settings)) {
-  if (s_.zones.empty() || s_.nodes == 0) throw std::invalid_argument("a world needs zones and nodes");
+ProcessWorld::ProcessWorld(WorldSettings settings) : settings_(std::move(settings)) {
+  if (settings_.zones.empty() || settings_.nodes == 0)
+    throw std::invalid_argument("a world needs zones and nodes");
   // Each call holds five descriptors here: its caller's, two of each link, its server's.
   rlimit files{};
   if (getrlimit(RLIMIT_NOFILE, &files) == 0 && files.rlim_cur < files.rlim_max) {
     files.rlim_cur = files.rlim_max;
     setrlimit(RLIMIT_NOFILE, &files);
   }
-  network_ = std::make_unique<Network>(thread_.loop(), s_.seed);
+  network_ = std::make_unique<Network>(thread_.loop(), settings_.seed);
   discovery_ = std::make_unique<ScriptedDiscovery>(thread_.loop(), &recorder_);
   const auto add = [&](std::string name, Role role, const WorldZone& zone, std::size_t place) {
     members_.push_back({std::move(name), role, zone.name, zone.region});
     machines_.push_back(network_->machine());
-    place_.push_back(place);
+    role_index_.push_back(place);
     return members_.size() - 1;
   };
-  for (std::size_t i = 0; i < s_.nodes; ++i) {
-    node_members_.push_back(add("n" + std::to_string(i), Role::kNode, s_.zones[i % s_.zones.size()], i));
+  for (std::size_t i = 0; i < settings_.nodes; ++i) {
+    node_members_.push_back(
+        add("n" + std::to_string(i), Role::kNode, settings_.zones[i % settings_.zones.size()], i));
   }
-  for (std::size_t i = 0; i < s_.servers; ++i) {
-    server_members_.push_back(add("s" + std::to_string(i), Role::kServer, s_.zones[i % s_.zones.size()], i));
+  for (std::size_t i = 0; i < settings_.servers; ++i) {
+    server_members_.push_back(
+        add("s" + std::to_string(i), Role::kServer, settings_.zones[i % settings_.zones.size()], i));
   }
-  for (std::size_t i = 0; i < s_.zones.size(); ++i) {
-    caller_members_.push_back(add("callers-" + s_.zones[i].name, Role::kCallers, s_.zones[i], i));
+  for (std::size_t i = 0; i < settings_.zones.size(); ++i) {
+    caller_members_.push_back(
+        add("callers-" + settings_.zones[i].name, Role::kCallers, settings_.zones[i], i));
   }
-  discovery_member_ = add("discovery", Role::kDiscovery, s_.zones[0], 0);
+  discovery_member_ = add("discovery", Role::kDiscovery, settings_.zones[0], 0);
   members_.back().zone = members_.back().region = "";  // of no zone: lost with none
   for (std::size_t a = 0; a < members_.size(); ++a) {
     for (std::size_t b = 0; b < members_.size(); ++b) {
       if (a == b || members_[a].zone.empty() || members_[b].zone.empty()) continue;
       WayFaults far;
       if (members_[a].region != members_[b].region) {
-        far.delay = s_.between_regions;
+        far.delay = settings_.cross_region_delay;
       } else if (members_[a].zone != members_[b].zone) {
-        far.delay = s_.between_zones;
+        far.delay = settings_.cross_zone_delay;
       }
       if (far.delay > 0) network_->begin(machines_[a], machines_[b], far);
     }
   }
-  if (s_.peers) {
-    peer_port_ = address_of(datagrams_at({network_->ip(machines_[node_members_[0]]), 0}).get()).port;
-    for (std::size_t i = 0; i < s_.nodes; ++i) {
+  if (settings_.peers) {
+    peer_port_ = address_of(bind_udp({network_->ip(machines_[node_members_[0]]), 0}).get()).port;
+    for (std::size_t i = 0; i < settings_.nodes; ++i) {
       for (std::size_t j = 0; j < i; ++j) {
         network_->udp(machines_[node_members_[i]], peer_port_, machines_[node_members_[j]], peer_port_);
       }
     }
   }
-  if (s_.voters > 0) {
+  if (settings_.voters > 0) {
     // Held while the world lives: the kernel would give it to a node's own listener, which asks for any port.
-    for (std::size_t j = 0; j < s_.voters; ++j) {
+    for (std::size_t j = 0; j < settings_.voters; ++j) {
       voter_ports_.push_back(listen_on(Address{network_->ip(machines_[node_members_[j]]), voter_port_}, -1));
       voter_port_ = port_of(voter_ports_.back().get());
     }
-    for (std::size_t i = 0; i < s_.nodes; ++i) {
-      for (std::size_t j = 0; j < s_.voters; ++j) {
+    for (std::size_t i = 0; i < settings_.nodes; ++i) {
+      for (std::size_t j = 0; j < settings_.voters; ++j) {
         if (i != j) network_->tcp(machines_[node_members_[i]], machines_[node_members_[j]], voter_port_);
       }
     }
   }
-  nodes_.resize(s_.nodes);
-  node_ports_.resize(s_.nodes);
-  logs_.resize(s_.nodes);
-  meant_.resize(s_.nodes);
-  seen_.resize(s_.nodes);
-  for (std::size_t i = 0; i < s_.nodes; ++i) {
+  nodes_.resize(settings_.nodes);
+  node_ports_.resize(settings_.nodes);
+  logs_.resize(settings_.nodes);
+  stalled_on_purpose_.resize(settings_.nodes);
+  last_times_.resize(settings_.nodes);
+  for (std::size_t i = 0; i < settings_.nodes; ++i) {
     states_.push_back(std::make_unique<StateFolder>());
-    seams_.push_back(s_.seams.empty() ? nullptr : std::make_unique<Seams>(states_[i]->path()));
+    interposed_faults_.push_back(settings_.interpose_environment.empty()
+                                     ? nullptr
+                                     : std::make_unique<InterposedFaults>(states_[i]->path()));
   }
 }
 
@@ -102,23 +108,23 @@
   }
 }
 
-bool ProcessWorld::until(const std::function<bool()>& holds, double patience) {
-  for (const double from = now(); !holds();) {
-    if (now() - from > patience) return false;
-    std::this_thread::sleep_for(kStep);
+bool ProcessWorld::until(const std::function<bool()>& condition, double timeout) {
+  for (const double from = now(); !condition();) {
+    if (now() - from > timeout) return false;
+    std::this_thread::sleep_for(kPollInterval);
   }
   return true;
 }
 
 void ProcessWorld::start() {
-  const double from = began_ = now();
+  const double from = started_at_ = now();
   std::vector<Listing> listings;
-  for (std::size_t i = 0; i < s_.servers; ++i) {
+  for (std::size_t i = 0; i < settings_.servers; ++i) {
     const std::size_t member = server_members_[i];
-    ServerSettings settings = s_.server;
+    ServerSettings settings = settings_.server;
     settings.name = members_[member].name;
     settings.ip = network_->ip(machines_[member]);
-    settings.seed = s_.seed * 1000 + i;
+    settings.seed = settings_.seed * 1000 + i;
     settings.recorder = &recorder_;
     servers_.push_back(std::make_unique<ScriptedServer>(thread_.loop(), settings));
     Listing listing;
@@ -135,16 +141,17 @@
   });
   discovery_->set(listings);
   network_->look();
-  for (std::size_t i = 0; i < s_.voters && s_.before_voting; ++i) s_.before_voting(i, states_[i]->path());
-  for (std::size_t i = 0; i < s_.nodes; ++i) start_node(i);
-  for (std::size_t i = 0; i < s_.nodes; ++i) node_ports_[i] = nodes_[i]->port();
+  for (std::size_t i = 0; i < settings_.voters && settings_.prepare_voter; ++i)
+    settings_.prepare_voter(i, states_[i]->path());
+  for (std::size_t i = 0; i < settings_.nodes; ++i) start_node(i);
+  for (std::size_t i = 0; i < settings_.nodes; ++i) node_ports_[i] = nodes_[i]->port();
   for (const auto& node : nodes_) node->await_ready();
-  start_took_ = now() - from;
+  start_duration_ = now() - from;
 }
 
 NodeConfig ProcessWorld::config_of(std::size_t i) {
   const std::size_t member = node_members_[i];
-  NodeConfig config = s_.node;
+  NodeConfig config = settings_.node;
   config.name = members_[member].name;
   config.ip = network_->ip(machines_[member]);
   config.listen = node_ports_[i];
@@ -154,20 +161,20 @@
   network_->look();
   config.discovery_ip = discovery.ip;
   config.discovery = discovery.port;
-  config.peers = static_cast<int>(s_.nodes);
+  config.peers = static_cast<int>(settings_.nodes);
   config.position = static_cast<int>(i);
   config.zones.clear();
-  for (const WorldZone& zone : s_.zones) config.zones.push_back(zone.name);
-  config.zone = static_cast<int>(i % s_.zones.size());
+  for (const WorldZone& zone : settings_.zones) config.zones.push_back(zone.name);
+  config.zone = static_cast<int>(i % settings_.zones.size());
   char seed[17];
   std::snprintf(seed, sizeof seed, "%016llx",
-                static_cast<unsigned long long>(s_.seed * 7919 + i + lives_.size() * 104729));
+                static_cast<unsigned long long>(settings_.seed * 7919 + i + lifetimes_.size() * 104729));
   config.seed = seed;
-  if (s_.peers) {
+  if (settings_.peers) {
     const std::string port = ":" + std::to_string(peer_port_);
     config.peer_listen = config.ip + port;
-    for (std::size_t j = 0; j < s_.nodes; ++j) {
-      config.others.push_back(
+    for (std::size_t j = 0; j < settings_.nodes; ++j) {
+      config.peer_addresses.push_back(
           (j == i ? config.ip : network_->way(machines_[member], machines_[node_members_[j]])) + port);
     }
   }
@@ -175,14 +182,14 @@
 }
 
 ProcessOptions ProcessWorld::options_of(std::size_t i) {
-  ProcessOptions options = s_.process;
+  ProcessOptions options = settings_.process;
   options.environment.push_back("NETTLESTAND_STATE=" + states_[i]->path());
-  if (seams_[i]) {
-    options.environment.push_back(s_.seams);
-    options.environment.push_back(seams_[i]->environment());
+  if (interposed_faults_[i]) {
+    options.environment.push_back(settings_.interpose_environment);
+    options.environment.push_back(interposed_faults_[i]->environment());
   }
-  if (s_.logs) options.arguments = {"run", "--log-format", "json"};
-  if (s_.voters > 0) options.operator_file += duties_of(i);
+  if (settings_.logs) options.arguments = {"run", "--log-format", "json"};
+  if (settings_.voters > 0) options.operator_file += duties_of(i);
   const std::string here = "{state}";
   for (std::size_t at = 0; (at = options.operator_file.find(here, at)) != std::string::npos;) {
     options.operator_file.replace(at, here.size(), states_[i]->path());
@@ -195,9 +202,9 @@
   const auto own = [&](std::size_t j) { return network_->ip(machines_[node_members_[j]]); };
   const std::string port = ":" + std::to_string(voter_port_) + "\"\n";
   std::string out = "[duties]\n";
-  if (i < s_.voters) out += "listen = \"" + own(i) + port + "folder = \"{state}\"\n";
-  out += s_.duties;
-  for (std::size_t j = 0; j < s_.voters; ++j) {
+  if (i < settings_.voters) out += "listen = \"" + own(i) + port + "folder = \"{state}\"\n";
+  out += settings_.duties;
+  for (std::size_t j = 0; j < settings_.voters; ++j) {
     out += "[[voter]]\nname = \"" + members_[node_members_[j]].name + "\"\naddress = \"" +
            (i == j ? own(j) : network_->way(machines_[node_members_[i]], machines_[node_members_[j]])) + port;
   }
@@ -208,8 +215,8 @@
 // another process would start, and this one would be gone with no word of its death in the records.
 void ProcessWorld::start_node(std::size_t i) {
   if (nodes_[i]) return;
-  nodes_[i] = std::make_unique<NodeProcess>(s_.binary, config_of(i), options_of(i));
-  seen_[i] = {};
+  nodes_[i] = std::make_unique<NodeProcess>(settings_.binary, config_of(i), options_of(i));
+  last_times_[i] = {};
 }
 
 void ProcessWorld::end_node(std::size_t i, int signal) {
@@ -217,53 +224,53 @@
   nodes_[i]->resume();
   nodes_[i]->signal(signal);
   nodes_[i]->exit_code();
-  lives_.push_back(nodes_[i]->life());
+  lifetimes_.push_back(nodes_[i]->lifetime());
   logs_[i] += nodes_[i]->log();
   nodes_[i].reset();
   network_->look();
 }
 
-CheckerSettings ProcessWorld::checked() const {
+CheckerSettings ProcessWorld::checker_settings() const {
   CheckerSettings out;
-  for (const NodeClass& c : s_.node.classes) out.classes.push_back(standins::checked(c));
-  for (std::size_t i = 0; i < s_.servers; ++i) {
+  for (const NodeRequestClass& c : settings_.node.classes) out.classes.push_back(standins::checked_class(c));
+  for (std::size_t i = 0; i < settings_.servers; ++i) {
     out.servers.push_back(
         {"s" + std::to_string(i), members_[server_members_[i]].zone, static_cast<int>(i / 2)});
   }
   // The verdict must not hang on how busy the machine is.
   out.late_slack = 2.5;
-  out.crossing = 0.5;
+  out.answer_race_slack = 0.5;
   out.drain_slack = 0.5;
   out.window_slack = 0.5;
   return out;
 }
 
 void ProcessWorld::after(double seconds, std::function<void()> f) {
-  due_.emplace(now() + seconds, std::move(f));
+  scheduled_.emplace(now() + seconds, std::move(f));
 }
 
 void ProcessWorld::play(const std::string& script, double seconds) {
-  const std::vector<WorldFault> faults = read_world_script(script, members_);
+  const std::vector<WorldFault> faults = parse_world_script(script, members_);
   for (const WorldFault& fault : faults) {
-    if (needs_seams(fault) && s_.seams.empty()) {
+    if (needs_interposed_faults(fault) && settings_.interpose_environment.empty()) {
       throw ScriptError("line " + std::to_string(fault.line) + ": '" + fault.verb +
                         "' needs a world with seams");
     }
   }
   const double from = now();
   double traffic = 0;
-  for (const WorldZone& zone : s_.zones) traffic += zone.traffic;
+  for (const WorldZone& zone : settings_.zones) traffic += zone.traffic;
   loads_.clear();
-  for (std::size_t z = 0; z < s_.zones.size(); ++z) {
-    LoadSettings settings = s_.load;
+  for (std::size_t z = 0; z < settings_.zones.size(); ++z) {
+    LoadSettings settings = settings_.load;
     settings.seconds = seconds;
     settings.recorder = &recorder_;
-    settings.seed = s_.seed * 100 + z;
+    settings.seed = settings_.seed * 100 + z;
     settings.patience = std::max(settings.patience, 2.7);
-    settings.rate *= s_.zones[z].traffic / traffic;
+    settings.rate *= settings_.zones[z].traffic / traffic;
     settings.targets.clear();
-    for (std::size_t i = 0; i < s_.nodes; ++i) {
-      if (s_.nodes >= s_.zones.size() && i % s_.zones.size() != z) continue;
+    for (std::size_t i = 0; i < settings_.nodes; ++i) {
+      if (settings_.nodes >= settings_.zones.size() && i % settings_.zones.size() != z) continue;
       const Address at =
           network_->tcp(machines_[caller_members_[z]], machines_[node_members_[i]], node_ports_[i]);
       settings.targets.push_back({"n" + std::to_string(i), at.port, at.ip});
@@ -271,68 +278,68 @@
     loads_.push_back(std::make_unique<LoadClient>(thread_.loop(), settings));
   }
   network_->look();
-  due_.clear();
+  scheduled_.clear();
   for (const WorldFault& fault : faults) {
-    due_.emplace(from + fault.at, [this, fault] { begin(fault); });
+    scheduled_.emplace(from + fault.at, [this, fault] { begin(fault); });
   }
   std::atomic<std::size_t> ended = 0;
   for (const auto& load : loads_) load->start([&ended] { ++ended; });
-  next_look_ = now() + kLookEvery;
-  const LoopBeat beat(thread_.loop());
-  const MachineWaits before = MachineWaits::now();
-  while (ended < loads_.size() || (!due_.empty() && due_.begin()->first < from + seconds + 1)) {
-    while (!due_.empty() && due_.begin()->first <= now()) {
-      const auto f = std::move(due_.begin()->second);
-      due_.erase(due_.begin());
+  next_starvation_check_ = now() + kStarvationCheckIntervalSeconds;
+  const LoopDelayMonitor beat(thread_.loop());
+  const HostStalls before = HostStalls::now();
+  while (ended < loads_.size() || (!scheduled_.empty() && scheduled_.begin()->first < from + seconds + 1)) {
+    while (!scheduled_.empty() && scheduled_.begin()->first <= now()) {
+      const auto f = std::move(scheduled_.begin()->second);
+      scheduled_.erase(scheduled_.begin());
       f();
     }
-    if (now() >= next_look_) watch_starvation();
-    std::this_thread::sleep_for(kStep);
+    if (now() >= next_starvation_check_) check_starvation();
+    std::this_thread::sleep_for(kPollInterval);
   }
   // What was to end later ends now: the world is well again.
-  ending_ = true;
-  while (!due_.empty()) {
-    const auto f = std::move(due_.begin()->second);
-    due_.erase(due_.begin());
+  ending_faults_ = true;
+  while (!scheduled_.empty()) {
+    const auto f = std::move(scheduled_.begin()->second);
+    scheduled_.erase(scheduled_.begin());
     f();
   }
-  ending_ = false;
-  starvation_.count_loop(beat.most_late());
-  starvation_.machine = MachineWaits::now().since(before);
+  ending_faults_ = false;
+  starvation_.record_loop_delay(beat.max_delay());
+  starvation_.machine = HostStalls::now().since(before);
 }
 
-void ProcessWorld::watch_starvation() {
-  next_look_ = now() + kLookEvery;
+void ProcessWorld::check_starvation() {
+  next_starvation_check_ = now() + kStarvationCheckIntervalSeconds;
   for (std::size_t i = 0; i < nodes_.size(); ++i) {
     if (!nodes_[i]) continue;
     const ProcessTimes times = nodes_[i]->times();
-    const double waited = times.waited - seen_[i].waited;
-    seen_[i] = times;
-    if (meant_[i] || waited <= starvation_.most) continue;
-    starvation_.most = waited;
-    starvation_.whose = "n" + std::to_string(i);
-    starvation_.is_void = starvation_.is_void || waited > kMostWaited;
+    const double waited = times.cpu_wait_seconds - last_times_[i].cpu_wait_seconds;
+    last_times_[i] = times;
+    if (stalled_on_purpose_[i] || waited <= starvation_.max_cpu_wait) continue;
+    starvation_.max_cpu_wait = waited;
+    starvation_.process = "n" + std::to_string(i);
+    starvation_.is_invalid = starvation_.is_invalid || waited > kMaxCpuWaitSeconds;
   }
 }
 
-void Starvation::count_loop(double late) {
-  if (late <= kMostLate || late <= loop_late) return;
-  loop_late = late;
-  is_void = true;
-  if (whose.empty()) whose = "the stand-ins' loop";
+void Starvation::record_loop_delay(double late) {
+  if (late <= kMaxLoopDelaySeconds || late <= max_loop_delay) return;
+  max_loop_delay = late;
+  is_invalid = true;
+  if (process.empty()) process = "the stand-ins' loop";
 }
 
 void ProcessWorld::note(const WorldFault& fault, const char* kind) {
   std::string what = fault.verb == "server" ? to_text(fault.server) : fault.verb;
-  for (const double figure : fault.figures) what += " " + std::to_string(figure).substr(0, 6);
+  for (const double figure : fault.arguments) what += " " + std::to_string(figure).substr(0, 6);
   std::string who = members_[fault.who].name;
-  if (fault.to != WorldFault::kNobody) who += " -> " + members_[fault.to].name;
-  happened_.push_back({now(), who, kind, what, {{"line", std::to_string(fault.line)}}});
+  if (fault.to != WorldFault::kNoMember) who += " -> " + members_[fault.to].name;
+  events_.push_back({now(), who, kind, what, {{"line", std::to_string(fault.line)}}});
 }
 
 void ProcessWorld::begin(const WorldFault& fault) {
   note(fault, "fault");
-  if (fault.to != WorldFault::kNobody) return begin_way(fault);
+  if (fault.to != WorldFault::kNoMember) return begin_way(fault);
   switch (members_[fault.who].role) {
     case Role::kNode:
       return begin_node(fault);
@@ -346,26 +353,26 @@
 }
 
 void ProcessWorld::begin_node(const WorldFault& fault) {
-  const std::size_t i = place_[fault.who];
+  const std::size_t i = role_index_[fault.who];
   const auto end = [this, fault](std::function<void()> f) {
-    if (fault.lasts == kForever) return;
-    after(fault.lasts, [this, fault, f = std::move(f)] {
+    if (fault.duration == kForever) return;
+    after(fault.duration, [this, fault, f = std::move(f)] {
       note(fault, "fault-end");
       f();
     });
   };
   if (fault.verb == "pause") {
     if (!nodes_[i]) return;
-    meant_[i] = true;
+    stalled_on_purpose_[i] = true;
     nodes_[i]->pause();
     end([this, i] {
       if (nodes_[i]) nodes_[i]->resume();
-      meant_[i] = false;
+      stalled_on_purpose_[i] = false;
     });
   } else if (fault.verb == "starve") {
-    meant_[i] = true;
+    stalled_on_purpose_[i] = true;
     end([] {});
-    const double until = now() + fault.lasts, share = fault.figures[0];
+    const double until = now() + fault.duration, share = fault.arguments[0];
     starve(i, until, share);
   } else if (fault.verb == "kill" || fault.verb == "restart") {
     end_node(i, SIGKILL);
@@ -378,60 +385,60 @@
     states_[i]->save();
   } else if (fault.verb == "forget" || fault.verb == "roll-back") {
     end_node(i, SIGKILL);
-    fault.verb == "forget" ? states_[i]->lose() : states_[i]->roll_back();
+    fault.verb == "forget" ? states_[i]->clear() : states_[i]->roll_back();
     start_node(i);
-  } else if (needs_seams(fault)) {
-    SeamSettings& seam = seams_[i]->settings();
-    if (fault.verb == "clock") seam.wall_offset = fault.figures[0];
-    if (fault.verb == "disk-slow") seam.disk_delay_us = static_cast<std::int64_t>(fault.figures[0] * 1e6);
-    if (fault.verb == "disk-full") seam.disk_left = static_cast<std::int64_t>(fault.figures[0]);
-    if (fault.verb == "disk-torn") seam.torn = true;
+  } else if (needs_interposed_faults(fault)) {
+    InterposedFaultSettings& faults = interposed_faults_[i]->settings();
+    if (fault.verb == "clock") faults.wall_clock_offset = fault.arguments[0];
+    if (fault.verb == "disk-slow") faults.disk_delay_us = static_cast<std::int64_t>(fault.arguments[0] * 1e6);
+    if (fault.verb == "disk-full") faults.disk_bytes_left = static_cast<std::int64_t>(fault.arguments[0]);
+    if (fault.verb == "disk-torn") faults.torn_write = true;
     end([this, i, verb = fault.verb] {
-      SeamSettings& well = seams_[i]->settings();
-      if (verb == "clock") well.wall_offset = 0;
-      if (verb == "disk-slow") well.disk_delay_us = 0;
-      if (verb == "disk-full") well.disk_left = -1;
-      if (verb == "disk-torn") well.torn = false;
+      InterposedFaultSettings& restored = interposed_faults_[i]->settings();
+      if (verb == "clock") restored.wall_clock_offset = 0;
+      if (verb == "disk-slow") restored.disk_delay_us = 0;
+      if (verb == "disk-full") restored.disk_bytes_left = -1;
+      if (verb == "disk-torn") restored.torn_write = false;
     });
   } else if (fault.verb == "term") {
     if (!nodes_[i]) return;
     nodes_[i]->signal(SIGTERM);
-    after(kLookForEnd, [this, i, back_at = now() + fault.lasts] { await_end(i, back_at); });
+    after(kExitPollIntervalSeconds, [this, i, back_at = now() + fault.duration] { poll_exit(i, back_at); });
   }
 }
 
 // One turn of a process that runs for a part of the time, and then the next.
 void ProcessWorld::starve(std::size_t i, double until, double share) {
   if (!nodes_[i]) return;
-  if (ending_ || now() >= until) {
-    meant_[i] = false;
+  if (ending_faults_ || now() >= until) {
+    stalled_on_purpose_[i] = false;
     return;
   }
   nodes_[i]->pause();
-  after(kTurn * (1 - share), [this, i, until, share] {
+  after(kStarvePeriodSeconds * (1 - share), [this, i, until, share] {
     if (nodes_[i]) nodes_[i]->resume();
-    after(kTurn * share, [this, i, until, share] { starve(i, until, share); });
+    after(kStarvePeriodSeconds * share, [this, i, until, share] { starve(i, until, share); });
   });
 }
 
 // A node's end after SIGTERM is awaited in looks, so that the script goes on meanwhile.
-void ProcessWorld::await_end(std::size_t i, double back_at) {
-  if (nodes_[i] && ending_) nodes_[i]->exit_code();
+void ProcessWorld::poll_exit(std::size_t i, double back_at) {
+  if (nodes_[i] && ending_faults_) nodes_[i]->exit_code();
   if (nodes_[i] && nodes_[i]->running()) {
-    return after(kLookForEnd, [this, i, back_at] { await_end(i, back_at); });
+    return after(kExitPollIntervalSeconds, [this, i, back_at] { poll_exit(i, back_at); });
   }
   end_node(i, SIGKILL);
   if (back_at < kForever) after(std::max(0.0, back_at - now()), [this, i] { start_node(i); });
 }
 
 void ProcessWorld::begin_server(const WorldFault& fault) {
-  ScriptedServer& server = *servers_[place_[fault.who]];
+  ScriptedServer& server = *servers_[role_index_[fault.who]];
   if (fault.verb == "server") {
     Fault one = fault.server;
     one.at = 0;
     server.begin(one);
     network_->look();
-    if (fault.lasts != kForever) after(fault.lasts, [this, fault] { note(fault, "fault-end"); });
+    if (fault.duration != kForever) after(fault.duration, [this, fault] { note(fault, "fault-end"); });
     return;
   }
   const auto list = [this, name = members_[fault.who].name, &server](const std::string& health, bool cold) {
@@ -447,7 +454,7 @@
     for (std::size_t m : server_members_) {
       if (members_[m].name == name) {
         listing.site = members_[m].zone;
-        listing.block = static_cast<int>(place_[m] / 2);
+        listing.block = static_cast<int>(role_index_[m] / 2);
       }
     }
     listing.health = health;
@@ -456,38 +463,38 @@
   };
   if (fault.verb == "back") {
     server.well();
-    if (s_.node.ramp_time > 0) {
+    if (settings_.node.ramp_time > 0) {
       Fault cold;
       cold.verb = Verb::kCold;
-      cold.a = s_.node.start_capacity;
-      cold.b = s_.node.ramp_time;
-      cold.c = kTipMultiple;
+      cold.a = settings_.node.start_capacity;
+      cold.b = settings_.node.ramp_time;
+      cold.c = kOverloadFactor;
       server.begin(cold);
     }
     network_->look();
     return list("active", true);
   }
   list(fault.verb == "leaving" ? "leaving" : "left", false);
-  if (fault.lasts != kForever) {
+  if (fault.duration != kForever) {
     WorldFault back = fault;
     back.verb = "back";
-    back.lasts = kForever;
-    after(fault.lasts, [this, back] { begin(back); });
+    back.duration = kForever;
+    after(fault.duration, [this, back] { begin(back); });
   }
 }
 
 void ProcessWorld::begin_discovery(const WorldFault& fault) {
   using Mode = ScriptedDiscovery::Mode;
   if (fault.verb == "lag") {
-    discovery_->lag(fault.figures[0]);
+    discovery_->lag(fault.arguments[0]);
   } else {
     discovery_->mode(fault.verb == "refuse"        ? Mode::kRefuse
                      : fault.verb == "unavailable" ? Mode::kUnavailable
                                                    : Mode::kSilent);
   }
   network_->look();
-  if (fault.lasts == kForever) return;
-  after(fault.lasts, [this, fault] {
+  if (fault.duration == kForever) return;
+  after(fault.duration, [this, fault] {
     note(fault, "fault-end");
     if (fault.verb == "lag") {
       discovery_->lag(0);
@@ -503,7 +510,7 @@
   if (fault.verb == "reset") return network_->reset(from, to);
   if (fault.verb == "half-open") return network_->half_open(from, to);
   WayFaults f;
-  const auto figure = [&](std::size_t i) { return i < fault.figures.size() ? fault.figures[i] : 0; };
+  const auto figure = [&](std::size_t i) { return i < fault.arguments.size() ? fault.arguments[i] : 0; };
   if (fault.verb == "cut") f.cut = true;
   if (fault.verb == "loss") {
     f.loss = figure(0);
@@ -518,29 +525,30 @@
   if (fault.verb == "corrupt") f.corrupt = figure(0);
   if (fault.verb == "band") f.bandwidth = figure(0);
   const std::uint64_t id = network_->begin(from, to, f);
-  if (fault.lasts == kForever) return;
-  after(fault.lasts, [this, id, fault] {
+  if (fault.duration == kForever) return;
+  after(fault.duration, [this, id, fault] {
     note(fault, "fault-end");
     network_->end(id);
   });
 }
 
-Timeline ProcessWorld::finish(bool gently) {
+Timeline ProcessWorld::finish(bool graceful) {
   loads_.clear();
-  if (gently) {
+  if (graceful) {
     for (const auto& node : nodes_) {
       if (node) node->signal(SIGTERM);
     }
   }
   Timeline out;
   for (std::size_t i = 0; i < nodes_.size(); ++i) {
-    if (gently && nodes_[i]) nodes_[i]->exit_code();
+    if (graceful && nodes_[i]) nodes_[i]->exit_code();
     end_node(i, SIGKILL);
   }
-  out.began = began_;
+  out.began = started_at_;
   out.ended = now();
   out.members = members_;
-  out.evidence = {recorder_.calls(), recorder_.attempts(), recorder_.told(), recorder_.fallen(), lives_};
+  out.evidence = {recorder_.calls(), recorder_.attempts(), recorder_.list_changes(), recorder_.overloads(),
+                  lifetimes_};
   // When a node sent it, and not when a way that was cut let it through.
   std::map<int, std::vector<Network::Held>> held;  // by port
   for (const Network::Held& one : network_->held()) held[one.source_port].push_back(one);
@@ -557,23 +565,25 @@
       }
     }
   }
-  out.entries = happened_;
+  out.entries = events_;
   for (std::size_t i = 0; i < logs_.size(); ++i) add_log(out, "n" + std::to_string(i), logs_[i]);
   add_records(out);
   sort(out);
   return out;
 }
 
-std::string play_unstarved(int tries, bool& is_void, const std::function<std::string(Starvation&)>& play) {
+std::string run_until_valid(int tries, bool& is_invalid,
+                            const std::function<std::string(Starvation&)>& play) {
   std::string complaint;
   for (int i = 0; i < tries; ++i) {
     Starvation starvation;
     complaint = play(starvation);
-    is_void = starvation.is_void;
-    if (!is_void) return complaint;
-    std::fprintf(
-        stderr, "void: %s; waited %.2f s of a second for a core, the stand-ins' loop late by %.2f s; %s\n",
-        starvation.whose.c_str(), starvation.most, starvation.loop_late, starvation.machine.text().c_str());
+    is_invalid = starvation.is_invalid;
+    if (!is_invalid) return complaint;
+    std::fprintf(stderr,
+                 "void: %s; waited %.2f s of a second for a core, the stand-ins' loop late by %.2f s; %s\n",
+                 starvation.process.c_str(), starvation.max_cpu_wait, starvation.max_loop_delay,
+                 starvation.machine.text().c_str());
   }
   return complaint;
 }
--- a/standins/world/world.h
+++ b/standins/world/world.h
@@ -13,10 +13,10 @@
 #include "standins/callers/load.h"
 #include "standins/common/loop.h"
 #include "standins/discovery/discovery.h"
+#include "standins/interposition/interposed_faults.h"
 #include "standins/links/network.h"
-#include "standins/seams/control.h"
 #include "standins/servers/server.h"
-#include "standins/world/lateness.h"
+#include "standins/world/host_load.h"
 #include "standins/world/node_process.h"
 #include "standins/world/timeline.h"
 
@@ -31,11 +31,11 @@
   std::string binary;  // the node's file
   std::uint64_t seed = 1;
   std::vector<WorldZone> zones = {WorldZone{}};
-  double between_zones = 0, between_regions = 0;  // s, one way
-  std::size_t nodes = 3, servers = 3;             // dealt out among the zones in turn
-  ServerSettings server;                          // names, addresses and seeds are the world's
-  NodeConfig node;                                // likewise; tells classes, tenants, limits
-  LoadSettings load;                              // rate: over all zones
+  double cross_zone_delay = 0, cross_region_delay = 0;  // s, one way
+  std::size_t nodes = 3, servers = 3;                   // dealt out among the zones in turn
+  ServerSettings server;                                // names, addresses and seeds are the world's
+  NodeConfig node;                                      // likewise; tells classes, tenants, limits
+  LoadSettings load;                                    // rate: over all zones
   ProcessOptions process;
   // Nodes may speak to each other: each has a socket for it, and all ways between them lead through links.
   bool peers = false;
@@ -44,24 +44,25 @@
   std::size_t voters = 0;
   std::string duties;  // more lines of [duties] in all nodes' files, and sections behind it
   // Called for each voter before its first start, with its state folder: makes what it votes with.
-  std::function<void(std::size_t node, const std::string& folder)> before_voting;
-  bool logs = true;  // nodes log in JSON, for the timeline
-  std::string
-      seams;  // the assignment of the environment that puts the seams before a node, from the tests; or empty
+  std::function<void(std::size_t node, const std::string& folder)> prepare_voter;
+  bool logs = true;                   // nodes log in JSON, for the timeline
+  std::string interpose_environment;  // the assignment of the environment that puts the seams before a node,
+                                      // from the tests; or empty
 };
 
 // What a world took of the machine. Where nodes were kept waiting for a core for longer than they may,
 // nothing that was timed in the run means anything: it is void, and played again.
 struct Starvation {
-  double most = 0;       // s in one second that a process waited for a core, with no script that wanted it so
-  std::string whose;     // which
-  double loop_late = 0;  // s that the stand-ins' own loop was late at the most, where that was too much
-  MachineWaits machine;  // meanwhile
-  bool is_void = false;
+  double max_cpu_wait =
+      0;                // s in one second that a process waited for a core, with no script that wanted it so
+  std::string process;  // which
+  double max_loop_delay = 0;  // s that the stand-ins' own loop was late at the most, where that was too much
+  HostStalls machine;         // meanwhile
+  bool is_invalid = false;
 
   // Counts how late the stand-ins' loop was: they are a part of the measure, and what their lateness does to
   // calls and to nodes' words is no fault of the nodes'.
-  void count_loop(double late);
+  void record_loop_delay(double late);
 };
 
 // Not for two threads at once.
@@ -79,7 +80,7 @@
   // ScriptError before anything begins.
   void play(const std::string& script, double seconds);
   // Ends the nodes, with SIGTERM first where `gently`, and gathers what all of them saw.
-  Timeline finish(bool gently = false);
+  Timeline finish(bool graceful = false);
 
   const std::vector<Member>& members() const { return members_; }
   Network& network() { return *network_; }
@@ -99,17 +100,17 @@
   int voter_port() const { return voter_port_; }
   // What has happened so far by script, and what a test wants on the timeline.
   void note(const std::string& who, const std::string& kind, const std::string& what) {
-    happened_.push_back({now(), who, kind, what, {}});
+    events_.push_back({now(), who, kind, what, {}});
   }
   int machine(std::size_t member) const { return machines_[member]; }
   // What a node keeps; its process finds it in NETTLESTAND_STATE.
   StateFolder& state(std::size_t i) { return *states_[i]; }
   const Starvation& starvation() const { return starvation_; }
-  double seconds_to_start() const { return start_took_; }
+  double seconds_to_start() const { return start_duration_; }
   // Waits, in a loop of looks, until it holds; false after `patience` s.
-  static bool until(const std::function<bool()>& holds, double patience = 20);
+  static bool until(const std::function<bool()>& condition, double timeout = 20);
   // For the checker: classes and servers as this world has them.
-  CheckerSettings checked() const;
+  CheckerSettings checker_settings() const;
 
  private:
   void begin(const WorldFault& fault);
@@ -118,45 +119,45 @@
   void begin_discovery(const WorldFault& fault);
   void begin_way(const WorldFault& fault);
   void starve(std::size_t i, double until, double share);
-  void await_end(std::size_t i, double back_at);
+  void poll_exit(std::size_t i, double back_at);
   void after(double seconds, std::function<void()> f);
   void note(const WorldFault& fault, const char* kind);
   std::string duties_of(std::size_t i);
-  void watch_starvation();
+  void check_starvation();
 
-  WorldSettings s_;
+  WorldSettings settings_;
   LoopThread thread_;
   std::unique_ptr<Network> network_;
   Recorder recorder_;
   std::unique_ptr<ScriptedDiscovery> discovery_;
   std::vector<Member> members_;
-  std::vector<int> machines_;       // of the network, by member
-  std::vector<std::size_t> place_;  // among the nodes or servers, by member
+  std::vector<int> machines_;            // of the network, by member
+  std::vector<std::size_t> role_index_;  // among the nodes or servers, by member
   std::vector<std::size_t> node_members_, server_members_, caller_members_;
   std::size_t discovery_member_ = 0;
   std::vector<std::unique_ptr<ScriptedServer>> servers_;
   std::vector<std::unique_ptr<NodeProcess>> nodes_;
   std::vector<std::unique_ptr<StateFolder>> states_;
-  std::vector<std::unique_ptr<Seams>> seams_;  // by node, where there are any
+  std::vector<std::unique_ptr<InterposedFaults>> interposed_faults_;  // by node, where there are any
   std::vector<int> node_ports_;
-  std::vector<std::string> logs_;  // of node processes that are gone, by node
-  std::vector<bool> meant_;        // paused or starved on purpose, by node
-  std::vector<NodeLife> lives_;
+  std::vector<std::string> logs_;         // of node processes that are gone, by node
+  std::vector<bool> stalled_on_purpose_;  // paused or starved on purpose, by node
+  std::vector<ProcessLifetime> lifetimes_;
   std::vector<std::unique_ptr<LoadClient>> loads_;
-  std::vector<TimelineEntry> happened_;
-  std::vector<ProcessTimes> seen_;
-  std::multimap<double, std::function<void()>> due_;  // what this thread is to do, and when
+  std::vector<TimelineEntry> events_;
+  std::vector<ProcessTimes> last_times_;
+  std::multimap<double, std::function<void()>> scheduled_;  // what this thread is to do, and when
   Starvation starvation_;
-  double began_ = 0, start_took_ = 0, next_look_ = 0;
+  double started_at_ = 0, start_duration_ = 0, next_starvation_check_ = 0;
   int peer_port_ = 0;   // of all nodes' sockets for each other
   int voter_port_ = 0;  // where voters listen
   std::vector<Fd> voter_ports_;
-  bool ending_ = false;  // what was to come ends now
+  bool ending_faults_ = false;  // what was to come ends now
 };
 
 // Plays a world until a run is not void, `tries` times at most, and says so on standard error. Returns what
 // `play` made of the last run; `is_void` tells of that one. A run that complains is played again only where
 // it was void.
-std::string play_unstarved(int tries, bool& is_void, const std::function<std::string(Starvation&)>& play);
+std::string run_until_valid(int tries, bool& is_invalid, const std::function<std::string(Starvation&)>& play);
 
 }  // namespace nettlestand::standins
--- a/tests/duties/process_setup.h
+++ b/tests/duties/process_setup.h
@@ -61,7 +61,7 @@
           (program_mode.empty() ? "" : ", \"" + program_mode + "\"") + "]\n" + extra_duty_settings;
     }
     settings.duties += extra_sections;
-    settings.before_voting = [](std::size_t i, const std::string& folder) {
+    settings.prepare_voter = [](std::size_t i, const std::string& folder) {
       duties::SqliteStore::create(folder);
       if (i != 0) return;
       duties::SqliteStore store(folder);
--- a/tests/duties/processes_test.cpp
+++ b/tests/duties/processes_test.cpp
@@ -31,7 +31,7 @@
         count(count),
         voters(voters) {
 #ifdef SEAMS
-    if (seams) setup.settings.seams = std::string("LD_PRELOAD=") + SEAMS;
+    if (seams) setup.settings.interpose_environment = std::string("LD_PRELOAD=") + SEAMS;
 #else
     static_cast<void>(seams);
 #endif
@@ -146,28 +146,29 @@
       {"fully", "% <-> nodes: cut for 3"},
       {"it can send and not receive", "nodes -> %: cut for 3"},
       {"it can receive and not send", "% -> nodes: cut for 3"}};
-  EXPECT_EQ(each(static_cast<int>(cuts.size()), 3,
-                 [&](int i) -> std::string {
-                   RunningDuties running(5, 3, 1);
-                   // The holder is a node without a voter, so that the cut leaves the voters alone.
-                   std::size_t before = running.holder("d0");
-                   if (before < 3) {
-                     run_control_command(*running.world, 4, "duties pass d0 n3");
-                     if (!ProcessWorld::until([&] { return running.holder("d0") == 3; }))
-                       return "the duty was not handed over\n";
-                     before = 3;
-                   }
-                   const std::uint64_t token = held_tokens(*running.world, before)["d0"];
-                   std::string script = "at 0.1 " + cuts[static_cast<std::size_t>(i)].second;
-                   script.replace(script.find('%'), 1, node_name(before));
-                   running.world->play(script, 4);
-                   if (running.highest_token() <= token)
-                     return std::string(cuts[static_cast<std::size_t>(i)].first) +
-                            ": no other node became the holder\n";
-                   std::string out = duty_violations(running.setup, running.world->finish());
-                   return out.empty() ? ""
+  EXPECT_EQ(run_parallel(static_cast<int>(cuts.size()), 3,
+                         [&](int i) -> std::string {
+                           RunningDuties running(5, 3, 1);
+                           // The holder is a node without a voter, so that the cut leaves the voters alone.
+                           std::size_t before = running.holder("d0");
+                           if (before < 3) {
+                             run_control_command(*running.world, 4, "duties pass d0 n3");
+                             if (!ProcessWorld::until([&] { return running.holder("d0") == 3; }))
+                               return "the duty was not handed over\n";
+                             before = 3;
+                           }
+                           const std::uint64_t token = held_tokens(*running.world, before)["d0"];
+                           std::string script = "at 0.1 " + cuts[static_cast<std::size_t>(i)].second;
+                           script.replace(script.find('%'), 1, node_name(before));
+                           running.world->play(script, 4);
+                           if (running.highest_token() <= token)
+                             return std::string(cuts[static_cast<std::size_t>(i)].first) +
+                                    ": no other node became the holder\n";
+                           std::string out = duty_violations(running.setup, running.world->finish());
+                           return out.empty()
+                                      ? ""
                                       : std::string(cuts[static_cast<std::size_t>(i)].first) + ": " + out;
-                 }),
+                         }),
             "");
 }
 
@@ -211,7 +212,7 @@
     served += c.status == 200 ? 1 : 0;
   }
   EXPECT_GT(served, asked * 6 / 10);
-  EXPECT_EQ(broken_rules(four_rules(running.world->checked()), timeline), "");
+  EXPECT_EQ(describe_violations(request_rules(running.world->checker_settings()), timeline), "");
 }
 
 TEST(DutiesProcesses, AVoterThatSeesNobodyDeposesNobody) {
@@ -232,7 +233,7 @@
   RunningDuties running(4, 3, 1);
   const std::size_t lost = (node_index(running.leader(0)) + 1) % 3, asked = (lost + 1) % 3;
   running.world->end_node(lost, SIGKILL);
-  running.world->state(lost).lose();
+  running.world->state(lost).clear();
   running.world->start_node(lost);
   running.world->node(lost).await_ready();  // it serves requests but does not vote
   ASSERT_EVENTUALLY(running.world->node(lost).log().find("voter_off") != std::string::npos);
@@ -387,7 +388,7 @@
   ASSERT_EVENTUALLY(running.all_have_effects(now() - 0.5));
   const Timeline timeline = running.world->finish();
   EXPECT_EQ(duty_violations(running.setup, timeline, 2 * kLeaseSeconds + 2, from, now()), "");
-  EXPECT_EQ(broken_rules(four_rules(running.world->checked()), timeline), "");
+  EXPECT_EQ(describe_violations(request_rules(running.world->checker_settings()), timeline), "");
   std::size_t served = 0;
   for (const CallRecord& c : timeline.evidence.calls) served += c.status == 200 ? 1 : 0;
   EXPECT_GT(served, timeline.evidence.calls.size() * 95 / 100);
@@ -524,10 +525,10 @@
 // Runs one random script and returns the violations with the timeline. A run that the machine starved of CPU
 // three times is void: it is counted and gives no verdict.
 std::string run_random_script(std::uint64_t seed, std::atomic<int>& void_runs) {
-  bool is_void = false;
+  bool is_invalid = false;
   const std::size_t nodes = seed % 4 == 0 ? 15 : 7, voters = seed % 4 == 0 ? 5 : 3;
   const std::string script = random_script(seed, nodes, voters);
-  const std::string out = play_unstarved(3, is_void, [&](Starvation& starvation) -> std::string {
+  const std::string out = run_until_valid(3, is_invalid, [&](Starvation& starvation) -> std::string {
     RunningDuties running(nodes, voters, 2);
     running.world->play(script, 6);
     const double well = now();
@@ -538,7 +539,7 @@
     const Timeline timeline = running.world->finish();
     starvation = running.world->starvation();
     std::string found = duty_violations(running.setup, timeline) +
-                        broken_rules(four_rules(running.world->checked()), timeline);
+                        describe_violations(request_rules(running.world->checker_settings()), timeline);
     if (!again) found += "not all duties have an effect 6 s after the faults ended\n" + reply;
     if (found.empty()) return "";
     const auto of_duties = [](const TimelineEntry& e) {
@@ -549,8 +550,8 @@
            timeline.text(of_duties).substr(0, std::getenv("NETTLESTAND_LONG") != nullptr ? 1000000 : 3000) +
            "\n";
   });
-  if (is_void) ++void_runs;
-  return is_void ? "" : out;
+  if (is_invalid) ++void_runs;
+  return is_invalid ? "" : out;
 }
 
 class DutiesScripts : public ::testing::TestWithParam<int> {};
@@ -563,7 +564,7 @@
   const auto seed = [&](int i) {
     return one != nullptr ? std::stoull(one) : static_cast<std::uint64_t>(GetParam() * worlds + i + 1);
   };
-  EXPECT_EQ(each(worlds, 5, [&](int i) { return run_random_script(seed(i), void_runs); }), "");
+  EXPECT_EQ(run_parallel(worlds, 5, [&](int i) { return run_random_script(seed(i), void_runs); }), "");
   if (void_runs == worlds)
     GTEST_SKIP() << "every script was void three times: the machine is too busy for a verdict";
 }
--- a/tests/faults/availability_test.cpp
+++ b/tests/faults/availability_test.cpp
@@ -15,7 +15,7 @@
 std::string three_good_ten_refusing(int stage) {
   std::mutex mutex;
   std::map<std::string, LoadCounts> sum;
-  std::string out = each(4, 4, [&](int i) {
+  std::string out = run_parallel(4, 4, [&](int i) {
     World w;
     w.config.stage = stage;
     w.config.seed = hex(static_cast<std::uint64_t>(i) + 1);
@@ -56,7 +56,7 @@
 std::string closed_loop(int callers) {
   World w;
   w.config.stage = 0;
-  for (NodeClass& c : w.config.classes) {
+  for (NodeRequestClass& c : w.config.classes) {
     c.aim = 2;
     c.give_up = 5;
   }
@@ -80,41 +80,41 @@
 }
 
 TEST(Concurrency, HealthyTrafficIsServedAsItGrows) {
-  EXPECT_EQ(each(2, 1, [](int i) { return closed_loop(i == 0 ? 64 : 256); }), "");
+  EXPECT_EQ(run_parallel(2, 1, [](int i) { return closed_loop(i == 0 ? 64 : 256); }), "");
 }
 
 // A server that refused and is back gets its share again.
 TEST(Refusing, AServerThatIsBackGetsItsShare) {
-  EXPECT_EQ(each(2, 2,
-                 [](int stage) -> std::string {
-                   World w;
-                   w.config.stage = stage;
-                   ServerSettings settings;
-                   settings.service = 0.005;
-                   for (int i = 0; i < 4; ++i) w.add(settings);
-                   w.servers[0]->run("refuse for 2");
-                   w.start();
-                   LoadSettings load = w.calls(2);
-                   load.rate = 200;
-                   load.seconds = 8;
-                   w.load(load);
-                   // Of the last second's calls, at least half of a fair part: the server has been back for 5
-                   // s then.
-                   const std::vector<AttemptRecord> attempts = w.recorder.attempts();
-                   const double end = attempts.back().first_byte_at;
-                   double all = 0, back = 0;
-                   for (const AttemptRecord& a : attempts) {
-                     if (a.first_byte_at < end - 1) continue;
-                     all += 1;
-                     back += a.server == "s0" ? 1 : 0;
-                   }
-                   std::string out = w.complaints();
-                   if (back < all / 8) {
-                     out += "stage " + std::to_string(stage) + ": " + std::to_string(back) + " of " +
-                            std::to_string(all) + "\n";
-                   }
-                   return out;
-                 }),
+  EXPECT_EQ(run_parallel(2, 2,
+                         [](int stage) -> std::string {
+                           World w;
+                           w.config.stage = stage;
+                           ServerSettings settings;
+                           settings.service = 0.005;
+                           for (int i = 0; i < 4; ++i) w.add(settings);
+                           w.servers[0]->run("refuse for 2");
+                           w.start();
+                           LoadSettings load = w.calls(2);
+                           load.rate = 200;
+                           load.seconds = 8;
+                           w.load(load);
+                           // Of the last second's calls, at least half of a fair part: the server has been
+                           // back for 5 s then.
+                           const std::vector<AttemptRecord> attempts = w.recorder.attempts();
+                           const double end = attempts.back().first_byte_at;
+                           double all = 0, back = 0;
+                           for (const AttemptRecord& a : attempts) {
+                             if (a.first_byte_at < end - 1) continue;
+                             all += 1;
+                             back += a.server == "s0" ? 1 : 0;
+                           }
+                           std::string out = w.complaints();
+                           if (back < all / 8) {
+                             out += "stage " + std::to_string(stage) + ": " + std::to_string(back) + " of " +
+                                    std::to_string(all) + "\n";
+                           }
+                           return out;
+                         }),
             "");
 }
 
@@ -122,7 +122,7 @@
 std::string large_answers_after_small(int stage, const std::string& script) {
   World w;
   w.config.stage = stage;
-  for (NodeClass& c : w.config.classes) c.give_up = 5;
+  for (NodeRequestClass& c : w.config.classes) c.give_up = 5;
   w.config.memory_mb = 192;  // room for all of them: not what is tested here
   ServerSettings settings;
   settings.service = 0.003;
@@ -147,18 +147,18 @@
 
 // Danger: time-outs learned from small answers cut these off, spend the further attempts and refuse the rest.
 TEST(LargeAnswers, AreServedAfterSmallOnes) {
-  EXPECT_EQ(each(2, 1, [](int stage) { return large_answers_after_small(stage, ""); }), "");
+  EXPECT_EQ(run_parallel(2, 1, [](int stage) { return large_answers_after_small(stage, ""); }), "");
 }
 
 // The same, and it takes the servers 0.3 s to make them.
 TEST(LargeAnswers, AreServedWhenTheyTakeLongerToo) {
-  EXPECT_EQ(each(2, 2, [](int stage) { return large_answers_after_small(stage, "slower 100"); }), "");
+  EXPECT_EQ(run_parallel(2, 2, [](int stage) { return large_answers_after_small(stage, "slower 100"); }), "");
 }
 
 // 100 KB at 20 KB/s, or with a stop of 1 s in the middle, within the caller's 8 s; after small quick ones.
 std::string slow_answer(std::size_t request_class, const std::string& script) {
   World w;
-  for (NodeClass& c : w.config.classes) {
+  for (NodeRequestClass& c : w.config.classes) {
     c.aim = 2;
     c.give_up = 8;
   }
@@ -188,38 +188,40 @@
 constexpr const char* kSlowAndStops = "trickle 25000\npause 1";
 
 TEST(SlowAnswers, AreServedWhenTheyComeInTime) {
-  EXPECT_EQ(each(3, 3, [](int i) { return slow_answer(static_cast<std::size_t>(i), kSlow); }), "");
+  EXPECT_EQ(run_parallel(3, 3, [](int i) { return slow_answer(static_cast<std::size_t>(i), kSlow); }), "");
 }
 TEST(SlowAnswers, AreServedWhenTheyStopForASecond) {
-  EXPECT_EQ(each(3, 3, [](int i) { return slow_answer(static_cast<std::size_t>(i), kSlowAndStops); }), "");
+  EXPECT_EQ(run_parallel(3, 3, [](int i) { return slow_answer(static_cast<std::size_t>(i), kSlowAndStops); }),
+            "");
 }
 
 // A server that sends a byte a second only to hold its place: a safe request goes elsewhere in time.
 TEST(SlowAnswers, AByteASecondDoesNotHoldASafeRequest) {
-  EXPECT_EQ(each(2, 2,
-                 [](int stage) -> std::string {
-                   World w;
-                   w.config.stage = stage;
-                   for (NodeClass& c : w.config.classes) c.give_up = 5;
-                   ServerSettings settings;
-                   settings.service = 0.005;
-                   for (int i = 0; i < 3; ++i) w.add(settings);
-                   w.start();
-                   LoadSettings load = w.calls(5);
-                   load.classes = {load.classes[0]};
-                   load.rate = 50;
-                   load.seconds = 1;
-                   const LoadResult before = w.load(load);
-                   w.servers[0]->run("trickle 1");
-                   load.seed = 2;
-                   const LoadResult result = w.load(load);
-                   std::string out = w.complaints();
-                   if (before.all.served != before.all.calls) out += "before: " + before.json() + "\n";
-                   if (result.all.served != result.all.calls) {
-                     out += "stage " + std::to_string(stage) + ": " + result.json() + "\n";
-                   }
-                   return out;
-                 }),
+  EXPECT_EQ(run_parallel(2, 2,
+                         [](int stage) -> std::string {
+                           World w;
+                           w.config.stage = stage;
+                           for (NodeRequestClass& c : w.config.classes) c.give_up = 5;
+                           ServerSettings settings;
+                           settings.service = 0.005;
+                           for (int i = 0; i < 3; ++i) w.add(settings);
+                           w.start();
+                           LoadSettings load = w.calls(5);
+                           load.classes = {load.classes[0]};
+                           load.rate = 50;
+                           load.seconds = 1;
+                           const LoadResult before = w.load(load);
+                           w.servers[0]->run("trickle 1");
+                           load.seed = 2;
+                           const LoadResult result = w.load(load);
+                           std::string out = w.complaints();
+                           if (before.all.served != before.all.calls)
+                             out += "before: " + before.json() + "\n";
+                           if (result.all.served != result.all.calls) {
+                             out += "stage " + std::to_string(stage) + ": " + result.json() + "\n";
+                           }
+                           return out;
+                         }),
             "");
 }
 
