--- a/standins/checker/checker.cpp
+++ b/standins/checker/checker.cpp
@@ -15,7 +15,7 @@
 using Group = CheckedClass::Group;
 using Attempts = std::vector<const AttemptRecord*>;
 
-// For all that the node can know: an answer that was not written has told it nothing.
+// Whether the node knows that the attempt did not run. An answer that was never written has told it nothing.
 bool known_not_run(const AttemptRecord& a) {
   return a.last_byte_at == 0 || (a.not_started && a.answered_at > 0);
 }
@@ -30,7 +30,7 @@
   return out.data();
 }
 
-// What happened to a request, in one line.
+// The history of a request in one line.
 std::string describe(const CallRecord& call, const Attempts& attempts) {
   static constexpr std::array kEnds = {"open", "answered", "cut", "closed", "timed out", "no connection"};
   const double from = call.sent_at;
@@ -91,7 +91,7 @@
 
   // ------------------------------------------------------------ no request is lost
 
-  // Whether the node was ended while it held this request.
+  // Whether the loss is excused because the node was ended while it held this request.
   bool forgiven(const CallRecord& call) const {
     return std::any_of(e_.lifetimes.begin(), e_.lifetimes.end(), [&](const ProcessLifetime& lifetime) {
       if (lifetime.node != call.node || lifetime.ended_at == 0) return false;
@@ -106,10 +106,11 @@
   }
 
   void no_request_is_lost(const CallRecord& call) {
-    if (call.sent_at == 0) return;  // the node has not taken it
+    if (call.sent_at == 0) return;  // the node never received it whole
     const Attempts& attempts = attempts_of(call);
     const bool excused = forgiven(call);
-    // A connection that the node closes may cross a request that it has not read, and not one that it has.
+    // A node may close a connection while a request that it has not read is in flight, but not after it has
+    // read the request.
     if (call.resent_at > 0 && !excused &&
         std::any_of(attempts.begin(), attempts.end(),
                     [&](const AttemptRecord* a) { return a->first_byte_at < call.resent_at; })) {
@@ -117,7 +118,7 @@
     }
     if (call.end != CallEnd::kAnswered) {
       if (excused || (call.end == CallEnd::kCut && s_.cut_is_failure)) return;
-      if (call.end == CallEnd::kNoConnect) return;  // written again, and there was no node to take it
+      if (call.end == CallEnd::kNoConnect) return;  // resent, but no node accepted the connection
       return report(Rule::kLostRequest, call, "no whole answer");
     }
     if (call.answered_at > call.sent_at + call.timeout + s_.socket_slack + s_.late_slack) {
@@ -180,7 +181,8 @@
     if (c.effect == Effect::kUnsafe) one_at_a_time(call, attempts);
   }
 
-  // An unsafe request goes on only once the server before has said that it has not run.
+  // An unsafe request may be sent to another server only after the previous one has answered that it did not
+  // run.
   void one_at_a_time(const CallRecord& call, const Attempts& attempts) {
     for (std::size_t i = 0; i + 1 < attempts.size(); ++i) {
       const AttemptRecord& a = *attempts[i];
--- a/standins/checker/checker.h
+++ b/standins/checker/checker.h
@@ -1,4 +1,4 @@
-// The four rules, held against what callers, servers and discovery saw. No I/O, no clock.
+// Checks the four rules against the records of clients, servers and discovery. No I/O, no clock.
 #pragma once
 
 #include <string>
@@ -20,15 +20,15 @@
 struct Violation {
   Rule rule = Rule::kLostRequest;
   std::string subject;  // the request's id, or the server
-  std::string what;     // with times in s before and after the request was sent
+  std::string what;     // description, with times in s relative to the sending of the request
 };
 
-// What may happen when a class's requests run more than once.
+// What repeated execution means for a request class.
 struct CheckedClass {
   std::string name;
   enum class Effect { kSafe, kKeyed, kUnsafe } effect = Effect::kSafe;
-  enum class Group { kAll, kZone, kCell } group = Group::kAll;  // of servers that drop each other's repeats
-  double window = 0;                                            // s, for which they remember a key
+  enum class Group { kAll, kZone, kCell } group = Group::kAll;  // servers that deduplicate together
+  double window = 0;                                            // s for which servers remember a key
 };
 
 struct CheckedServer {
@@ -39,19 +39,22 @@
 
 struct CheckerSettings {
   std::vector<CheckedClass> classes;
-  std::vector<CheckedServer> servers;  // those that keyed requests go to; an unnamed one is a group by itself
-  double socket_slack = 0.05;          // s that each time limit is longer on sockets
-  double late_slack = 0;               // s more for answers, on a busy machine
-  double answer_race_slack = 0.05;     // s in which a send may cross the final answer
-  double order_slack = 0.03;           // s in which the order of two records says nothing
-  double grace = 1;                    // s in which servers that drain may still be sent to
-  double drain_slack = 0;              // s more
-  double window_slack = 0;             // s more for repeats of a key
-  double notification_limit = 0;    // s after which a change counts as told, come or not; 0: only once told
-  bool cut_is_failure = false;      // an answer that a caller can tell is not whole has failed, not been lost
-  double termination_limit = 0.7;   // s after SIGTERM; what SIGKILL finds later is not forgiven
-  bool forgive_killed = true;       // what a node held when it was killed
-  bool forgive_terminated = false;  // what it had not answered when it ended after SIGTERM
+  std::vector<CheckedServer>
+      servers;                      // servers of keyed requests; one that is not listed is a group of its own
+  double socket_slack = 0.05;       // s added to each time limit for socket delays
+  double late_slack = 0;            // additional s for answers on a busy machine
+  double answer_race_slack = 0.05;  // s in which a request to a server may cross the final answer
+  double order_slack = 0.03;        // s within which the order of two records is undefined
+  double grace = 1;                 // s in which draining servers may still receive requests
+  double drain_slack = 0;           // additional s for drains
+  double window_slack = 0;          // additional s for repeats of a key
+  // s after which a list change counts as delivered even if it was not; 0: only actual delivery counts.
+  double notification_limit = 0;
+  bool cut_is_failure =
+      false;  // a truncated answer that the client can recognize counts as failed, not as lost
+  double termination_limit = 0.7;   // s after SIGTERM; a SIGKILL after that excuses nothing
+  bool forgive_killed = true;       // excuses requests that a node held when it was killed
+  bool forgive_terminated = false;  // excuses requests unanswered at the exit after SIGTERM
 };
 
 struct Evidence {
@@ -64,18 +67,17 @@
 
 class Checker {
  public:
-  // Throws std::invalid_argument where two classes have one name.
+  // Throws std::invalid_argument if two classes have the same name.
   explicit Checker(CheckerSettings settings);
 
-  // All that breaks a rule, in the order of the rules. Throws std::invalid_argument for a call of a class
-  // that the settings lack.
+  // All violations, ordered by rule. Throws std::invalid_argument for a call whose class the settings lack.
   std::vector<Violation> check(const Evidence& evidence) const;
 
  private:
   CheckerSettings settings_;
 };
 
-// One violation a line.
+// One violation per line.
 std::string to_text(const std::vector<Violation>& violations);
 
 }  // namespace nettlestand::standins
--- a/standins/common/http.cpp
+++ b/standins/common/http.cpp
@@ -9,8 +9,8 @@
 namespace nettlestand::standins {
 namespace {
 
-constexpr std::size_t kMaxHeadBytes = 64 * 1024;  // bytes
-constexpr std::size_t kKeptBodyBytes = 256;       // bytes kept of a body
+constexpr std::size_t kMaxHeadBytes = 64 * 1024;
+constexpr std::size_t kKeptBodyBytes = 256;  // of the start of a body
 
 char lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c + 32) : c; }
 
--- a/standins/common/http.h
+++ b/standins/common/http.h
@@ -1,4 +1,4 @@
-// HTTP/1.1 messages as the stand-ins read and write them: no more than loopback tests need, and quick.
+// Reads and writes HTTP/1.1 messages for the test doubles: only what loopback tests need, and fast.
 #pragma once
 
 #include <array>
@@ -13,28 +13,28 @@
 
 namespace nettlestand::standins {
 
-// A message that can't be read on.
+// A malformed message, which can't be read further.
 struct MessageError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// The head of a message. Views into the buffer it was parsed from.
+// The head of a message. The views refer to the buffer that it was parsed from.
 struct MessageHead {
   std::string_view start;  // request line or status line
-  std::string_view lines;  // the headers, with their line ends
-  std::size_t size = 0;    // bytes, with the empty line
+  std::string_view lines;  // the header lines with their line ends
+  std::size_t size = 0;    // bytes, including the empty line
   std::optional<std::uint64_t> length;
   bool chunked = false, close = false;
 
-  std::string_view field(std::string_view name) const;  // empty: not there; names in any case
-  std::string_view word(int which) const;               // of the start line, from 0
-  int status() const;                                   // of an answer
+  std::string_view field(std::string_view name) const;  // empty: absent; names are case-insensitive
+  std::string_view word(int which) const;               // word of the start line, from 0
+  int status() const;                                   // of a response
 };
 
-// The head at the start of `bytes`; none until it is whole. Throws BadMessage.
+// Parses the head at the start of `bytes`; empty until the head is complete. Throws MessageError.
 std::optional<MessageHead> parse_head(std::string_view bytes);
 
-// Of bytes, however they are cut into pieces (XXH64).
+// Digest (XXH64) of a byte stream, independent of how it is split.
 class Digest {
  public:
   Digest() { XXH64_reset(&state_, 0); }
@@ -45,22 +45,22 @@
   XXH64_state_t state_;
 };
 
-// Takes a body off a stream, piece by piece.
+// Reads a message body from a stream incrementally.
 class BodyReader {
  public:
   enum class Kind { kNone, kLength, kChunked, kUntilClose };
   explicit BodyReader(Kind kind = Kind::kNone, std::uint64_t length = 0)
       : kind_(kind), left_(length), done_(kind == Kind::kNone || (kind == Kind::kLength && length == 0)) {}
 
-  // Takes what belongs to it off the front of `bytes` and returns how much that was. Throws BadMessage.
+  // Consumes the part of `bytes` that belongs to the body and returns its size. Throws MessageError.
   std::size_t take(std::string_view bytes);
-  // The connection ended cleanly: only a body without a length is whole by that.
+  // The connection ended cleanly; this completes only a body without a length.
   void ended() { done_ = done_ || kind_ == Kind::kUntilClose; }
   bool done() const { return done_; }
   std::uint64_t digest() const { return digest_.value(); }
   std::uint64_t size() const { return size_; }
-  const std::string& start() const { return start_; }        // its first bytes, at most 256
-  const std::string& trailers() const { return trailers_; }  // lines behind the last chunk
+  const std::string& start() const { return start_; }        // the first bytes, at most 256
+  const std::string& trailers() const { return trailers_; }  // lines after the last chunk
 
  private:
   void append_body(std::string_view piece);
--- a/standins/common/latency_histogram.cpp
+++ b/standins/common/latency_histogram.cpp
@@ -9,8 +9,8 @@
 
 namespace bh = boost::histogram;
 
-constexpr double kMinSeconds = 1e-6, kMaxSeconds = 1e3;  // s
-constexpr int kBuckets = 720;                            // 3 % each
+constexpr double kMinSeconds = 1e-6, kMaxSeconds = 1e3;
+constexpr int kBuckets = 720;  // 3 % wide each
 
 auto make() {
   return bh::make_histogram(
@@ -54,7 +54,7 @@
   double seen = 0;
   int i = 0;
   while (i + 1 < axis.size() && (seen += buckets_->histogram.at(i)) < wanted) ++i;
-  return std::sqrt(axis.value(i) * axis.value(i + 1));  // the middle of its bucket
+  return std::sqrt(axis.value(i) * axis.value(i + 1));  // the geometric middle of the bucket
 }
 
 }  // namespace nettlestand::standins
--- a/standins/common/latency_histogram.h
+++ b/standins/common/latency_histogram.h
@@ -1,4 +1,4 @@
-// A distribution of times.
+// A histogram of latencies.
 #pragma once
 
 #include <cstdint>
@@ -6,7 +6,7 @@
 
 namespace nettlestand::standins {
 
-// Times in s; those from 1 µs to 1,000 s are held to 3 %. Copies are deep.
+// Latencies in s; those from 1 µs to 1,000 s have a relative error of 3 %. Copies are deep.
 class LatencyHistogram {
  public:
   LatencyHistogram();
@@ -19,11 +19,11 @@
   void add(double seconds);
   void add(const LatencyHistogram& other);
   std::uint64_t count() const { return count_; }
-  double quantile(double fraction) const;  // of 0 to 1; 0 where there are none
+  double quantile(double fraction) const;  // `fraction` from 0 to 1; 0 if the histogram is empty
 
  private:
   struct Buckets;
-  std::unique_ptr<Buckets> buckets_;  // none as long as it is empty
+  std::unique_ptr<Buckets> buckets_;  // null while the histogram is empty
   std::uint64_t count_ = 0;
 };
 
--- a/standins/common/loop.cpp
+++ b/standins/common/loop.cpp
@@ -22,7 +22,7 @@
 namespace nettlestand::standins {
 namespace {
 
-constexpr double kKernelClockSlackSeconds = 0.02;  // s; some of the kernel's
+constexpr double kKernelClockSlackSeconds = 0.02;  // several ticks of the kernel clock
 
 sockaddr_in to_sockaddr(const Address& address) {
   sockaddr_in at{};
@@ -123,7 +123,7 @@
   tcp_info info{};
   socklen_t size = sizeof info;
   if (getsockopt(fd, IPPROTO_TCP, TCP_INFO, &info, &size) != 0) return now();
-  // The kernel counts in ticks: what came just now came now.
+  // The kernel counts in clock ticks, so a recent arrival is taken as now.
   const double ago = info.tcpi_last_data_recv / 1000.0;
   return ago < kKernelClockSlackSeconds ? now() : now() - ago;
 }
@@ -190,7 +190,7 @@
   {
     const std::lock_guard lock(mutex_);
     posted_.push_back(std::move(f));
-    if (posted_.size() > 1) return;  // woken already
+    if (posted_.size() > 1) return;  // the loop has been woken already
   }
   const std::uint64_t one = 1;
   if (write(wake_.get(), &one, sizeof one) < 0) fail("can't wake the loop");
@@ -233,7 +233,8 @@
 }
 
 void Loop::run_timers() {
-  // Those due now, and not what they set up: a timer that is always due must not starve the descriptors.
+  // Runs only the timers that are due now, not those that they set: a timer that is always due must not
+  // starve the descriptors.
   const double until = now();
   std::vector<Timer> due;
   for (const auto& [timer, f] : timers_) {
@@ -242,7 +243,7 @@
   }
   for (const Timer& timer : due) {
     const auto it = timers_.find(timer);
-    if (it == timers_.end()) continue;  // one before it has cancelled it
+    if (it == timers_.end()) continue;  // cancelled by an earlier timer
     const Function f = std::move(it->second);
     timers_.erase(it);
     f();
@@ -278,7 +279,7 @@
   timer = {0, 0};
 }
 
-// Returns once the loop runs: until then call() would run things on the caller's thread.
+// Returns once the loop runs: before that, call() would run functions on the caller's thread.
 LoopThread::LoopThread() : thread_([this] { loop_.run(); }) {
   std::promise<void> up;
   loop_.post([&] { up.set_value(); });
--- a/standins/common/loop.h
+++ b/standins/common/loop.h
@@ -1,5 +1,5 @@
-// An event loop on epoll: descriptors, timers, and functions posted from other threads. All the stand-ins run
-// on such loops, many of them on one.
+// An event loop on epoll for descriptors, timers and functions posted from other threads. All test doubles
+// run on such loops, many on the same one.
 #pragma once
 
 #include <compare>
@@ -15,10 +15,10 @@
 
 namespace nettlestand::standins {
 
-// The steady clock in seconds: the time of all records, and the one that the node speaks.
+// The steady clock in seconds: the time base of all records, and of the node.
 double now();
 
-// Owns a descriptor.
+// Owns a file descriptor.
 class Fd {
  public:
   explicit Fd(int fd = -1) : fd_(fd) {}
@@ -33,7 +33,7 @@
   int fd_;
 };
 
-// An address on this machine's loopback, 127.0.0.0/8.
+// An address in 127.0.0.0/8.
 struct Address {
   std::string ip = "127.0.0.1";
   int port = 0;
@@ -41,35 +41,35 @@
   auto operator<=>(const Address&) const = default;
 };
 
-// As below, at any loopback address.
+// Like listen_on(int) below, at any loopback address.
 Fd listen_on(const Address& at, int backlog = 4096, bool shared = false);
-// From an address of this machine, where one is named: the far side sees it.
+// Connects from `from_ip` if it is given, so that the other side sees that address.
 Fd connect_to(const Address& to, const std::string& from_ip = "");
 // A bound, non-blocking UDP socket. Throws std::runtime_error.
 Fd bind_udp(const Address& at);
 Address address_of(int fd);
 
-// A non-blocking listener on 127.0.0.1. Port 0: the kernel gives one. `shared`: several may listen on the
-// same port (SO_REUSEPORT). A backlog below 0 takes the port and does not listen: connections to it are
-// refused, and nobody else is given it. Throws std::runtime_error.
+// A non-blocking listener on 127.0.0.1. Port 0: chosen by the kernel. `shared`: several sockets may listen on
+// the same port (SO_REUSEPORT). A negative backlog reserves the port without listening: connections to it are
+// refused, and the kernel gives it to nobody else. Throws std::runtime_error.
 Fd listen_on(int port, int backlog = 4096, bool shared = false);
 int port_of(int fd);
-// A connection under way to 127.0.0.1, or an empty Fd where it failed at once.
+// A connection in progress to 127.0.0.1, or an empty Fd if it failed at once.
 Fd connect_to(int port);
-// When the last data on a connection came to this machine (to some ms): earlier than it is read where a loop
-// is late, or does not read at all.
+// When the last data on a connection arrived at this machine, accurate to a few ms. This is earlier than the
+// read if a loop is late or does not read at all.
 double last_data_received_at(int fd);
-// Ends a connection with RST instead of FIN.
+// Makes close() send RST instead of FIN.
 void set_reset_on_close(int fd);
 
-// What a loop tells about a descriptor. Everything runs on the loop's thread.
+// Receives the events of a descriptor, on the loop's thread.
 class Watcher {
  public:
   virtual ~Watcher() = default;
-  virtual void ready(std::uint32_t events) = 0;  // EPOLLIN and the like
+  virtual void ready(std::uint32_t events) = 0;  // EPOLLIN etc.
 };
 
-// One thread runs it; post() and call() and stop() are for any thread, the rest for that one, or for any
+// Run by one thread. post(), call() and stop() are thread-safe; the rest is for the loop's thread, or for any
 // thread while the loop does not run.
 class Loop {
  public:
@@ -85,19 +85,19 @@
   void run();
   void stop();
   void post(Function f);
-  // Runs `f` on the loop and returns once it is done. At once where the loop does not run or this is its
-  // thread. What `f` throws comes out here.
+  // Runs `f` on the loop and returns once it is done; runs it directly if the loop does not run or this is
+  // its thread. Rethrows what `f` throws.
   void call(const Function& f);
 
   void add(int fd, std::uint32_t events, Watcher* watcher);
   void modify(int fd, std::uint32_t events, Watcher* watcher);
   void remove(int fd);
-  // Destroys `watcher` after the events at hand, of which some may still be for it.
+  // Destroys `watcher` after the current batch of events, some of which may still refer to it.
   void destroy_later(std::unique_ptr<Watcher> watcher);
 
-  Timer at(double when, Function f);  // on now()'s clock
+  Timer at(double when, Function f);  // on the clock of now()
   Timer after(double seconds, Function f) { return at(now() + seconds, std::move(f)); }
-  void cancel(Timer& timer);  // and sets it to none; one that has fired is no mistake
+  void cancel(Timer& timer);  // sets it to none; a timer that has fired is allowed
 
  private:
   void run_timers();
@@ -114,7 +114,7 @@
   bool running_ = false, stopping_ = false;
 };
 
-// A loop with a thread of its own; ends both.
+// A loop with a thread of its own; the destructor stops and joins it.
 class LoopThread {
  public:
   LoopThread();
--- a/standins/common/options.h
+++ b/standins/common/options.h
@@ -1,4 +1,4 @@
-// The command lines of the programs: --name VALUE, in any order.
+// Command line options of the test programs: --name VALUE, in any order.
 #pragma once
 
 #include <charconv>
@@ -11,7 +11,7 @@
 
 class Options {
  public:
-  // `known`: the names that may come, without their dashes. Throws std::invalid_argument.
+  // `known`: the accepted names without dashes. Throws std::invalid_argument.
   Options(int argc, char** argv, const std::vector<std::string>& known) {
     for (int i = 1; i < argc; i += 2) {
       const std::string name = argv[i];
@@ -43,7 +43,7 @@
     }
     return out;
   }
-  // The parts of a value between `mark`s.
+  // Splits a value at each separator.
   static std::vector<std::string> split(const std::string& text, char separator) {
     std::vector<std::string> out(1);
     for (const char c : text) {
--- a/standins/common/recorder.h
+++ b/standins/common/recorder.h
@@ -1,4 +1,4 @@
-// Gathers what the stand-ins see.
+// Collects the records of the test doubles.
 #pragma once
 
 #include <functional>
@@ -9,8 +9,8 @@
 
 namespace nettlestand::standins {
 
-// For any thread. Must outlive the stand-ins that write to it. Records are numbered from 0 as they are opened
-// and never go away; a server may change its own until it ends.
+// Thread-safe. Must outlive the test doubles that write to it. Records are numbered from 0 in the order in
+// which they are opened and are never removed; a server may change its own until it ends.
 class Recorder {
  public:
   std::size_t open(ConnectionRecord record) { return append(connections_, std::move(record)); }
--- a/standins/common/records.h
+++ b/standins/common/records.h
@@ -1,5 +1,5 @@
-// What the stand-ins have seen, in plain structures: the checker's food. All times are seconds on now()'s
-// clock; 0: it has not happened.
+// Records of what the test doubles saw, as plain structures: the input of the checker. All times are seconds
+// on the clock of now(); 0: has not happened.
 #pragma once
 
 #include <cstdint>
@@ -14,84 +14,86 @@
 struct ConnectionRecord {
   std::string server;
   int port = 0;
-  int peer_port = 0;  // of the far side, as the server sees it
+  int peer_port = 0;  // port of the peer as the server sees it
   double accepted_at = 0, closed_at = 0;
   Closer closed_by = Closer::kOpen;
-  bool reset = false;        // it ended with RST, whoever sent it
-  std::uint64_t served = 0;  // requests that came whole on it
+  bool reset = false;        // ended with RST, sent by either side
+  std::uint64_t served = 0;  // requests received whole
 };
 
-// A request that came to a server, whole or in part: what a node sees as an attempt.
+// A request that a server received, whole or in part: an attempt from the node's point of view.
 struct AttemptRecord {
-  std::string server;  // the name that discovery gives it
+  std::string server;  // its name in discovery
   int port = 0;
-  std::size_t connection = 0;  // index among the recorder's connections
+  std::size_t connection = 0;  // index of the recorder's connection record
   std::string id, request_class, key, tenant;
   std::string method;
-  std::uint64_t fencing_token = 0;             // of the duty that it was made under; 0: none
-  double first_byte_at = 0, last_byte_at = 0;  // when they came to this machine, read or not
-  std::uint64_t body_digest = 0;               // of the request's body
-  bool executed = false;                       // begun: it had its effect, or may yet
-  bool repeat = false;                         // dropped: the effect of its key was there already
-  double finished_at = 0;                      // the work on it ended
-  int status = 0;                              // of the answer it was given; 0: none
-  bool not_started = false;                    // the answer says that it never ran
-  std::uint64_t answer_digest = 0;             // of the answer's body, as a reader of it would frame it
-  double answered_at = 0;                      // its answer's last byte was handed to the kernel
-  double connection_lost_at = 0;               // its connection ended before that
-  // Came whole, and was not turned away: it ran, or may have for all that the node can know.
+  std::uint64_t fencing_token = 0;             // of the duty under which it was made; 0: none
+  double first_byte_at = 0, last_byte_at = 0;  // arrival at this machine, read or not
+  std::uint64_t body_digest = 0;               // digest of the request body
+  bool executed = false;                       // started: had its effect, or may still have it
+  bool repeat = false;              // dropped as a duplicate: the effect of its key existed already
+  double finished_at = 0;           // end of the work on it
+  int status = 0;                   // status of its answer; 0: none
+  bool not_started = false;         // the answer states that it never ran
+  std::uint64_t answer_digest = 0;  // digest of the answer body as its reader frames it
+  double answered_at = 0;           // last byte of the answer handed to the kernel
+  double connection_lost_at = 0;    // its connection ended before the answer was written
+  // Received whole and not rejected: it ran, or may have run for all that the node can know.
   bool may_have_run() const { return last_byte_at > 0 && !not_started; }
 };
 
-// A cold server that was pushed over.
+// A cold server that was overloaded.
 struct OverloadRecord {
   std::string server;
   double at = 0;
   double requested_work = 0,
-         available_work = 0;  // seconds of work that came in the second before; that it could have done
+         // Work in seconds that arrived in the second before, and that the server could have done.
+      available_work = 0;
 };
 
-// A change of the list as one node was told it.
+// A change of discovery's server list as delivered to one node.
 struct ListChangeRecord {
-  std::string node;  // the name of the endpoint at which the node asks
+  std::string node;  // name of the endpoint that the node queries
   std::string server;
   std::string state;                        // active, leaving or left
-  double changed_at = 0, delivered_at = 0;  // told: written to a connection; 0: not yet
+  double changed_at = 0, delivered_at = 0;  // delivered: written to a connection; 0: not yet
 };
 
 enum class CallEnd {
-  kOpen,      // the load ended before it did
-  kAnswered,  // a whole answer came
-  kCut,       // the connection ended in the middle of the answer
-  kClosed,    // or before its first byte
-  kTimedOut,  // the caller gave up
-  kNoConnect  // never sent: no connection came about
+  kOpen,      // the load ended first
+  kAnswered,  // a complete answer arrived
+  kCut,       // the connection ended within the answer
+  kClosed,    // the connection ended before the answer
+  kTimedOut,  // the client gave up
+  kNoConnect  // never sent: connecting failed
 };
 
-// A request as its caller saw it.
+// A request from the client's point of view.
 struct CallRecord {
-  std::string node;  // the name of the target it went to
+  std::string node;  // name of the target node
   std::string id, request_class, tenant, key;
-  std::string first_id;  // of the first try, where clients come again
-  double due_at = 0;     // when that was due
+  std::string first_id;  // id of the first try, if clients retry
+  double due_at = 0;     // scheduled time of the first try
   double timeout = 0;    // s, its Request-Timeout-Ms
   double first_byte_at = 0;
-  double sent_at = 0;      // its last byte was written; with a second writing, of the first one
-  double resent_at = 0;    // it was written once more: the node had closed the connection it was on
-  double answered_at = 0;  // the answer's last byte came, or the end of what there is
+  double sent_at = 0;      // last byte written; after a resend, that of the first sending
+  double resent_at = 0;    // resent, since the node had closed the connection
+  double answered_at = 0;  // last byte of the answer, or the end of a partial one
   CallEnd end = CallEnd::kOpen;
   int status = 0;
   std::uint64_t answer_digest = 0;
   bool has_extra_bytes =
-      false;  // bytes came behind the whole answer, before the next request on the connection
+      // Bytes followed the complete answer before the next request on the connection.
+      false;
 };
 
-// A node process, for what is forgiven to one that was ended.
+// The lifetime of one node process, for excusing requests lost when it was ended.
 struct ProcessLifetime {
   std::string node;
   double started_at = 0;
-  double sigterm_at = 0;  // it was sent SIGTERM
-  double ended_at = 0;    // it exited or was killed
+  double sigterm_at = 0;  // when it was sent SIGTERM
+  double ended_at = 0;    // when it exited or was killed
   bool killed = false;    // by SIGKILL
 };
 
--- a/standins/interposition/interposed_faults.cpp
+++ b/standins/interposition/interposed_faults.cpp
@@ -54,7 +54,7 @@
   fs::remove_all(saved_, ignored);
 }
 
-// Files and folders; a socket in it is its process's own.
+// Copies files and folders; sockets belong to the process and are skipped.
 void StateFolder::save() {
   fs::remove_all(saved_);
   fs::create_directory(saved_);
--- a/standins/interposition/interposed_faults.h
+++ b/standins/interposition/interposed_faults.h
@@ -8,20 +8,19 @@
 
 namespace nettlestand::standins {
 
-// Shared with the process through a file, whose name it finds in NETTLESTAND_SEAMS.
+// Settings shared with the process through a mapped file, whose name is in NETTLESTAND_SEAMS.
 struct InterposedFaultSettings {
-  std::atomic<double> wall_clock_offset = 0;    // s that its wall clock is ahead
-  std::atomic<std::int64_t> disk_delay_us = 0;  // before each write and sync
-  std::atomic<std::int64_t> disk_bytes_left =
-      -1;                                // bytes that may still be written; below 0: without a bound
-  std::atomic<bool> torn_write = false;  // the next write stops half way, and the process with it
-  char folder[512] = {};                 // of the files that it is about
+  std::atomic<double> wall_clock_offset = 0;       // s by which its wall clock is ahead
+  std::atomic<std::int64_t> disk_delay_us = 0;     // delay before each write and sync
+  std::atomic<std::int64_t> disk_bytes_left = -1;  // bytes that may still be written; negative: unlimited
+  std::atomic<bool> torn_write = false;            // the next write stops half way and kills the process
+  char folder[512] = {};                           // folder of the affected files
 };
 
-// The test's end. Ends the file with itself.
+// The test's side of the shared settings. The destructor removes the file.
 class InterposedFaults {
  public:
-  // `folder`: whose files are slow, full or torn. Throws std::runtime_error.
+  // `folder`: its files are affected by disk faults. Throws std::runtime_error.
   explicit InterposedFaults(const std::string& folder);
   ~InterposedFaults();
   InterposedFaults(const InterposedFaults&) = delete;
@@ -36,7 +35,8 @@
   InterposedFaultSettings* settings_ = nullptr;
 };
 
-// A folder in which a process keeps what must outlive it, and what may become of that between two lives.
+// A folder for the state that a process keeps across restarts. Between two runs the state can be saved,
+// rolled back or deleted.
 class StateFolder {
  public:
   StateFolder();
@@ -45,9 +45,9 @@
   StateFolder& operator=(const StateFolder&) = delete;
 
   const std::string& path() const { return path_; }
-  void save();       // remembers what is there now
-  void roll_back();  // what was there when it was saved last
-  void clear();      // nothing is there
+  void save();       // copies the present contents
+  void roll_back();  // restores the contents saved last
+  void clear();      // deletes all contents
 
  private:
   std::string path_, saved_;
--- a/standins/interposition/preload.cpp
+++ b/standins/interposition/preload.cpp
@@ -39,8 +39,7 @@
   return reinterpret_cast<F>(dlsym(RTLD_NEXT, name));
 }
 
-// Whether a descriptor is a file below the folder; asks the kernel only where something is wrong with the
-// disk.
+// Whether a descriptor refers to a file below the folder. Asks the kernel only if a disk fault is set.
 bool is_affected(const InterposedFaultSettings* s, int fd) {
   if (s == nullptr || (s->disk_delay_us == 0 && s->disk_bytes_left < 0 && !s->torn_write)) return false;
   char link[64], path[1024];
@@ -59,7 +58,7 @@
   nanosleep(&time, nullptr);
 }
 
-// How many of `size` bytes go, once what is wrong has been seen to: below 0 with errno for none.
+// Writes with the configured faults: the number of bytes written, or below 0 with errno set.
 template <class Write>
 ssize_t write_with_faults(int fd, size_t size, Write&& real) {
   InterposedFaultSettings* s = settings();
--- a/standins/tier/demo_main.cpp
+++ b/standins/tier/demo_main.cpp
@@ -1,6 +1,6 @@
-// A small serving tier on loopback: three core edges, one more, three stores, three engines. Sends some
-// requests and a batch job through it, kills the machine that leads, and prints what happened. Exit code 0
-// where all was as promised.
+// Demonstrates a small serving tier on loopback: three core edges, one other edge, three stores and three
+// engines. Sends requests and a batch job through it, kills the node that leads, and prints the results. Exit
+// code 0 if everything was as promised.
 #include <filesystem>
 #include <iostream>
 
--- a/standins/tier/engine.cpp
+++ b/standins/tier/engine.cpp
@@ -16,7 +16,7 @@
   return "id: " + std::to_string(number) + "\ndata: piece " + std::to_string(number) + "\n\n";
 }
 
-// Made by a function of its own: GCC 12 can't have a list of braces inside an awaited call.
+// A separate function, since GCC 12 can't compile a braced list inside an awaited call.
 HeaderList headers_of(const std::string& request_id, const char* name, const std::string& value) {
   HeaderList out;
   if (!request_id.empty()) out.emplace_back("X-Request-Id", request_id);
@@ -128,7 +128,7 @@
 
 asio::awaitable<void> Platform::handle(std::shared_ptr<HttpExchange> exchange) {
   ++calls_;
-  // Two entries a page, so that readers have to follow.
+  // Two entries per page, so that readers have to follow the page tokens.
   constexpr std::size_t kPage = 2;
   const std::string token = exchange->request.query("page_token");
   const std::size_t from = token.empty() ? 0 : std::stoul(token.substr(1));
--- a/standins/tier/engine.h
+++ b/standins/tier/engine.h
@@ -1,5 +1,5 @@
-// Test doubles for what the serving tier meets: the platform's list of servers, and model servers that answer
-// with event streams and fail on command. Each serves on a thread of its own.
+// Test doubles for the surroundings of the serving tier: the platform's list of servers, and model servers
+// (engines) that answer with event streams and fail on command. They serve on the thread of an IoThread.
 #pragma once
 
 #include <atomic>
@@ -15,13 +15,13 @@
 
 namespace nettlestand::tier::standins {
 
-// Runs an event loop on a thread.
+// An Asio event loop on a thread of its own.
 class IoThread {
  public:
   IoThread();
   ~IoThread();
   boost::asio::io_context& io() { return io_; }
-  // Runs a function on the loop and waits for it.
+  // Runs a function on the loop and waits until it has returned.
   void run(const std::function<void()>& function);
 
  private:
@@ -30,10 +30,10 @@
   std::thread thread_;
 };
 
-// What an engine does with the requests that come next.
+// How an engine answers the next requests.
 enum class EngineMode {
-  kStream,        // all events
-  kCutInEvent,    // breaks the connection within the second event, once; then kStream
+  kStream,        // sends all events
+  kCutInEvent,    // aborts the connection within the second event, once; then kStream
   kFull,          // 503 with X-Not-Executed
   kError,         // 500
   kUnprocessable  // 422
@@ -46,15 +46,15 @@
 class Engine {
  public:
   static constexpr int kDefaultEvents = 4;
-  // `id` is its instance; it turns requests for other instances away with 421.
+  // `id` is its instance id; requests for other instances are rejected with 421.
   Engine(IoThread& loop, std::string id, std::string address, int events = kDefaultEvents);
   void set_mode(EngineMode mode) { mode_ = mode; }
   void set_instance(std::string id);
-  // Time between events; the stream of a test that wants to act in its middle.
+  // Pause between events, for tests that act in the middle of a stream.
   void set_pause_ms(int pause) { pause_ms_ = pause; }
   std::vector<ReceivedRequest> received() const;
   std::size_t runs() const { return received().size(); }
-  // The body of a whole answer of an engine with the usual number of events.
+  // The complete answer body of an engine with the default number of events.
   static std::string whole_stream();
   const std::string& address() const { return address_; }
 
@@ -72,7 +72,7 @@
   std::unique_ptr<HttpServer> server_;
 };
 
-// The platform's list.
+// The platform's server list.
 class Platform {
  public:
   struct Entry {
--- a/standins/tier/persistent_connection.h
+++ b/standins/tier/persistent_connection.h
@@ -1,4 +1,4 @@
-// A client's connection to one node, which it uses for as long as the node keeps it open.
+// A client connection to one node, used for as long as the node keeps it open.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -13,8 +13,8 @@
 namespace nettlestand::tier::standins {
 
 struct HttpResult {
-  int status = 0;                              // 0: no whole head came
-  bool complete = false;                       // the body is whole
+  int status = 0;                              // 0: no complete head was received
+  bool complete = false;                       // the whole body was received
   bool whole_sent = false;                     // the whole request was written
   std::map<std::string, std::string> headers;  // names in lower case
   std::string body;
@@ -22,11 +22,11 @@
 
 class PersistentConnection {
  public:
-  // Whether a connection came about.
+  // Connects; whether that succeeded.
   bool open(const std::string& address, Millis timeout);
   bool is_open() const { return stream_ != nullptr; }
   void close() { stream_.reset(); }
-  // Sends a request and reads its answer. The connection closes where the node closes it, or on any fault.
+  // Sends a request and reads its answer. Closes the connection if the node does, or on any error.
   HttpResult exchange(const std::string& request, Millis timeout);
 
  private:
--- a/standins/tier/tier_world.cpp
+++ b/standins/tier/tier_world.cpp
@@ -17,13 +17,13 @@
 
 constexpr int kFrontPort = 18405, kReadyPort = 18406, kControlPort = 18407, kInternalPort = 17660;
 constexpr int kPlatformPort = 18408, kEnginePort = 19000;
-// The last byte of addresses: nodes from 1 on, then engines and the platform.
+// Last byte of the addresses: nodes from 1 on, then the platform and the engines.
 constexpr std::size_t kFirstEngineIp = 230, kPlatformIp = 229;
 constexpr std::size_t kMaxNodes = kPlatformIp - 1;
 constexpr int kSignalBase = 128;
 
-// Of a child between fork and exec: its parent's handlers may allocate or print, among locks that other
-// threads of the parent held at the fork.
+// Called in a child between fork and exec: the parent's handlers may allocate or print, which needs locks
+// that other threads of the parent held at the fork.
 void drop_signal_handlers() {
   for (int number = 1; number < NSIG; ++number) ::signal(number, SIG_DFL);
 }
@@ -36,7 +36,7 @@
   std::string pattern = (std::filesystem::temp_directory_path() / "nettlestand-tier-XXXXXX").string();
   if (::mkdtemp(pattern.data()) == nullptr) throw std::runtime_error("no temporary folder");
   folder_ = pattern;
-  // Loopback addresses of this process's own, so that worlds stand beside each other.
+  // Loopback addresses derived from the process id, so that several worlds can run side by side.
   network_ = static_cast<unsigned>(::getpid()) % 50000;
   platform_ = std::make_unique<Platform>(loop_, ip(kPlatformIp) + ":" + std::to_string(kPlatformPort));
   for (std::size_t i = 0; i < options_.engines; ++i) {
@@ -114,12 +114,13 @@
   write_settings(node, bootstrap);
   const std::string settings = folder_ + "/" + node.name + ".toml", log = folder_ + "/" + node.name + ".log";
   const int out = ::open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
-  // All is made ready ahead: between fork and exec a process with threads may call little.
+  // Prepares everything before the fork: between fork and exec, a child of a process with threads may call
+  // little.
   const std::string variable = "NETTLESTAND_CONFIG=" + settings;
   std::vector<char*> environment = {const_cast<char*>(variable.c_str()), nullptr};
   const char* program = options_.program.c_str();
   const char* role = node.role.c_str();
-  // Signals that come before the child is executed wait until it has none of this process's handlers.
+  // Blocks signals until the child has dropped this process's handlers.
   sigset_t all, before;
   sigfillset(&all);
   pthread_sigmask(SIG_BLOCK, &all, &before);
--- a/standins/tier/tier_world.h
+++ b/standins/tier/tier_world.h
@@ -1,5 +1,5 @@
-// A small serving tier on loopback: real processes of the program, with the doubles of platform and engines,
-// and calls to it as clients and the operator make them.
+// A small serving tier on loopback: real node processes with doubles of the platform and the engines, and
+// calls to the tier as clients and the operator make them.
 #pragma once
 
 #include <map>
@@ -26,27 +26,27 @@
   TierWorld(const TierWorld&) = delete;
   TierWorld& operator=(const TierWorld&) = delete;
 
-  // Nodes are core edges first, then the others, then the stores.
+  // Nodes are numbered: core edges first, then the other edges, then the stores.
   std::size_t nodes() const { return nodes_.size(); }
   std::size_t edges() const { return options_.core + options_.plain_edges; }
   std::size_t store(std::size_t i) const { return edges() + i; }
   const std::string& name(std::size_t node) const { return nodes_.at(node).name; }
   void start(std::size_t node, bool bootstrap = false);
-  void kill(std::size_t node);       // as by SIGKILL
+  void kill(std::size_t node);       // SIGKILL
   void terminate(std::size_t node);  // SIGTERM; see exit_code()
   void signal(std::size_t node, int number);
   bool is_running(std::size_t node) const { return nodes_.at(node).pid > 0; }
-  // Whether the process has said, since its last start, that it has started.
+  // Whether the process has logged its start since it was last started.
   bool has_started(std::size_t node) const;
-  // Whether a process has ended by itself: its exit code, or 128 and the number of the signal that ended it.
+  // The exit code if the process has ended by itself, or 128 plus the number of the signal that ended it.
   std::optional<int> ended(std::size_t node);
   int exit_code(std::size_t node);  // waits for the process to end
-  void wipe(std::size_t node);      // its disk; while it is down
+  void wipe(std::size_t node);      // deletes its disk contents; only while it is down
   std::string log(std::size_t node) const;
-  // Leaves the logs behind when the world is gone; the folder in which they are.
+  // Keeps the logs when the world is destroyed; returns their folder.
   std::string keep_logs();
 
-  // One call; `timeout_ms` bounds it as a whole.
+  // Makes one call; `timeout_ms` limits the whole call.
   HttpResult call(const std::string& address, const std::string& method, const std::string& target,
                   const HeaderList& headers, const std::string& body, int timeout_ms = 5000) const;
   HttpResult client(std::size_t node, const std::string& method, const std::string& target,
@@ -55,13 +55,13 @@
                      const HeaderList& headers, const std::string& body) const;
   std::string front_address(std::size_t node) const;
   bool ready(std::size_t node) const;
-  // Sends an order to one node after the other until it is decided.
+  // Sends a configuration command to one node after another until it is decided.
   HttpResult change_configuration(const std::string& verb, std::uint64_t base, const std::string& body) const;
 
   std::size_t engines() const { return engines_.size(); }
   Engine& engine(std::size_t i) { return *engines_.at(i); }
   Platform& platform() { return *platform_; }
-  // The list as it is when all engines are well.
+  // The server list when all engines are healthy.
   std::vector<Platform::Entry> full_server_list() const;
 
  private:
@@ -69,7 +69,7 @@
     std::string name, ip, role, folder;
     bool has_disk = false;
     int pid = 0;
-    std::size_t log_start = 0;  // bytes of its log at its last start
+    std::size_t log_start = 0;  // size of its log in bytes at its last start
   };
   std::string ip(std::size_t i) const;
   void write_settings(const Node& node, bool bootstrap) const;
--- a/standins/world/host_load.cpp
+++ b/standins/world/host_load.cpp
@@ -9,9 +9,9 @@
 namespace nettlestand::standins {
 namespace {
 
-constexpr double kSampleIntervalSeconds = 0.02;  // s
+constexpr double kSampleIntervalSeconds = 0.02;
 
-// The time in which some process waited, of a line such as "some avg10=0.00 ... total=3180563".
+// Total stall time of a line such as "some avg10=0.00 ... total=3180563", in s.
 double stalled_seconds(const char* path) {
   std::ifstream in(path);
   std::string line;
--- a/standins/world/host_load.h
+++ b/standins/world/host_load.h
@@ -1,5 +1,5 @@
-// Whether the stand-ins of a world keep up: how late their event loop runs what is due, and what the machine
-// did meanwhile.
+// Measures whether the test doubles keep up: the delay of their event loop, and the stalls of the machine
+// meanwhile.
 #pragma once
 
 #include <atomic>
@@ -10,8 +10,8 @@
 
 namespace nettlestand::standins {
 
-// Measures on the event loop itself, by a timer of its own. So it also tells where the whole process stood
-// still, and with it every thread that might have watched from outside.
+// Measures the delay of an event loop with a timer on that loop. It therefore also detects that the whole
+// process was stopped, which a thread watching from outside would not, being stopped as well.
 class LoopDelayMonitor {
  public:
   explicit LoopDelayMonitor(Loop& loop);
@@ -19,14 +19,14 @@
   LoopDelayMonitor(const LoopDelayMonitor&) = delete;
   LoopDelayMonitor& operator=(const LoopDelayMonitor&) = delete;
 
-  // s that the loop was late at the most so far; for any thread.
+  // Longest delay so far in s. Thread-safe.
   double max_delay() const { return state_->max_delay; }
 
  private:
   struct State {
     std::atomic<double> max_delay = 0;
     Loop::Timer timer{0, 0};
-    bool stopped = false;  // on the loop
+    bool stopped = false;  // accessed on the loop only
   };
   static void schedule_sample(Loop& loop, const std::shared_ptr<State>& state);
 
@@ -34,11 +34,11 @@
   std::shared_ptr<State> state_ = std::make_shared<State>();
 };
 
-// What a machine has made its processes wait for, in s since it started, and this process's part of it. All 0
-// where the kernel does not tell.
+// Stall times of the machine in s since boot (pressure stall information), and the page faults of this
+// process. All 0 if the kernel does not provide them.
 struct HostStalls {
-  double cpu = 0, io = 0, memory = 0;  // somebody waited
-  double major_faults = 0;             // of this process: pages read from a disk
+  double cpu = 0, io = 0, memory = 0;  // time in which some process waited
+  double major_faults = 0;             // pages that this process had to read from disk
 
   static HostStalls now();
   HostStalls since(const HostStalls& before) const;
--- a/standins/world/membership_rules.cpp
+++ b/standins/world/membership_rules.cpp
@@ -17,15 +17,15 @@
   bool overlaps(double a, double b) const { return from < b && until > a; }
 };
 
-// What one node said of another's state.
+// A node's report of another node's state.
 struct StateReport {
   double at = 0;
   std::string by, of, state;
   std::string generation;
-  bool first_hand = false;  // found out by itself
+  bool first_hand = false;  // detected by the node itself, not learned from others
 };
 
-// What a timeline tells of processes, ways and words.
+// Process runs, link cuts and reports taken from a timeline.
 struct GroundTruth {
   std::vector<std::string> nodes;
   std::map<std::string, std::vector<Interval>> runs, stalls;
@@ -42,7 +42,7 @@
   bool connected(const std::string& x, const std::string& y, double a, double b) const {
     return !overlaps(cuts, std::pair(x, y), a, b) && !overlaps(cuts, std::pair(y, x), a, b);
   }
-  // Ran all the while, and was not kept from it.
+  // Ran all the time and was not stalled.
   bool was_healthy(const std::string& who, double a, double b) const {
     return ran(who, a, b) && !was_stalled(who, a, b);
   }
@@ -64,12 +64,12 @@
     if (m.role == Role::kNode) out.nodes.push_back(m.name);
   }
   for (const ProcessLifetime& lifetime : t.evidence.lifetimes) {
-    // A process is as good as gone from the signal on that ends it.
+    // A process counts as ended from the signal on that ends it.
     double until = lifetime.ended_at > 0 ? lifetime.ended_at : kNoEnd;
     if (lifetime.sigterm_at > 0) until = std::min(until, lifetime.sigterm_at);
     out.runs[lifetime.node].push_back({lifetime.started_at, until});
   }
-  // A member is told of by its key until its name is known.
+  // Logs identify a member by its key until its name is known.
   std::map<std::string, std::string> names;
   const auto field = [](const TimelineEntry& e, const char* name) {
     const auto it = e.fields.find(name);
@@ -135,7 +135,7 @@
         return i.from >= life.until && i.from < until;
       });
       if (again) continue;
-      // Those that are well and reach, both ways and all the while, more than half of those that are well.
+      // Healthy nodes that reach, in both directions and all the time, more than half of the healthy nodes.
       std::vector<std::string> healthy;
       for (const std::string& x : t.nodes) {
         if (x != who && t.was_healthy(x, life.until - b.evidence_window, until)) healthy.push_back(x);
@@ -165,7 +165,8 @@
     const double from = w.at - b.evidence_window;
     if (w.state != "dead" || !w.first_hand || from < t.began + b.startup_grace) continue;
     if (!t.was_healthy(w.of, from, w.at) || !t.was_healthy(w.by, from, w.at)) continue;
-    // A quarter of the others reaches it both ways, and the accuser reaches one of these.
+    // At least a quarter of the other nodes reach it in both directions, and the reporting node reaches one
+    // of these.
     std::size_t healthy = 0, reach = 0;
     bool heard = false;
     for (const std::string& x : t.nodes) {
@@ -209,10 +210,10 @@
 std::vector<std::string> check_no_resurrection(const GroundTruth& t) {
   std::vector<std::string> out;
   std::map<std::pair<std::string, std::string>, std::set<std::string>>
-      ended;  // lives, by who says so and of whom
+      ended;  // ended generations by reporting node and subject
   std::map<std::string, double> started;
   for (const StateReport& w : t.reports) {
-    // Each process that says so begins anew.
+    // A restarted reporting process starts without knowledge.
     const auto runs = t.runs.find(w.by);
     double life = 0;
     if (runs != t.runs.end()) {
--- a/standins/world/membership_rules.h
+++ b/standins/world/membership_rules.h
@@ -1,5 +1,5 @@
-// Rules over what the nodes of a world said of each other, from their logs (component peers) and from what
-// the script did to processes and ways. They know nothing of how membership works.
+// Rules for the membership views that nodes report in their logs (component peers), checked against the
+// faults that the script applied to processes and links. Independent of how membership is implemented.
 #pragma once
 
 #include <vector>
@@ -9,16 +9,19 @@
 namespace nettlestand::standins {
 
 struct MembershipBounds {
-  double detection = 5;        // s from a process' end until all know that live and are connected
-  double evidence_window = 4;  // s before a verdict in which its reasons may lie
-  double convergence = 8;      // s that a timeline has to be quiet at its end, for views to be equal
-  double startup_grace = 1;    // s at the start for the rules on deaths, for nodes to hear of each other
+  double detection = 5;        // s from the end of a process until all live, connected nodes have noticed
+  double evidence_window = 4;  // s before a declaration of death in which its causes may lie
+  double convergence = 8;      // s without faults at the end of a timeline after which views have to agree
+  double startup_grace =
+      1;  // s at the start that the rules on deaths ignore, while nodes learn of each other
 };
 
-// - a death is known to all that live and are connected
-// - nobody is called dead that a quarter of the nodes reaches both ways, by who is reached by one of these
-// - views are equal at the end
-// - no life comes back from the dead
+// The rules:
+// - a death is known to all live, connected nodes
+// - no node is declared dead while a quarter of the nodes reach it in both directions and the declaring node
+// reaches one of these
+// - all views agree at the end
+// - a process start (generation) that was declared ended never comes back
 std::vector<TimelineRule> membership_rules(const MembershipBounds& bounds);
 
 }  // namespace nettlestand::standins
--- a/standins/world/node_process.cpp
+++ b/standins/world/node_process.cpp
@@ -28,9 +28,9 @@
 namespace nettlestand::standins {
 namespace {
 
-constexpr double kStartTimeoutSeconds = 20;                   // s; only ends what would hang
-constexpr auto kPollInterval = std::chrono::milliseconds(4);  // between looks at what tells no other way
-constexpr std::string_view kListeningText = "listening on ";  // of the log, before the address
+constexpr double kStartTimeoutSeconds = 20;                   // only ends a test that would hang
+constexpr auto kPollInterval = std::chrono::milliseconds(4);  // for conditions that have no notification
+constexpr std::string_view kListeningText = "listening on ";  // log text that precedes the address
 
 std::string temporary_path(const char* what) {
   static std::atomic<int> count = 0;
@@ -99,10 +99,10 @@
 
 namespace {
 
-// Runs f on a thread that lives as long as this process: a child is told to die with the thread that has made
-// it.
+// Runs `f` on a thread that lives as long as this process: PR_SET_PDEATHSIG kills a child when the thread
+// that forked it ends.
 pid_t on_spawner(const std::function<pid_t()>& f) {
-  static LoopThread* const spawner = new LoopThread;  // never ended
+  static LoopThread* const spawner = new LoopThread;  // never destroyed
   pid_t out = -1;
   spawner->loop().call([&] { out = f(); });
   return out;
@@ -122,7 +122,7 @@
   }
   const Fd log(open(log_path_.c_str(), O_CREAT | O_TRUNC | O_WRONLY | O_APPEND | O_CLOEXEC, 0600));
   if (!log) throw std::runtime_error("can't write " + log_path_);
-  // All that needs memory comes before the fork: other threads may hold its locks.
+  // Allocates everything before the fork: other threads may hold allocator locks during it.
   std::vector<std::string> kept = options.environment;
   kept.push_back("GW_CONFIG=" + config_path_);
   for (char** e = environ; *e != nullptr; ++e) {
@@ -142,7 +142,7 @@
     const pid_t child = fork();
     if (child != 0) return child;
     prctl(PR_SET_PDEATHSIG, SIGKILL);
-    if (getppid() != parent) _exit(127);  // this process is dead already
+    if (getppid() != parent) _exit(127);  // the parent has died already
     dup2(log.get(), 1);
     dup2(log.get(), 2);
     const rlimit limit{options.max_descriptors, options.max_descriptors};
@@ -223,7 +223,7 @@
   if (child_ <= 0) return;
   if (which == SIGTERM && lifetime_.sigterm_at == 0) lifetime_.sigterm_at = now();
   kill(child_, which);
-  if (which == SIGKILL) reap(true);  // so that its end is known to the moment
+  if (which == SIGKILL) reap(true);  // so that the time of its end is exact
 }
 
 void NodeProcess::pause() {
--- a/standins/world/node_process.h
+++ b/standins/world/node_process.h
@@ -1,4 +1,4 @@
-// The node as a program: its configuration, its start, its signals and its end.
+// Runs the node program as a child process: configuration, start, signals and exit.
 #pragma once
 
 #include <sys/types.h>
@@ -11,98 +11,99 @@
 
 namespace nettlestand::standins {
 
-// A class of requests as the node's settings name it.
+// A request class as in the node's settings.
 struct NodeRequestClass {
   std::string name;
-  std::string effect = "safe";                    // safe, keyed or unsafe
-  std::string group = "all";                      // keyed: all, zone or cell
-  double window = 4;                              // s, keyed: so long servers remember
-  double aim = 1, give_up = 2, late_worth = 0.5;  // s, s
+  std::string effect = "safe";  // safe, keyed or unsafe
+  std::string group = "all";    // keyed: servers that deduplicate together (all, zone or cell)
+  double window = 4;            // s, keyed: how long servers remember a key
+  double aim = 1, give_up = 2, late_worth = 0.5;  // s, s, value of a late answer
 };
 
-// As the checker wants it.
+// The same class as the checker describes it.
 CheckedClass checked_class(const NodeRequestClass& c);
 
 struct NodeTenantConfig {
   std::string name;
-  double allowance = 1000;  // calls/s over all nodes
+  double allowance = 1000;  // calls per second over all nodes
 };
 
-// What a node is told; json() is its configuration.
+// Configuration of a node; json() is the text of its file.
 struct NodeConfig {
   std::string name = "n1";
   std::string ip = "127.0.0.1";
-  int listen = 0;     // port; 0: the kernel gives one
+  int listen = 0;     // port; 0: chosen by the kernel
   int discovery = 0;  // port
   std::string discovery_ip = "127.0.0.1";
-  int zone = 0;  // its own, a place in `zones`
+  int zone = 0;  // its own zone, an index into `zones`
   std::string seed = "8c1f30d27a5be964";
   int sockets = 1024, memory_mb = 64;
-  int stage = 1, peers = 1, position = 0;  // its tier, how many nodes stand before it, its number among them
+  int stage = 1, peers = 1, position = 0;  // its tier, the number of nodes, its number among them
   std::vector<std::string> zones = {"a"};
   std::vector<NodeRequestClass> classes = {{"safe"}};
   std::vector<NodeTenantConfig> tenants = {{"acme"}};
   double connect_timeout = 0.25, idle_close = 5;  // s
   int attempts = 4;
   bool cancel = true, second_copies = false, subscribe = true;
-  double retry_after = 2;  // s, the longest advice; 0: none
+  double retry_after = 2;  // s, the longest Retry-After; 0: none
   double ask_within = 0.4, start_capacity = 1, ramp_time = 0;
   double over_share_worth = 1;
-  std::string peer_listen;        // address of its socket for other nodes, where they may speak to each other
-  std::string broadcast_address;  // an address that reaches all of them at once, or nothing
+  std::string peer_listen;        // address of its socket for other nodes; empty: none
+  std::string broadcast_address;  // an address that reaches all nodes at once; empty: none
   std::vector<std::string>
-      peer_addresses;         // the nodes' addresses as it reaches them, in the order of their positions
-  std::string known_servers;  // a list in discovery's form, or nothing
-  std::string extra_members;  // further members of the configuration, each with a comma behind it
+      // The nodes' addresses as this node reaches them, by position.
+      peer_addresses;
+  std::string known_servers;  // a server list in discovery's format; empty: none
+  std::string extra_members;  // further JSON members of the configuration, each followed by a comma
 
   std::string json() const;
 };
 
-// What a process is started with besides.
+// Further options for starting the process.
 struct ProcessOptions {
-  unsigned max_descriptors = 1024;       // its limit
-  std::vector<std::string> arguments;    // of the program
-  std::vector<std::string> environment;  // NAME=VALUE, beside this process's own
-  std::string operator_file;             // text of a file that it runs on too (--config), or nothing
+  unsigned max_descriptors = 1024;       // limit of open file descriptors
+  std::vector<std::string> arguments;    // program arguments
+  std::vector<std::string> environment;  // NAME=VALUE, in addition to this process's environment
+  std::string operator_file;             // text of an additional operator file (--config); empty: none
 };
 
-// What the machine has given a process, in s.
+// CPU accounting of a process, in s.
 struct ProcessTimes {
-  double run_seconds = 0;       // on a core
-  double cpu_wait_seconds = 0;  // ready to run, and no core was free
+  double run_seconds = 0;       // running on a core
+  double cpu_wait_seconds = 0;  // runnable, but waiting for a core
 };
 
-// One process. Not for two threads at once. Ends only what it has started, at the latest with its own end,
-// and also where this process dies first.
+// A node process. Not thread-safe. Ends only the child that it started: at the latest in the destructor, and
+// also if this process dies first.
 class NodeProcess {
  public:
-  // `binary`: the node's file. Throws std::runtime_error.
+  // `binary`: path of the node program. Throws std::runtime_error.
   NodeProcess(std::string binary, const NodeConfig& config, ProcessOptions options = {});
   ~NodeProcess();
   NodeProcess(const NodeProcess&) = delete;
   NodeProcess& operator=(const NodeProcess&) = delete;
 
-  // Waits until the log tells where it listens. Throws std::runtime_error, with the log, where it does not.
+  // Waits until the log states the listening port. Throws std::runtime_error with the log if it does not.
   int port();
   // Waits until /healthz answers 200.
   void await_ready();
-  // One look at /healthz: the status, 0 where there is none.
+  // Requests /healthz once: the status, or 0 without an answer.
   int health();
-  // SIGKILL: returns once it has ended.
+  // Sends a signal; for SIGKILL, returns once the process has ended.
   void signal(int which);
-  // Replaces the configuration file and has it read (SIGHUP).
+  // Replaces the configuration file and makes the node read it (SIGHUP).
   void reload(const NodeConfig& config);
-  // Waits for its end. The exit code, or the negative signal.
+  // Waits for the process to end. The exit code, or the negated signal number.
   int exit_code();
   bool running();
   std::string log() const;
   pid_t pid() const { return child_; }
-  // SIGSTOP and SIGCONT. Returns once the process stands, or runs again.
+  // Sends SIGSTOP or SIGCONT. pause() returns once the process has stopped.
   void pause();
   void resume();
   ProcessTimes times() const;
   std::size_t resident_kb() const;
-  // When it was started, signalled and ended, as far as that is known by now.
+  // Times of its start, signal and end, as far as known.
   const ProcessLifetime& lifetime() const { return lifetime_; }
 
  private:
--- a/standins/world/script.cpp
+++ b/standins/world/script.cpp
@@ -10,10 +10,10 @@
 
 using MemberIndices = std::vector<std::size_t>;
 
-// The verbs of a role, and how many figures each takes: at least, at most. Of a way's, words between figures.
+// Number of arguments of a verb, and for links the keyword between them.
 struct ArgumentSpec {
   std::size_t min = 0, max = 0;
-  const char* keyword = nullptr;  // before the second figure
+  const char* keyword = nullptr;  // before the second argument
 };
 const std::map<std::string, ArgumentSpec> kNodeVerbs = {
     {"pause", {}},         {"starve", {1, 1}}, {"kill", {}},   {"term", {}},
@@ -91,7 +91,7 @@
     return value;
   }
 
-  // Who is meant by one side; `others`: who the other side names, for `rest`.
+  // Members that a subject names; `others`: members of the other side, which `rest` excludes.
   MemberIndices resolve_members(const std::string& text, const MemberIndices& others) const {
     MemberIndices all;
     std::istringstream in(text);
@@ -146,7 +146,7 @@
     return named;
   }
 
-  // Takes "for D" off the end, and the figures.
+  // Parses a command: removes "for D" from its end, then reads the arguments.
   void parse_command(WorldFault& fault, const std::string& command,
                      const std::map<std::string, ArgumentSpec>& verbs) const {
     std::vector<std::string> words = words_of(command);
@@ -222,7 +222,7 @@
         std::swap(fault.who, fault.to);
         const bool there =
             std::find(b.begin(), b.end(), x) != b.end() && std::find(a.begin(), a.end(), y) != a.end();
-        if (!there) out.push_back(fault);  // else its turn comes
+        if (!there) out.push_back(fault);  // otherwise the loop adds it later
       }
     }
   }
--- a/standins/world/script.h
+++ b/standins/world/script.h
@@ -1,5 +1,4 @@
-// The language in which a world is told what happens to it: ../SCRIPT.md. Read and resolved here, without
-// I/O.
+// Parser for the fault scripts of a world, whose language ../SCRIPT.md describes. No I/O.
 #pragma once
 
 #include <string>
@@ -19,23 +18,23 @@
   std::string zone, region;
 };
 
-// One line, for one machine or one way between two.
+// One command of a script, applied to one machine or to one direction of a link.
 struct WorldFault {
   double at = 0, duration = kForever;  // s
-  std::size_t who = 0;                 // place among the members; of a way: where it begins
-  std::size_t to = kNoMember;          // of a way: where it ends
+  std::size_t who = 0;                 // index of the member, or of the sender of a directed link
+  std::size_t to = kNoMember;          // receiver of a directed link
   std::string verb;
-  std::vector<double> arguments;  // in the order of SCRIPT.md
-  Fault server;                   // where a scripted server does it: `verb` is "server"
-  std::size_t line = 0;           // of the script, from 1
+  std::vector<double> arguments;  // numbers in the order of SCRIPT.md
+  Fault server;                   // the fault of a scripted server, if `verb` is "server"
+  std::size_t line = 0;           // line of the script, from 1
 
   static constexpr std::size_t kNoMember = static_cast<std::size_t>(-1);
 };
 
-// Whether it is one of a wrong clock or a bad disk, for which a world has to have seams.
+// Whether the fault needs the interposed library: a wrong clock or a faulty disk.
 bool needs_interposed_faults(const WorldFault& fault);
 
-// In the order of their times, and then of the script. Throws ScriptError, which names the line.
+// Parses a script; faults are ordered by time, then by line. Throws ScriptError, which names the line.
 std::vector<WorldFault> parse_world_script(std::string_view text, const std::vector<Member>& members);
 
 }  // namespace nettlestand::standins
--- a/standins/world/timeline.h
+++ b/standins/world/timeline.h
@@ -1,5 +1,5 @@
-// All that happened in a world, in one order: scripts and faults, what nodes said, sends, answers. And what a
-// rule over all of it may find. No I/O, no clock.
+// The events of a run in order of time: faults, node logs, requests and answers; and rules that check them.
+// No I/O, no clock.
 #pragma once
 
 #include <functional>
@@ -14,42 +14,43 @@
 namespace nettlestand::standins {
 
 struct TimelineEntry {
-  double at = 0;     // s on now()'s clock
-  std::string who;   // a machine
+  double at = 0;     // s on the clock of now()
+  std::string who;   // a member's name
   std::string kind;  // fault, fault-end, log, told, call, attempt, answer, life
-  std::string what;  // a sentence, or an event's name
+  std::string what;  // a description, or the name of an event
   std::map<std::string, std::string> fields;
 };
 
 struct Timeline {
   double began = 0, ended = 0;  // s
   std::vector<Member> members;
-  std::vector<TimelineEntry> entries;  // in the order of their times
-  Evidence evidence;                   // the stand-ins' records, whole
+  std::vector<TimelineEntry> entries;  // ordered by time
+  Evidence evidence;                   // complete records of the test doubles
 
-  // One entry a line, with times from `began`; of the calls and attempts those alone that `holds` names.
+  // One entry per line, with times relative to `began`. Without a filter, calls, attempts and answers are
+  // left out.
   std::string text(const std::function<bool(const TimelineEntry&)>& filter = {}) const;
-  // A JSON object a line.
+  // One JSON object per line.
   std::string json_lines() const;
 };
 
-// Turns records into entries: call, attempt, answer, told, life.
+// Adds entries for the records: call, attempt, answer, told, life.
 void add_records(Timeline& timeline);
-// A node's log in its JSON form. Lines that are no such objects are kept as they are.
+// Adds a node's JSON log. Other lines are kept as they are.
 void add_log(Timeline& timeline, const std::string& node, const std::string& log);
 void sort(Timeline& timeline);
 
-// A rule over the timeline. Directions add theirs.
+// A rule that is checked against a timeline.
 struct TimelineRule {
   std::string name;
-  std::function<std::vector<std::string>(const Timeline&)> violations;  // a sentence each
+  std::function<std::vector<std::string>(const Timeline&)> violations;  // one description per violation
 };
 
-// The four rules over all nodes together: one final answer, effects once, drains, and cold servers by the sum
-// of what all nodes send them.
+// The checker's four rules over all nodes together: one final answer, no duplicate effects, drains, and cold
+// servers, which the sum of all nodes' requests must not overload.
 std::vector<TimelineRule> request_rules(const CheckerSettings& settings);
 
-// All that is broken, a line each; empty where nothing is.
+// All violations, one per line; empty if there are none.
 std::string describe_violations(const std::vector<TimelineRule>& rules, const Timeline& timeline);
 
 }  // namespace nettlestand::standins
--- a/standins/world/world.cpp
+++ b/standins/world/world.cpp
@@ -15,19 +15,20 @@
 namespace {
 
 constexpr auto kPollInterval = std::chrono::milliseconds(2);
-constexpr double kOverloadFactor = 4;          // of what a cold server can do; beyond it, it falls over
-constexpr double kStarvePeriodSeconds = 0.02;  // s; of a process that is starved
-constexpr double kStarvationCheckIntervalSeconds = 1;  // s between looks at who waited for a core
-constexpr double kExitPollIntervalSeconds = 0.02;      // s
-constexpr double kMaxLoopDelaySeconds = 0.1;           // s; later than that, and a run is void
-constexpr double kMaxCpuWaitSeconds = 0.25;            // s of that, beyond which a run is void
+constexpr double kOverloadFactor = 4;          // times the capacity of a cold server beyond which it fails
+constexpr double kStarvePeriodSeconds = 0.02;  // cycle of running and stopping a starved process
+constexpr double kStarvationCheckIntervalSeconds = 1;
+constexpr double kExitPollIntervalSeconds = 0.02;  // s
+constexpr double kMaxLoopDelaySeconds = 0.1;       // a greater delay makes a run invalid
+constexpr double kMaxCpuWaitSeconds =
+    0.25;  // per check interval; a longer wait for a core makes a run invalid
 
 }  // namespace
 
 ProcessWorld::ProcessWorld(WorldSettings settings) : settings_(std::move(settings)) {
   if (settings_.zones.empty() || settings_.nodes == 0)
     throw std::invalid_argument("a world needs zones and nodes");
-  // Each call holds five descriptors here: its caller's, two of each link, its server's.
+  // Each call uses five descriptors in this process: the client's, two for each link, and the server's.
   rlimit files{};
   if (getrlimit(RLIMIT_NOFILE, &files) == 0 && files.rlim_cur < files.rlim_max) {
     files.rlim_cur = files.rlim_max;
@@ -54,7 +55,8 @@
         add("callers-" + settings_.zones[i].name, Role::kCallers, settings_.zones[i], i));
   }
   discovery_member_ = add("discovery", Role::kDiscovery, settings_.zones[0], 0);
-  members_.back().zone = members_.back().region = "";  // of no zone: lost with none
+  members_.back().zone = members_.back().region =
+      "";  // belongs to no zone, so that no zone fault includes it
   for (std::size_t a = 0; a < members_.size(); ++a) {
     for (std::size_t b = 0; b < members_.size(); ++b) {
       if (a == b || members_[a].zone.empty() || members_[b].zone.empty()) continue;
@@ -76,7 +78,8 @@
     }
   }
   if (settings_.voters > 0) {
-    // Held while the world lives: the kernel would give it to a node's own listener, which asks for any port.
+    // The ports stay reserved for the lifetime of the world: otherwise the kernel might assign one to a
+    // node's own listener, which asks for any port.
     for (std::size_t j = 0; j < settings_.voters; ++j) {
       voter_ports_.push_back(listen_on(Address{network_->ip(machines_[node_members_[j]]), voter_port_}, -1));
       voter_port_ = port_of(voter_ports_.back().get());
@@ -197,7 +200,7 @@
   return options;
 }
 
-// A node's [duties] and the voters as it reaches them.
+// The [duties] section of a node, with the voters' addresses as this node reaches them.
 std::string ProcessWorld::duties_of(std::size_t i) {
   const auto own = [&](std::size_t j) { return network_->ip(machines_[node_members_[j]]); };
   const std::string port = ":" + std::to_string(voter_port_) + "\"\n";
@@ -211,8 +214,9 @@
   return out;
 }
 
-// A node that two faults have killed is back with the first of their ends. Guards the verdict: in its place
-// another process would start, and this one would be gone with no word of its death in the records.
+// Does nothing for a running node: a node killed by two overlapping faults restarts when the first of them
+// ends. Otherwise a second process would replace the first one without a record of its death, and the checker
+// would report false violations.
 void ProcessWorld::start_node(std::size_t i) {
   if (nodes_[i]) return;
   nodes_[i] = std::make_unique<NodeProcess>(settings_.binary, config_of(i), options_of(i));
@@ -237,7 +241,7 @@
     out.servers.push_back(
         {"s" + std::to_string(i), members_[server_members_[i]].zone, static_cast<int>(i / 2)});
   }
-  // The verdict must not hang on how busy the machine is.
+  // Generous slack, so that the result does not depend on how busy the machine is.
   out.late_slack = 2.5;
   out.answer_race_slack = 0.5;
   out.drain_slack = 0.5;
@@ -296,7 +300,7 @@
     if (now() >= next_starvation_check_) check_starvation();
     std::this_thread::sleep_for(kPollInterval);
   }
-  // What was to end later ends now: the world is well again.
+  // Ends all remaining faults now, so that the world is healthy again.
   ending_faults_ = true;
   while (!scheduled_.empty()) {
     const auto f = std::move(scheduled_.begin()->second);
@@ -407,7 +411,7 @@
   }
 }
 
-// One turn of a process that runs for a part of the time, and then the next.
+// One stop-and-run cycle of a starved process; schedules the next.
 void ProcessWorld::starve(std::size_t i, double until, double share) {
   if (!nodes_[i]) return;
   if (ending_faults_ || now() >= until) {
@@ -421,7 +425,7 @@
   });
 }
 
-// A node's end after SIGTERM is awaited in looks, so that the script goes on meanwhile.
+// Polls for the exit of a node after SIGTERM, so that the script continues meanwhile.
 void ProcessWorld::poll_exit(std::size_t i, double back_at) {
   if (nodes_[i] && ending_faults_) nodes_[i]->exit_code();
   if (nodes_[i] && nodes_[i]->running()) {
@@ -549,8 +553,8 @@
   out.members = members_;
   out.evidence = {recorder_.calls(), recorder_.attempts(), recorder_.list_changes(), recorder_.overloads(),
                   lifetimes_};
-  // When a node sent it, and not when a way that was cut let it through.
-  std::map<int, std::vector<Network::Held>> held;  // by port
+  // Uses the time at which a node sent a request, not the time at which a partitioned link delivered it.
+  std::map<int, std::vector<Network::Held>> held;  // by source port
   for (const Network::Held& one : network_->held()) held[one.source_port].push_back(one);
   const std::vector<ConnectionRecord> connections = recorder_.connections();
   for (AttemptRecord& attempt : out.evidence.attempts) {
--- a/standins/world/world.h
+++ b/standins/world/world.h
@@ -1,6 +1,6 @@
-// A world of processes: nodes, each a process of the program, with their servers, discovery and callers, in
-// zones and regions; every way between two machines leads through links. Scripts (../SCRIPT.md) put faults on
-// all of it, and what everybody saw and said comes out as one timeline.
+// A test cluster of real node processes together with test doubles for servers, discovery and clients, spread
+// over zones and regions. All traffic between two machines passes through simulated links. Fault scripts
+// (../SCRIPT.md) act on every part, and the records of all parties are merged into one timeline.
 #pragma once
 
 #include <atomic>
@@ -24,92 +24,98 @@
 
 struct WorldZone {
   std::string name = "a", region = "r";
-  double traffic = 1;  // its part of the calls, in proportion
+  double traffic = 1;  // share of the calls, as a relative weight
 };
 
 struct WorldSettings {
-  std::string binary;  // the node's file
+  std::string binary;  // path of the node program
   std::uint64_t seed = 1;
   std::vector<WorldZone> zones = {WorldZone{}};
   double cross_zone_delay = 0, cross_region_delay = 0;  // s, one way
-  std::size_t nodes = 3, servers = 3;                   // dealt out among the zones in turn
-  ServerSettings server;                                // names, addresses and seeds are the world's
-  NodeConfig node;                                      // likewise; tells classes, tenants, limits
-  LoadSettings load;                                    // rate: over all zones
+  std::size_t nodes = 3, servers = 3;                   // assigned to the zones round-robin
+  ServerSettings server;  // template; names, addresses and seeds are set per server
+  NodeConfig node;        // template; provides request classes, tenants and limits
+  LoadSettings load;      // the rate is the total over all zones
   ProcessOptions process;
-  // Nodes may speak to each other: each has a socket for it, and all ways between them lead through links.
+  // Nodes exchange messages: each has a socket for that, and all paths between them pass through simulated
+  // links.
   bool peers = false;
-  // The first so many nodes vote on duties, the others are clients of theirs; nodes may speak to each other
-  // then.
+  // Number of nodes, from the first on, that vote on duties; the others are clients of the voters. Implies
+  // communication between nodes.
   std::size_t voters = 0;
-  std::string duties;  // more lines of [duties] in all nodes' files, and sections behind it
-  // Called for each voter before its first start, with its state folder: makes what it votes with.
+  std::string
+      duties;  // additional lines for the [duties] section of every node's file, and sections after it
+  // Called for each voter before its first start with its state folder; creates the voter's initial store.
   std::function<void(std::size_t node, const std::string& folder)> prepare_voter;
-  bool logs = true;                   // nodes log in JSON, for the timeline
-  std::string interpose_environment;  // the assignment of the environment that puts the seams before a node,
-                                      // from the tests; or empty
+  bool logs = true;  // nodes log in JSON, as the timeline requires
+  // Environment assignment that loads the interposed library into a node; set by tests. Empty: none.
+  std::string interpose_environment;
 };
 
-// What a world took of the machine. Where nodes were kept waiting for a core for longer than they may,
-// nothing that was timed in the run means anything: it is void, and played again.
+// CPU starvation during a run. If nodes waited for a core for too long, no timing of the run is meaningful:
+// the run is invalid and is repeated.
 struct Starvation {
   double max_cpu_wait =
-      0;                // s in one second that a process waited for a core, with no script that wanted it so
-  std::string process;  // which
-  double max_loop_delay = 0;  // s that the stand-ins' own loop was late at the most, where that was too much
-  HostStalls machine;         // meanwhile
+      // Longest time within one second, in s, that a process waited for a core without a fault script asking
+      // for it.
+      0;
+  std::string process;  // the process that waited longest
+  // Longest delay of the test doubles' event loop in s, if it exceeded the bound.
+  double max_loop_delay = 0;
+  HostStalls machine;  // stalls of the whole machine during the run
   bool is_invalid = false;
 
-  // Counts how late the stand-ins' loop was: they are a part of the measure, and what their lateness does to
-  // calls and to nodes' words is no fault of the nodes'.
+  // Records a delay of the test doubles' event loop. A late double delays calls and messages, which must not
+  // be attributed to the nodes.
   void record_loop_delay(double late);
 };
 
-// Not for two threads at once.
+// Runs one test cluster. Not thread-safe.
 class ProcessWorld {
  public:
-  // Throws std::exception where it can't be set up.
+  // Throws std::exception if the setup fails.
   explicit ProcessWorld(WorldSettings settings);
   ~ProcessWorld();
   ProcessWorld(const ProcessWorld&) = delete;
   ProcessWorld& operator=(const ProcessWorld&) = delete;
 
-  // Servers, then discovery, then nodes; returns once all of them are ready.
+  // Starts servers, then discovery, then nodes; returns once all are ready.
   void start();
-  // Calls for so many seconds with a script beside them; returns once all calls have ended. Throws
-  // ScriptError before anything begins.
+  // Generates load for `seconds` while a fault script runs; returns once all calls have ended. Throws
+  // ScriptError before anything starts.
   void play(const std::string& script, double seconds);
-  // Ends the nodes, with SIGTERM first where `gently`, and gathers what all of them saw.
+  // Ends the nodes, with SIGTERM first if `graceful`, and collects all records.
   Timeline finish(bool graceful = false);
 
   const std::vector<Member>& members() const { return members_; }
   Network& network() { return *network_; }
-  // Of all stand-ins of this world.
+  // Event loop of all test doubles of this world.
   Loop& loop() { return thread_.loop(); }
   ScriptedDiscovery& discovery() { return *discovery_; }
   ScriptedServer& server(std::size_t i) { return *servers_[i]; }
   NodeProcess& node(std::size_t i) { return *nodes_[i]; }
   bool runs(std::size_t i) const { return nodes_[i] != nullptr; }
-  // What a node of this world is started with; "{state}" in its operator's file stands for its state folder.
+  // Configuration and options with which a node is started; "{state}" in its operator file stands for its
+  // state folder.
   NodeConfig config_of(std::size_t i);
   ProcessOptions options_of(std::size_t i);
-  // Ends a node by a signal, and starts it again.
+  // Ends a node with a signal, or starts it again.
   void end_node(std::size_t i, int signal);
   void start_node(std::size_t i);
   int peer_port() const { return peer_port_; }
   int voter_port() const { return voter_port_; }
-  // What has happened so far by script, and what a test wants on the timeline.
+  // Adds an event to the timeline, as the fault script does.
   void note(const std::string& who, const std::string& kind, const std::string& what) {
     events_.push_back({now(), who, kind, what, {}});
   }
   int machine(std::size_t member) const { return machines_[member]; }
-  // What a node keeps; its process finds it in NETTLESTAND_STATE.
+  // State folder of a node, which its process finds in NETTLESTAND_STATE.
   StateFolder& state(std::size_t i) { return *states_[i]; }
   const Starvation& starvation() const { return starvation_; }
   double seconds_to_start() const { return start_duration_; }
-  // Waits, in a loop of looks, until it holds; false after `patience` s.
+  // Polls until `condition` holds; false after `timeout` seconds.
   static bool until(const std::function<bool()>& condition, double timeout = 20);
-  // For the checker: classes and servers as this world has them.
+  // Checker settings with the request classes and servers of this world.
   CheckerSettings checker_settings() const;
 
  private:
@@ -131,33 +137,34 @@
   Recorder recorder_;
   std::unique_ptr<ScriptedDiscovery> discovery_;
   std::vector<Member> members_;
-  std::vector<int> machines_;            // of the network, by member
-  std::vector<std::size_t> role_index_;  // among the nodes or servers, by member
+  std::vector<int> machines_;            // machine numbers in the network, by member
+  std::vector<std::size_t> role_index_;  // index among the nodes or servers, by member
   std::vector<std::size_t> node_members_, server_members_, caller_members_;
   std::size_t discovery_member_ = 0;
   std::vector<std::unique_ptr<ScriptedServer>> servers_;
   std::vector<std::unique_ptr<NodeProcess>> nodes_;
   std::vector<std::unique_ptr<StateFolder>> states_;
-  std::vector<std::unique_ptr<InterposedFaults>> interposed_faults_;  // by node, where there are any
+  std::vector<std::unique_ptr<InterposedFaults>>
+      interposed_faults_;  // by node; null without interposed faults
   std::vector<int> node_ports_;
-  std::vector<std::string> logs_;         // of node processes that are gone, by node
-  std::vector<bool> stalled_on_purpose_;  // paused or starved on purpose, by node
+  std::vector<std::string> logs_;         // of processes that have ended, by node
+  std::vector<bool> stalled_on_purpose_;  // paused or starved by the fault script, by node
   std::vector<ProcessLifetime> lifetimes_;
   std::vector<std::unique_ptr<LoadClient>> loads_;
   std::vector<TimelineEntry> events_;
   std::vector<ProcessTimes> last_times_;
-  std::multimap<double, std::function<void()>> scheduled_;  // what this thread is to do, and when
+  std::multimap<double, std::function<void()>> scheduled_;  // actions of the calling thread by due time
   Starvation starvation_;
   double started_at_ = 0, start_duration_ = 0, next_starvation_check_ = 0;
-  int peer_port_ = 0;   // of all nodes' sockets for each other
-  int voter_port_ = 0;  // where voters listen
+  int peer_port_ = 0;   // port of all nodes' sockets for each other
+  int voter_port_ = 0;  // port on which voters listen
   std::vector<Fd> voter_ports_;
-  bool ending_faults_ = false;  // what was to come ends now
+  bool ending_faults_ = false;  // true while the remaining fault ends are run early
 };
 
-// Plays a world until a run is not void, `tries` times at most, and says so on standard error. Returns what
-// `play` made of the last run; `is_void` tells of that one. A run that complains is played again only where
-// it was void.
+// Calls `play`, at most `tries` times, until a run is valid; reports each invalid run on standard error.
+// Returns the result of the last run, and `is_invalid` tells whether that run was invalid. A run with
+// failures is repeated only if it was invalid.
 std::string run_until_valid(int tries, bool& is_invalid, const std::function<std::string(Starvation&)>& play);
 
 }  // namespace nettlestand::standins
--- a/tests/faults/availability_test.cpp
+++ b/tests/faults/availability_test.cpp
@@ -1,5 +1,5 @@
-// What callers get when servers are bad: rules kept are not enough. Shares, not times, are asserted, over
-// time limits that leave a busy machine several times what it needs.
+// Availability for clients while servers fail, beyond keeping the rules. Asserts shares rather than times,
+// with limits that leave a busy machine several times what it needs.
 #include <map>
 #include <mutex>
 
@@ -10,8 +10,8 @@
 namespace nettlestand::standins::testing {
 namespace {
 
-// Three good servers and ten that refuse, 100 calls a second, four seeds. From the first second on, of each
-// class at least 99 % are served.
+// Three healthy servers and ten that refuse connections, 100 calls/s, four seeds. From the first second on,
+// at least 99 % of each class are served.
 std::string three_good_ten_refusing(int stage) {
   std::mutex mutex;
   std::map<std::string, LoadCounts> sum;
@@ -51,8 +51,8 @@
 TEST(Refusing, ThreeGoodServersCarryTheFirstTier) { EXPECT_EQ(three_good_ten_refusing(0), ""); }
 TEST(Refusing, ThreeGoodServersCarryALaterTier) { EXPECT_EQ(three_good_ten_refusing(1), ""); }
 
-// Danger: what was learned at few connections binds at many, and healthy traffic is refused: 82 % of it at 64
-// connections, 96 % at 256, on servers that stood at a tenth of a core.
+// Guards against a concurrency limit learned at few connections that rejects healthy traffic at many: 82 % of
+// it at 64 connections and 96 % at 256 were refused, on servers at a tenth of a core.
 std::string closed_loop(int callers) {
   World w;
   w.config.stage = 0;
@@ -64,7 +64,7 @@
   w.start();
   LoadSettings load = w.calls(5);
   load.callers = 16;
-  load.seconds = 3.5;  // as long as the usual answer time takes to be learned
+  load.seconds = 3.5;  // long enough to learn the usual answer time
   w.load(load);
   load.callers = callers;
   load.seconds = 60;
@@ -72,7 +72,7 @@
   load.seed = 2;
   const LoadResult result = w.load(load);
   std::string out = w.complaints();
-  // A machine that is far too busy may be given some refusals; what this is about are most of the calls.
+  // An overloaded machine may cause some refusals; the fault refused most calls.
   if (result.all.refused * 2 > result.all.calls) {
     out += std::to_string(callers) + " connections: " + result.json() + "\n";
   }
@@ -83,7 +83,7 @@
   EXPECT_EQ(run_parallel(2, 1, [](int i) { return closed_loop(i == 0 ? 64 : 256); }), "");
 }
 
-// A server that refused and is back gets its share again.
+// A server that refused connections gets its share again after recovery.
 TEST(Refusing, AServerThatIsBackGetsItsShare) {
   EXPECT_EQ(run_parallel(2, 2,
                          [](int stage) -> std::string {
@@ -98,8 +98,8 @@
                            load.rate = 200;
                            load.seconds = 8;
                            w.load(load);
-                           // Of the last second's calls, at least half of a fair part: the server has been
-                           // back for 5 s then.
+                           // Of the last second's calls, it gets at least half of a fair share: it has been
+                           // back for 5 s by then.
                            const std::vector<AttemptRecord> attempts = w.recorder.attempts();
                            const double end = attempts.back().first_byte_at;
                            double all = 0, back = 0;
@@ -118,12 +118,12 @@
             "");
 }
 
-// 60 answers of 390 KB at a time with 5 s to go, where answers were small before.
+// 60 concurrent answers of 390 KB with a limit of 5 s, after small answers.
 std::string large_answers_after_small(int stage, const std::string& script) {
   World w;
   w.config.stage = stage;
   for (NodeRequestClass& c : w.config.classes) c.give_up = 5;
-  w.config.memory_mb = 192;  // room for all of them: not what is tested here
+  w.config.memory_mb = 192;  // enough for all answers: memory is not under test
   ServerSettings settings;
   settings.service = 0.003;
   for (int i = 0; i < 3; ++i) w.add(settings);
@@ -145,17 +145,19 @@
   return out;
 }
 
-// Danger: time-outs learned from small answers cut these off, spend the further attempts and refuse the rest.
+// Guards against timeouts learned from small answers that cut large ones off, use up the retries and refuse
+// the rest.
 TEST(LargeAnswers, AreServedAfterSmallOnes) {
   EXPECT_EQ(run_parallel(2, 1, [](int stage) { return large_answers_after_small(stage, ""); }), "");
 }
 
-// The same, and it takes the servers 0.3 s to make them.
+// The same with servers that need 0.3 s per answer.
 TEST(LargeAnswers, AreServedWhenTheyTakeLongerToo) {
   EXPECT_EQ(run_parallel(2, 2, [](int stage) { return large_answers_after_small(stage, "slower 100"); }), "");
 }
 
-// 100 KB at 20 KB/s, or with a stop of 1 s in the middle, within the caller's 8 s; after small quick ones.
+// 100 KB at 20 KB/s, or with a stop of 1 s in the middle, within the client's limit of 8 s; after small, fast
+// answers.
 std::string slow_answer(std::size_t request_class, const std::string& script) {
   World w;
   for (NodeRequestClass& c : w.config.classes) {
@@ -195,7 +197,7 @@
             "");
 }
 
-// A server that sends a byte a second only to hold its place: a safe request goes elsewhere in time.
+// A server that sends one byte per second: a safe request is sent elsewhere in time.
 TEST(SlowAnswers, AByteASecondDoesNotHoldASafeRequest) {
   EXPECT_EQ(run_parallel(2, 2,
                          [](int stage) -> std::string {
--- a/tests/faults/checker_test.cpp
+++ b/tests/faults/checker_test.cpp
@@ -1,4 +1,4 @@
-// The checker: each rule with what breaks it and with what comes near.
+// Tests each rule of the checker with violations and with near misses.
 #include "standins/checker/checker.h"
 
 #include <gtest/gtest.h>
@@ -11,10 +11,10 @@
 using Effect = CheckedClass::Effect;
 using Group = CheckedClass::Group;
 
-constexpr double kStart = 100;  // when the one request was sent
+constexpr double kStart = 100;  // time at which the request was sent
 constexpr std::uint64_t kBody = 77;
 
-// One request of the class `name` with what came of it; times are s after it was sent.
+// One request of the class `name` and its attempts; times are s after it was sent.
 struct RequestCase {
   CheckerSettings settings;
   Evidence e;
@@ -47,7 +47,7 @@
     call().answer_digest = status == 200 ? kBody : 0;
     return ended(CallEnd::kAnswered, at, status);
   }
-  // An attempt that came whole; what it was answered follows.
+  // An attempt that arrived whole; following calls set its answer.
   RequestCase& sent(const std::string& server, double at = 0.1) {
     AttemptRecord a;
     a.server = server;
@@ -77,7 +77,7 @@
     e.attempts.back().answered_at = kStart + at;
     return *this;
   }
-  // Turned away; at 0: the answer was never written.
+  // Rejected; at 0: the answer was never written.
   RequestCase& not_started(double at = 0.2) {
     AttemptRecord& a = e.attempts.back();
     a.executed = false;
@@ -102,7 +102,7 @@
     return *this;
   }
 
-  // The rules that are broken, each as often as it is.
+  // The violated rules, one entry per violation.
   std::vector<Rule> broken() const {
     std::vector<Rule> out;
     for (const Violation& v : Checker(settings).check(e)) out.push_back(v.rule);
@@ -309,7 +309,7 @@
   EXPECT_EQ(s.broken(), kNoViolation);
 }
 
-// Arrivals that were not read at once are known to some ms only.
+// Arrival times of data that was not read at once are accurate to a few ms only.
 TEST(CheckerTwice, OrderIsNotJudgedByMilliseconds) {
   RequestCase s;
   s.sent("a1", 0.1).ok(0.4).sent("a2", 0.101).not_started(0.102).answered(200);
--- a/tests/faults/fault_scripts_test.cpp
+++ b/tests/faults/fault_scripts_test.cpp
@@ -1,5 +1,5 @@
-// Random fault scripts against a node: whatever servers and discovery do, no rule is broken. The seeds are
-// fixed; timing is not, so the verdict is that of the rules alone.
+// Random fault scripts against a node: no fault of servers or discovery leads to a violation. The seeds are
+// fixed, but the timing is not, so that only the rules decide.
 #include <array>
 #include <cmath>
 #include <cstdlib>
@@ -14,9 +14,9 @@
 
 constexpr int kCases = 10, kScripts = 20;  // 200 seeds, from 1
 constexpr int kAtATime = 10;
-constexpr double kTimeout = 1.5;  // s; long, so that a busy machine breaks no rule
+constexpr double kTimeout = 1.5;  // s; long, so that a busy machine causes no violation
 
-// Draws that come out alike on every machine.
+// Random numbers that are the same on every machine.
 class SeededRandom {
  public:
   explicit SeededRandom(std::uint64_t seed) : random_(seed) { random_.discard(8); }
@@ -41,8 +41,8 @@
   return out.substr(0, out.find('.') + 3);
 }
 
-// Left out: `early accept` and `twice` with a gap. An answer that comes before its request, or a copy that
-// comes after the next one, can't be told from the right one on HTTP/1.1.
+// Excludes `early accept` and `twice` with a gap: on HTTP/1.1 an answer that arrives before its request, or a
+// copy that arrives after the next answer, can't be told from the right one.
 std::string random_fault(SeededRandom& random) {
   static const std::array<std::string, 30> kFaults = {"refuse",
                                                       "refuse",
@@ -83,8 +83,8 @@
 struct ScriptedRun {
   World w;
   SeededRandom random;
-  // s in which calls begin. In a quarter of the scripts a server drains early, and the load goes on past its
-  // grace.
+  // Seconds in which calls begin. In a quarter of the scripts a server drains early and the load continues
+  // past its grace period.
   double seconds = 1;
   std::vector<std::pair<double, std::function<void()>>> events;  // s after the start
 
@@ -138,7 +138,7 @@
     }
   }
 
-  // A server drains; it may stay so, go, or come back cold at another address.
+  // A server drains; it may stay draining, leave, or return cold at another address.
   void plan_leaving(std::size_t place) {
     const double at = seconds > 1 ? random.uniform(0.05, 0.3) : random.uniform(0.1, 0.6),
                  gone = at + random.uniform(0.05, 0.3);
@@ -247,7 +247,7 @@
   EXPECT_EQ(
       run_parallel(kScripts, kAtATime, [&](int i) { return play(GetParam() * kScripts + i + 1, totals); }),
       "");
-  // That there was something to break.
+  // Ensures that the scripts had something to violate.
   EXPECT_GT(totals.calls, 1000U);
   EXPECT_GT(totals.again, 20U) << "requests with more than one attempt";
   for (const char* name : {"safe", "keyed", "unsafe"}) EXPECT_GT(totals.served[name], 100U) << name;
@@ -255,8 +255,8 @@
 
 INSTANTIATE_TEST_SUITE_P(Seeds, FaultScripts, ::testing::Range(0, kCases));
 
-// Other seeds, and one with all that it did: FAULT_SEEDS=201-1000, or 7, --gtest_also_run_disabled_tests.
-// FAULT_STRICT=1 takes the slack away, for a machine that does nothing else.
+// Runs other seeds, or one seed with its whole log: FAULT_SEEDS=201-1000, or 7,
+// --gtest_also_run_disabled_tests. FAULT_STRICT=1 takes the slack away, for an otherwise idle machine.
 TEST(FaultScript, DISABLED_Seeds) {
   const char* text = std::getenv("FAULT_SEEDS");
   ASSERT_NE(text, nullptr);
--- a/tests/faults/hard_cases_test.cpp
+++ b/tests/faults/hard_cases_test.cpp
@@ -1,5 +1,5 @@
-// Hard cases over loopback: one, three, then all of four servers fail in one way for a while, in both
-// settings of the tier, with requests of every class. No rule is broken.
+// Failure modes over loopback: one, three, then all four servers fail in one way for a while, in both
+// settings of the tier, with requests of every class. No rule may be violated.
 #include <array>
 
 #include "tests/faults/parallel.h"
@@ -13,7 +13,7 @@
     "refuse",          "reject", "hang",  "no-accept", "silent",      "reset-after-request",
     "reset-answer 20", "cut",    "crash", "error",     "not-started", "drain"};
 
-// Plays `script` on some of four servers and returns what broke a rule.
+// Runs `script` on some of four servers and returns the violations.
 std::string play(int stage, std::size_t failing, const std::string& script) {
   World w;
   w.config.stage = stage;
@@ -50,7 +50,7 @@
 
 INSTANTIATE_TEST_SUITE_P(FailingServers, HardCases, ::testing::Values(1, 3, 4));
 
-// The rule on drains, with calls that go on long past the grace.
+// The rule on drains, with calls that continue long after the grace period.
 TEST(Drains, NothingIsSentAfterTheGrace) {
   EXPECT_EQ(
       run_parallel(4, 4,
@@ -75,7 +75,7 @@
       "");
 }
 
-// A server that starts cold among busy ones, before two nodes: what they send together counts.
+// A server that starts cold among busy ones, in front of two nodes: the sum of what both send counts.
 TEST(ColdServers, AreNotPushedOver) {
   EXPECT_EQ(run_parallel(4, 4,
                          [](int i) -> std::string {
@@ -107,7 +107,7 @@
                                w.servers[0]->run("cold 0.32 9 4");
                                w.discovery.set(cold);
                              });
-                             // The others go: all would be sent to the cold one.
+                             // The other servers leave, so that all traffic would go to the cold one.
                              if (i < 2) return;
                              w.loop().after(1.2, [&] {
                                for (const char* name : {"s1", "s2", "s3"}) w.discovery.state(name, "left");
@@ -122,8 +122,8 @@
             "");
 }
 
-// A node that ends on SIGTERM answers what it holds; one that is killed is forgiven what it held, not
-// effects.
+// On SIGTERM a node answers the requests that it holds. After SIGKILL lost requests are excused, duplicate
+// effects are not.
 TEST(NodeEnds, AnswersWhatItHolds) {
   EXPECT_EQ(run_parallel(4, 4,
                          [](int i) -> std::string {
@@ -150,9 +150,8 @@
             "");
 }
 
-// A server's word that a request was not started stands in the head. The same name in a trailer, behind an
-// answer that was begun, is no promise (RFC 9110, 6.5.1): an unsafe request must not go elsewhere on its
-// strength.
+// A server states in the head that a request was not started. The same field in a trailer, after a started
+// answer, is no such promise (RFC 9110, 6.5.1): an unsafe request must not be sent elsewhere because of it.
 TEST(Trailers, ArePartOfNoPromise) {
   EXPECT_EQ(run_parallel(4, 4,
                          [](int i) -> std::string {
@@ -172,8 +171,8 @@
             "");
 }
 
-// An answer that comes before its request has been written on a new connection is nobody's.
-// Disabled: the node can't tell it from a quick one unless it comes before the node has written.
+// An answer that arrives before its request has been written on a new connection belongs to no request.
+// Disabled: the node can't tell it from a fast answer unless it arrives before the node has written.
 TEST(Strays, DISABLED_AnAnswerBeforeItsRequestIsNobodys) {
   World w;
   for (int k = 0; k < 3; ++k) w.add().run("early accept");
@@ -185,8 +184,8 @@
   EXPECT_EQ(w.complaints(), "");
 }
 
-// A second copy of an answer that comes on a kept connection when the next request is out.
-// Disabled: on HTTP/1.1 an answer is tied to its request by its place alone.
+// A duplicate answer that arrives on a persistent connection after the next request was sent. Disabled:
+// HTTP/1.1 matches answers to requests only by their order.
 TEST(Strays, DISABLED_ALateSecondCopyIsNobodys) {
   World w;
   for (int k = 0; k < 3; ++k) {
@@ -202,8 +201,8 @@
   EXPECT_EQ(w.complaints(), "");
 }
 
-// Keys that are forgotten soon, and servers that are slow to fail: the last moment in which a repeat may be
-// sent.
+// Keys with a short deduplication window, and servers that fail slowly: a repeat may be sent only within the
+// window.
 TEST(Keys, AreNotRepeatedWhenTheyAreForgotten) {
   EXPECT_EQ(run_parallel(4, 4,
                          [](int i) -> std::string {
--- a/tests/faults/parallel.h
+++ b/tests/faults/parallel.h
@@ -1,5 +1,5 @@
-// Several worlds at a time: they mostly wait. What is complained of while the machine stood still is played
-// again: where nothing runs for half a second, callers' time is up for no fault of the node's.
+// Runs several worlds in parallel, since they mostly wait. Failures of a run during which the process was
+// stalled are retried: if nothing runs for half a second, clients time out through no fault of the node.
 #pragma once
 
 #include <atomic>
@@ -13,7 +13,7 @@
 
 namespace nettlestand::standins::testing {
 
-// Notes when this process was last kept from running for long. Its thread ends with it.
+// Counts the times that this process was not scheduled for more than 0.5 s. The destructor ends its thread.
 class StallMonitor {
  public:
   StallMonitor() : thread_([this] { watch(); }) {}
@@ -41,7 +41,7 @@
   std::thread thread_;
 };
 
-// Runs f(0) to f(count - 1), `width` at a time, and returns what they complain of, all in one text.
+// Runs f(0) to f(count - 1), `width` in parallel, and returns their failures as one text.
 inline std::string run_parallel(int count, int width, const std::function<std::string(int)>& f) {
   std::atomic<int> next = 0;
   std::mutex mutex;
--- a/tests/faults/world.h
+++ b/tests/faults/world.h
@@ -1,4 +1,4 @@
-// A node among stand-ins, all on one loop, and the rules held against what they saw.
+// One node with test doubles on a single loop, and the checker's rules applied to their records.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -16,9 +16,9 @@
 
 namespace nettlestand::standins::testing {
 
-constexpr double kTimeoutSeconds = 20;  // s; only ends a test that would hang
+constexpr double kTimeoutSeconds = 20;  // only ends a test that would hang
 
-// For what only shows when it is asked about.
+// Polls a condition that has no notification.
 template <class Condition>
 bool until(Condition holds) {
   for (const double from = now(); !holds();) {
@@ -51,17 +51,17 @@
   Recorder recorder;
   ScriptedDiscovery discovery{thread.loop(), &recorder};
   std::vector<std::unique_ptr<ScriptedServer>> servers;
-  std::vector<Listing> listings;  // of the servers, by their place
+  std::vector<Listing> listings;  // of the servers, by index
   NodeConfig config;
   std::unique_ptr<NodeProcess> node;
-  std::vector<ProcessLifetime> lifetimes;  // of nodes before this one
-  std::string text;                        // of what was done, for messages
+  std::vector<ProcessLifetime> lifetimes;  // of previous node processes
+  std::string text;                        // description of the run, for messages
   CheckerSettings checker_settings;
 
   World() {
     config.classes = default_classes();
     config.tenants = {{"acme", 100000}};
-    // The verdict must not hang on how busy the machine is.
+    // The result must not depend on how busy the machine is.
     checker_settings.late_slack = 2.5;
     checker_settings.answer_race_slack = 0.5;
     checker_settings.drain_slack = 0.5;
@@ -73,7 +73,7 @@
 
   Loop& loop() { return thread.loop(); }
 
-  // Names, cells (two servers each) and the recorder are given here.
+  // Adds a server; sets its name, cell (two servers each) and recorder.
   ScriptedServer& add(ServerSettings settings = {}) {
     const std::size_t place = servers.size();
     settings.name = "s" + std::to_string(place);
@@ -104,7 +104,7 @@
     return out;
   }
 
-  // Calls until all have ended.
+  // Generates load until all calls have ended.
   LoadResult load(const LoadSettings& settings) {
     LoadClient client(loop(), settings);
     client.start();
@@ -128,7 +128,7 @@
     return Checker(checker_settings).check(evidence());
   }
 
-  // What broke a rule, with all that is needed to see why; empty where nothing did.
+  // The violations with all that is needed to understand them; empty if there are none.
   std::string complaints() {
     const std::vector<Violation> found = violations();
     if (found.empty()) return {};
--- a/tests/lab/world_test.cpp
+++ b/tests/lab/world_test.cpp
@@ -1,5 +1,5 @@
-// Worlds of processes: scripts read and carried out, process faults, many nodes under seeded scripts, planted
-// faults.
+// Tests of process worlds: parsing and running scripts, process faults, many nodes under seeded scripts, and
+// programs with planted faults.
 #include "standins/world/world.h"
 
 #include <gtest/gtest.h>
@@ -28,7 +28,7 @@
   return out;
 }
 
-// What is wrong with a run: rules that are broken, with the timeline; empty where nothing is.
+// The violations of a run with its timeline; empty if there are none.
 std::string complaints(ProcessWorld& world, const std::string& script, double seconds, Starvation& starvation,
                        Timeline* out = nullptr) {
   world.start();
@@ -56,14 +56,14 @@
   return nullptr;
 }
 
-// ------------------------------------------------------------ whether a run counts
+// ------------------------------------------------------------ whether a run is valid
 
-// Keeps a thread busy, without giving it away.
+// Occupies the calling thread without yielding.
 void busy_wait(double seconds) {
   for (const double until = now() + seconds; now() < until;) continue;
 }
 
-// As where the whole process stands still: whoever watches from outside is held up as long as the loop.
+// As when the whole process is stopped: a thread watching from outside is delayed as long as the loop.
 TEST(Lateness, OfTheLoopIsToldThoughTheWatchingThreadWasHeldUpWithIt) {
   LoopThread thread;
   const LoopDelayMonitor beat(thread.loop());
@@ -87,7 +87,7 @@
   EXPECT_EQ(starvation.max_loop_delay, 0.11);
 }
 
-// A world whose stand-ins were held up by one of its own calls is void, whatever else it says.
+// A run whose test doubles were delayed by one of their own functions is invalid, whatever its results.
 TEST(Lateness, OfAWorldsLoopMakesItVoid) {
   ProcessWorld w(settings(1, 1));
   w.start();
@@ -200,8 +200,8 @@
   EXPECT_GT(served(t), 20U);
 }
 
-// The second fault ends when the node has been back for a while: it must stay, and not die for another with
-// what it holds, and with no word of that in the records.
+// The second fault ends when the node has been running again for a while: the process must not be replaced,
+// which would lose its requests without a record of its end.
 TEST(World, ANodeThatTwoFaultsHaveKilledIsStartedOnce) {
   WorldSettings s = settings(2, 2);
   s.load.rate *= 4;
@@ -212,8 +212,8 @@
   EXPECT_EQ(describe_violations(request_rules(w.checker_settings()), t), "");
 }
 
-// Voters listen where their world has told all nodes; whatever asks the kernel for any port must not get that
-// one. Each try meets it with a chance of one in fourteen thousand.
+// Voters listen on a port that the world has told all nodes in advance; the kernel must not give it to anyone
+// who asks for any port. Each try would hit it with a chance of one in fourteen thousand.
 TEST(World, AVotersPortIsGivenToNobodyElse) {
   WorldSettings settings = small_world(3, 1);
   settings.voters = 3;
@@ -231,7 +231,7 @@
 TEST(World, APauseAcrossDeadlinesLosesNothingThatCanBeAnswered) {
   EXPECT_VALID_RUN_PASSES(run_until_valid(3, is_invalid, [](Starvation& starvation) {
     WorldSettings s = settings(2, 2);
-    // What a node is kept from answering while it stands can't be its fault.
+    // What a stopped node can't answer is not its fault.
     ProcessWorld w(s);
     w.start();
     w.play("at 0.5 n0: pause for 0.4", 1.5);
@@ -283,7 +283,7 @@
 
 TEST(World, NothingIsLeftBehindByATestThatCrashes) {
   GTEST_FLAG_SET(death_test_style, "threadsafe");
-  // The child is a whole world that dies without a word; its nodes must go with it.
+  // The child runs a whole world and is killed; its nodes must end with it.
   const std::string path = testing::TempDir() + "nettlestand_world_that_crashes";
   EXPECT_EXIT(
       {
@@ -390,7 +390,7 @@
 // ------------------------------------------------------------ planted faults
 
 #ifdef PLANTED
-// A node with a fault built in must turn its rule red, and no other world may hide it.
+// A node with a planted fault must violate its rule, and no other world may hide that.
 struct Planted {
   const char* fault;
   const char* rule;
@@ -410,7 +410,7 @@
   Timeline t;
   ProcessWorld w(s);
   const std::string found = complaints(w, GetParam().script, 3, ignored, &t);
-  std::map<int, int> sent;  // to s0, by tenth of a second
+  std::map<int, int> sent;  // attempts at s0, by tenth of a second
   for (const AttemptRecord& a : t.evidence.attempts) {
     if (a.server == "s0") ++sent[static_cast<int>((a.first_byte_at - t.began) * 10)];
   }
--- a/tests/process_worlds.h
+++ b/tests/process_worlds.h
@@ -1,4 +1,4 @@
-// What tests of worlds of processes begin with.
+// Common setup for tests with worlds of processes.
 #pragma once
 
 #include <cstdlib>
@@ -8,8 +8,8 @@
 
 namespace nettlestand::standins {
 
-// Nodes of the build (or of NETTLESTAND_NODE), and servers that answer 4 ms of work in the mean, four at a
-// time; zones a, b, ... of which the first two are in one region.
+// Nodes of this build (or of NETTLESTAND_NODE), and servers with a mean service time of 4 ms and four cores;
+// zones a, b, ... of which the first two are in one region.
 inline WorldSettings small_world(std::size_t nodes, std::size_t servers, std::size_t zones = 1) {
   WorldSettings out;
   const char* other = std::getenv("NETTLESTAND_NODE");
@@ -27,7 +27,7 @@
   return out;
 }
 
-// A verdict on a run that may be void: neither green nor red where it was void each time.
+// Expects a run without violations. Skips the test if all tries of the run were invalid.
 #define EXPECT_VALID_RUN_PASSES(run)                                                           \
   do {                                                                                         \
     bool is_invalid = false;                                                                   \
