--- a/bench/duties.cpp
+++ b/bench/duties.cpp
@@ -148,7 +148,7 @@
         }
         return false;
       });
-      if (until > 0 && !world.starvation().is_void) all.push_back(until - from);
+      if (until > 0 && !world.starvation().is_invalid) all.push_back(until - from);
     }
     print_quantiles(std::string("lease 1 s, election 0.3 s: ") + name, all, "s");
   };
@@ -409,7 +409,7 @@
       if (enabled) add_voters(world, 3);
       world.play("", 5);
       const Timeline timeline = world.finish();
-      if (world.starvation().is_void) continue;
+      if (world.starvation().is_invalid) continue;
       std::vector<double> times;
       std::size_t served = 0;
       for (const CallRecord& call : timeline.evidence.calls) {
--- a/standins/callers/load.cpp
+++ b/standins/callers/load.cpp
@@ -146,7 +146,7 @@
     double first_due = 0;
     int attempts = 1;
     std::size_t class_index = 0, tenant_index = 0;
-    double due = 0, first_byte_at = 0, sent_at = 0, again_at = 0;
+    double due = 0, first_byte_at = 0, sent_at = 0, resent_at = 0;
     bool counts = true;
   };
   struct Connection : Watcher {
@@ -248,7 +248,7 @@
     call.id = hex(prefix_ + ++last_id_ * 0x9E3779B97F4A7C15ULL);
     ++call.attempts;
     call.due = now();
-    call.first_byte_at = call.sent_at = call.again_at = 0;
+    call.first_byte_at = call.sent_at = call.resent_at = 0;
     if (!call.key.empty()) call.key = call.id + hex(random_.next());
     dispatch(std::move(call));
   }
@@ -357,13 +357,14 @@
     if (got < 0 && (errno == EAGAIN || errno == EINTR)) return;
     if (got <= 0) return on_connection_lost(c, got < 0);
     if (!c.busy) {  // unsolicited bytes
-      if (c.last_record != kNone) s.recorder->call(c.last_record, [](CallRecord& r) { r.more = true; });
+      if (c.last_record != kNone)
+        s.recorder->call(c.last_record, [](CallRecord& r) { r.has_extra_bytes = true; });
       return drop(c);
     }
     c.in.append(scratch_.data(), static_cast<std::size_t>(got));
     try {
       parse(c);
-    } catch (const BadMessage&) {
+    } catch (const MessageError&) {
       end(c, CallEnd::kCut, 0);
     }
   }
@@ -371,7 +372,7 @@
   void parse(Connection& c) {
     while (true) {
       if (!c.in_body) {
-        const std::optional<Head> head = read_head(c.in);
+        const std::optional<MessageHead> head = parse_head(c.in);
         if (!head) return;
         c.status = head->status();
         c.close_after = c.close_after || head->close;
@@ -400,10 +401,10 @@
       }
     }
     if (c.in_body || !c.in.empty()) return end(c, CallEnd::kCut, c.status);
-    if (!c.used || c.call.again_at > 0) return end(c, CallEnd::kClosed, 0);
+    if (!c.used || c.call.resent_at > 0) return end(c, CallEnd::kClosed, 0);
     // The node closed an idle connection while the request was in transit: retry once on a new connection.
     Call call = std::move(c.call);
-    call.again_at = now();
+    call.resent_at = now();
     const std::size_t target = c.target;
     c.busy = false;
     drop(c);
@@ -413,7 +414,8 @@
   // Ends the call on a connection, which is then kept for further calls or closed.
   void end(Connection& c, CallEnd how, int status) {
     const bool more = how == CallEnd::kAnswered && !c.in.empty();
-    const double at = s.recorder != nullptr && how == CallEnd::kAnswered ? last_arrival(c.fd.get()) : now();
+    const double at =
+        s.recorder != nullptr && how == CallEnd::kAnswered ? last_data_received_at(c.fd.get()) : now();
     const bool keep = how == CallEnd::kAnswered && !more && !c.close_after && s.keep_alive;
     c.busy = false;
     const Call call = std::move(c.call);
@@ -471,19 +473,19 @@
       r.node = s.targets[target].node;
       r.id = call.id;
       r.first_id = call.first_id;
-      r.born = call.first_due;
+      r.due_at = call.first_due;
       r.request_class = load_class.name;
       r.tenant = s.tenants[call.tenant_index].name;
       r.key = call.key;
       r.timeout = load_class.timeout;
       r.first_byte_at = call.first_byte_at;
       r.sent_at = call.sent_at;
-      r.again_at = call.again_at;
+      r.resent_at = call.resent_at;
       r.answered_at = at;
       r.end = how;
       r.status = status;
       r.answer_digest = digest;
-      r.more = more;
+      r.has_extra_bytes = more;
       const std::size_t record = s.recorder->open(std::move(r));
       if (c != nullptr) c->last_record = record;
     }
@@ -553,7 +555,7 @@
     loop_.remove(c.fd.get());
     c.fd.close();
     const auto it = connections_.find(c.id);
-    loop_.bury(std::move(it->second));
+    loop_.destroy_later(std::move(it->second));
     connections_.erase(it);
   }
 
--- a/standins/callers/load.h
+++ b/standins/callers/load.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "standins/common/latencies.h"
+#include "standins/common/latency_histogram.h"
 #include "standins/common/loop.h"
 #include "standins/common/recorder.h"
 
@@ -80,7 +80,7 @@
   std::uint64_t failed = 0;     // other status, truncated or wrong response, or connection closed without one
   std::uint64_t timed_out = 0;  // the caller gave up
   std::uint64_t unsent = 0;     // no connection could be established
-  Latencies latency;            // of served calls, measured from when the call was due
+  LatencyHistogram latency;     // of served calls, measured from when the call was due
 };
 
 // Results of a run, in total and per class and tenant.
--- a/standins/discovery/discovery.cpp
+++ b/standins/discovery/discovery.cpp
@@ -205,7 +205,7 @@
     loop_.remove(c.fd.get());
     c.fd.close();
     const auto it = connections_.find(c.id);
-    loop_.bury(std::move(it->second));
+    loop_.destroy_later(std::move(it->second));
     connections_.erase(it);
   }
 
@@ -217,13 +217,13 @@
     c.in.append(bytes.data(), static_cast<std::size_t>(got));
     if (mode_ == Mode::kSilent || c.watching) return;
     try {
-      while (const std::optional<Head> head = read_head(c.in)) {
+      while (const std::optional<MessageHead> head = parse_head(c.in)) {
         const std::string target(head->word(1));
         c.in.erase(0, head->size);
         answer(c, target);
         if (!c.fd || c.watching) return;
       }
-    } catch (const BadMessage&) {
+    } catch (const MessageError&) {
       close(c);
     }
   }
@@ -285,7 +285,7 @@
     for (const ServerEntry& s : servers) {
       c.endpoint.known.insert(s.host);
       if (recorder_ == nullptr) continue;
-      records.push_back(recorder_->open(ToldRecord{c.endpoint.node, s.host, s.health, now(), 0}));
+      records.push_back(recorder_->open(ListChangeRecord{c.endpoint.node, s.host, s.health, now(), 0}));
     }
     if (delay <= 0 && mode_ != Mode::kSilent) return write(c, bytes, records);
     write_at(c.id, now() + delay, bytes, records);
@@ -320,7 +320,7 @@
       c.written += static_cast<std::uint64_t>(written);
     }
     while (!c.pending.empty() && c.pending.front().first <= c.written) {
-      recorder_->told(c.pending.front().second, [](ToldRecord& r) { r.told_at = now(); });
+      recorder_->list_change(c.pending.front().second, [](ListChangeRecord& r) { r.delivered_at = now(); });
       c.pending.pop_front();
     }
     loop_.modify(c.fd.get(),
--- a/standins/discovery/discovery_main.cpp
+++ b/standins/discovery/discovery_main.cpp
@@ -103,7 +103,7 @@
   std::vector<si::ServerEntry> servers;
   for (const std::string& one : options.all("server")) servers.push_back(read_server(one));
   if (!servers.empty()) discovery.update(servers);
-  std::printf("listening on 127.0.0.1:%d\n", discovery.endpoint("any", options.whole("port", 0)));
+  std::printf("listening on 127.0.0.1:%d\n", discovery.endpoint("any", options.integer("port", 0)));
   std::fflush(stdout);
   // Reads commands on a thread of its own, so that a blocking read doesn't delay the handling of signals.
   std::thread([&discovery] {
--- a/standins/links/network.cpp
+++ b/standins/links/network.cpp
@@ -82,7 +82,7 @@
   Address udp_broadcast(int from, int from_port) {
     const Address at{prefix() + std::to_string(from) + ".255", from_port};
     if (!datagram_proxies_.contains(at)) {
-      auto made = std::make_unique<DatagramProxy>(*this, datagrams_at(at), from, 0, from_port, 0);
+      auto made = std::make_unique<DatagramProxy>(*this, bind_udp(at), from, 0, from_port, 0);
       loop_.add(made->fd.get(), EPOLLIN, made.get());
       datagram_proxies_.emplace(at, std::move(made));
     }
@@ -542,7 +542,7 @@
     const Address at{link_ip(from, to), to_port};
     auto it = datagram_proxies_.find(at);
     if (it == datagram_proxies_.end()) {
-      auto made = std::make_unique<DatagramProxy>(*this, datagrams_at(at), from, to, from_port, to_port);
+      auto made = std::make_unique<DatagramProxy>(*this, bind_udp(at), from, to, from_port, to_port);
       loop_.add(made->fd.get(), EPOLLIN, made.get());
       it = datagram_proxies_.emplace(at, std::move(made)).first;
       proxies_by_sender_[{from, from_port}].push_back(it->second.get());
--- a/standins/servers/server.cpp
+++ b/standins/servers/server.cpp
@@ -321,13 +321,14 @@
         r.closed_by = by;
         r.reset = reset;
       });
-      if (c.attempt != kNone) update_attempt(c.attempt, [](AttemptRecord& r) { r.broke_at = now(); });
+      if (c.attempt != kNone)
+        update_attempt(c.attempt, [](AttemptRecord& r) { r.connection_lost_at = now(); });
     }
     if (reset && by == Closer::kServer) set_reset_on_close(c.fd.get());
     loop_.remove(c.fd.get());
     c.fd.close();
     const auto it = connections_.find(c.id);
-    loop_.bury(std::move(it->second));
+    loop_.destroy_later(std::move(it->second));
     connections_.erase(it);
     counts.open = connections_.size();
   }
@@ -344,7 +345,7 @@
     if (got < 0 && (errno == EAGAIN || errno == EINTR)) return;
     if (got <= 0) return close(c, Closer::kPeer, got < 0);
     if (settings.recorder != nullptr) {
-      c.last_arrival_at = last_arrival(c.fd.get());
+      c.last_arrival_at = last_data_received_at(c.fd.get());
       if (c.in.empty() && !c.in_body) c.first_byte_at = c.last_arrival_at;
     }
     c.in.append(scratch_.data(), static_cast<std::size_t>(got));
@@ -361,13 +362,13 @@
         on_request(c);
         if (find(id) == nullptr) return;
       }
-    } catch (const BadMessage&) {
+    } catch (const MessageError&) {
       if (find(id) != nullptr) close(c, Closer::kServer, false);
     }
   }
 
   bool take_head(Connection& c) {
-    const std::optional<Head> head = read_head(c.in);
+    const std::optional<MessageHead> head = parse_head(c.in);
     if (!head) return false;
     c.request = head->field("request-id");
     c.key.clear();
@@ -404,7 +405,7 @@
     return true;
   }
 
-  double draw_service_time(const Head& head) {
+  double draw_service_time(const MessageHead& head) {
     double mean = settings.service_time;
     if (!settings.class_service_times.empty()) {
       const auto it = settings.class_service_times.find(std::string(head.field("request-class")));
@@ -534,7 +535,7 @@
 
   void crash_from_overload() {
     if (settings.recorder != nullptr) {
-      settings.recorder->add(FellOver{settings.name, now(), recent_work_sum_, cold_capacity()});
+      settings.recorder->add(OverloadRecord{settings.name, now(), recent_work_sum_, cold_capacity()});
     }
     crashed_from_overload = true;
     reset_all();
--- a/tests/faults/world.h
+++ b/tests/faults/world.h
@@ -1,4 +1,4 @@
-// A node among stand-ins, all on one loop, and the rules held against what they saw.
+// One node with test doubles on a single loop, and the checker's rules applied to their records.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -16,13 +16,13 @@
 
 namespace nettlestand::standins::testing {
 
-constexpr double kPatience = 20;  // s; only ends a test that would hang
+constexpr double kTimeoutSeconds = 20;  // only ends a test that would hang
 
-// For what only shows when it is asked about.
+// Polls a condition that has no notification.
 template <class Condition>
 bool until(Condition holds) {
   for (const double from = now(); !holds();) {
-    if (now() - from > kPatience) return false;
+    if (now() - from > kTimeoutSeconds) return false;
     std::this_thread::sleep_for(std::chrono::milliseconds(2));
   }
   return true;
@@ -34,13 +34,13 @@
   return other != nullptr ? other : NODE;
 }
 
-inline std::vector<NodeClass> usual_classes() {
+inline std::vector<NodeRequestClass> default_classes() {
   return {{"safe", "safe", "all", 0, 1, 2, 0.5},
           {"keyed", "keyed", "cell", 4, 1, 2, 0.5},
           {"unsafe", "unsafe", "all", 0, 1, 2, 0.5}};
 }
 
-inline std::vector<LoadClass> usual_calls(double timeout = 2) {
+inline std::vector<LoadClass> default_calls(double timeout = 2) {
   return {{"safe", CallEffect::kSafe, 1, timeout, 0, 0},
           {"keyed", CallEffect::kKeyed, 1, timeout, 0, 200},
           {"unsafe", CallEffect::kUnsafe, 1, timeout, 0, 200}};
@@ -51,21 +51,21 @@
   Recorder recorder;
   ScriptedDiscovery discovery{thread.loop(), &recorder};
   std::vector<std::unique_ptr<ScriptedServer>> servers;
-  std::vector<ServerEntry> listings;  // of the servers, by their place
+  std::vector<ServerEntry> listings;  // of the servers, by index
   NodeConfig config;
   std::unique_ptr<NodeProcess> node;
-  std::vector<NodeLife> lives;  // of nodes before this one
-  std::string text;             // of what was done, for messages
-  CheckerSettings checked;
+  std::vector<ProcessLifetime> lifetimes;  // of previous node processes
+  std::string text;                        // description of the run, for messages
+  CheckerSettings checker_settings;
 
   World() {
-    config.classes = usual_classes();
+    config.classes = default_classes();
     config.tenants = {{"acme", 100000}};
-    // The verdict must not hang on how busy the machine is.
-    checked.late_slack = 2.5;
-    checked.crossing = 0.5;
-    checked.drain_slack = 0.5;
-    checked.window_slack = 0.5;
+    // The result must not depend on how busy the machine is.
+    checker_settings.late_slack = 2.5;
+    checker_settings.answer_race_slack = 0.5;
+    checker_settings.drain_slack = 0.5;
+    checker_settings.window_slack = 0.5;
   }
   World(const World&) = delete;
   World& operator=(const World&) = delete;
@@ -73,7 +73,7 @@
 
   Loop& loop() { return thread.loop(); }
 
-  // Names, cells (two servers each) and the recorder are given here.
+  // Adds a server; sets its name, cell (two servers each) and recorder.
   ScriptedServer& add(ServerSettings settings = {}) {
     const std::size_t place = servers.size();
     settings.name = "s" + std::to_string(place);
@@ -98,13 +98,13 @@
   LoadSettings calls(double timeout = 2) const {
     LoadSettings out;
     out.targets = {{config.name, node->port()}};
-    out.classes = usual_calls(timeout);
+    out.classes = default_calls(timeout);
     out.recorder = const_cast<Recorder*>(&recorder);
-    out.extra_wait = checked.late_slack + 0.2;
+    out.extra_wait = checker_settings.late_slack + 0.2;
     return out;
   }
 
-  // Calls until all have ended.
+  // Generates load until all calls have ended.
   LoadResult load(const LoadSettings& settings) {
     LoadClient client(loop(), settings);
     client.start();
@@ -113,20 +113,22 @@
   }
 
   Evidence evidence() const {
-    Evidence out{recorder.calls(), recorder.attempts(), recorder.told(), recorder.fallen(), lives};
-    if (node && node->life().ended_at > 0) out.lives.push_back(node->life());
+    Evidence out{recorder.calls(), recorder.attempts(), recorder.list_changes(), recorder.overloads(),
+                 lifetimes};
+    if (node && node->lifetime().ended_at > 0) out.lifetimes.push_back(node->lifetime());
     return out;
   }
 
   std::vector<Violation> violations() {
-    if (checked.classes.empty()) {
-      for (const NodeClass& c : config.classes) checked.classes.push_back(standins::checked(c));
-      for (const ServerEntry& s : listings) checked.servers.push_back({s.host, s.site, s.block});
+    if (checker_settings.classes.empty()) {
+      for (const NodeRequestClass& c : config.classes)
+        checker_settings.classes.push_back(standins::checked_class(c));
+      for (const ServerEntry& s : listings) checker_settings.servers.push_back({s.host, s.site, s.block});
     }
-    return Checker(checked).check(evidence());
+    return Checker(checker_settings).check(evidence());
   }
 
-  // What broke a rule, with all that is needed to see why; empty where nothing did.
+  // The violations with all that is needed to understand them; empty if there are none.
   std::string complaints() {
     const std::vector<Violation> found = violations();
     if (found.empty()) return {};
--- a/tests/lab/links_test.cpp
+++ b/tests/lab/links_test.cpp
@@ -298,7 +298,7 @@
 }
 
 struct Datagram : Links {
-  Fd one = datagrams_at(Address{net.ip(a), 0}), two = datagrams_at(Address{net.ip(b), 0});
+  Fd one = bind_udp(Address{net.ip(a), 0}), two = bind_udp(Address{net.ip(b), 0});
   Address to_b = net.udp(a, address_of(one.get()).port, b, address_of(two.get()).port);
   Address to_a = net.udp(b, address_of(two.get()).port, a, address_of(one.get()).port);
 
@@ -335,7 +335,7 @@
 
 TEST_F(Datagram, ToAllReachesAllThatAreTied) {
   const int c = net.add_machine();
-  const Fd three = datagrams_at(Address{net.ip(c), 0});
+  const Fd three = bind_udp(Address{net.ip(c), 0});
   net.udp(a, address_of(one.get()).port, c, address_of(three.get()).port);
   send_to(one, net.udp_broadcast(a, address_of(one.get()).port), "all");
   EXPECT_EQ(receive(two), "all");
@@ -344,7 +344,7 @@
 }
 
 TEST_F(Datagram, StrangersAreDropped) {
-  const Fd stranger = datagrams_at(Address{net.ip(b), 0});
+  const Fd stranger = bind_udp(Address{net.ip(b), 0});
   send_to(stranger, to_b, "let me in");
   EXPECT_TRUE(until([&] { return net.counts(a, b).unknown_senders == 1; }));
   send_to(one, to_b, "next");
--- a/tests/library/random_rules_test.cpp
+++ b/tests/library/random_rules_test.cpp
@@ -173,7 +173,7 @@
 
   si::CheckerSettings checker_settings;
   checker_settings.late_slack = 2.5;  // the result must not depend on the load of the machine
-  checker_settings.crossing = 0.5;
+  checker_settings.answer_race_slack = 0.5;
   checker_settings.drain_slack = 0.5;
   checker_settings.window_slack = 0.5;
   for (const Class& c : kClasses) {
@@ -182,7 +182,7 @@
   for (const si::ServerEntry& s : listings) checker_settings.servers.push_back({s.host, s.site, s.block});
   const auto violations =
       si::Checker(checker_settings)
-          .check({recorder.calls(), recorder.attempts(), recorder.told(), recorder.fallen(), {}});
+          .check({recorder.calls(), recorder.attempts(), recorder.list_changes(), recorder.overloads(), {}});
   EXPECT_TRUE(violations.empty()) << si::to_text(violations).substr(0, 4000);
   EXPECT_EQ(completion_errors, 0);
   std::uint64_t all = 0;
--- a/tools/soak/clients.h
+++ b/tools/soak/clients.h
@@ -45,7 +45,7 @@
   std::mt19937_64 random_;
   std::uint64_t number_, last_request_number_ = 0;
   std::size_t node_ = 0;
-  standins::KeptConnection connection_;
+  standins::PersistentConnection connection_;
 };
 
 // Submits batch jobs, reads their results and item bodies through any edge node, and ends some of them, each
--- a/tools/soak/oracle.h
+++ b/tools/soak/oracle.h
@@ -63,7 +63,7 @@
   void report_violation(const std::string& what);
   // Compares all records with the requests that the servers received. The expected result is the text of a
   // completed item.
-  void check(const std::vector<standins::SeenRequest>& runs);
+  void check(const std::vector<standins::ReceivedRequest>& runs);
   void set_expected_result(std::string text) { expected_result_ = std::move(text); }
 
   std::vector<std::string> violations() const;
@@ -77,10 +77,10 @@
   struct FaultInterval {
     Millis from = 0, until = 0;
   };
-  void check_live(const std::vector<standins::SeenRequest>& runs);
+  void check_live(const std::vector<standins::ReceivedRequest>& runs);
   // Reports a request that ended without a complete response although no fault excuses it.
   void check_response_owed(const LiveRequest& request, bool was_forwarded);
-  void check_items(const std::vector<standins::SeenRequest>& runs);
+  void check_items(const std::vector<standins::ReceivedRequest>& runs);
   // Whether an unplanned fault may have affected the request.
   bool overlaps_fault(const LiveRequest& request) const;
   // Like report_violation(), for callers that hold the lock.
