--- a/standins/checker/checker.h
+++ b/standins/checker/checker.h
@@ -8,6 +8,7 @@
 
 namespace nettlestand::standins {
 
+// The rules that the checker knows.
 enum class Rule {
   kLostRequest,          // no request is lost
   kDuplicateEffect,      // no effect happens twice
@@ -17,6 +18,7 @@
 
 const char* name_of(Rule rule);
 
+// A violated rule.
 struct Violation {
   Rule rule = Rule::kLostRequest;
   std::string subject;  // the request's id, or the server
@@ -31,16 +33,18 @@
   double window = 0;                                            // s for which servers remember a key
 };
 
+// The deduplication group to which a server belongs.
 struct CheckedServer {
   std::string name;
   std::string zone;
   int cell = 0;
 };
 
+// Classes, servers and tolerances of a check.
 struct CheckerSettings {
   std::vector<CheckedClass> classes;
-  std::vector<CheckedServer>
-      servers;                      // servers of keyed requests; one that is not listed is a group of its own
+  // Servers of keyed requests; one that is not listed is a group of its own.
+  std::vector<CheckedServer> servers;
   double socket_slack = 0.05;       // s added to each time limit for socket delays
   double late_slack = 0;            // additional s for answers on a busy machine
   double answer_race_slack = 0.05;  // s in which a request to a server may cross the final answer
@@ -50,13 +54,14 @@
   double window_slack = 0;          // additional s for repeats of a key
   // s after which a list change counts as delivered even if it was not; 0: only actual delivery counts.
   double notification_limit = 0;
-  bool cut_is_failure =
-      false;  // a truncated answer that the client can recognize counts as failed, not as lost
+  // A truncated answer that the client can recognize counts as failed, not as lost.
+  bool cut_is_failure = false;
   double termination_limit = 0.7;   // s after SIGTERM; a SIGKILL after that excuses nothing
   bool forgive_killed = true;       // excuses requests that a node held when it was killed
   bool forgive_terminated = false;  // excuses requests unanswered at the exit after SIGTERM
 };
 
+// The records of one run.
 struct Evidence {
   std::vector<CallRecord> calls;
   std::vector<AttemptRecord> attempts;
@@ -65,6 +70,7 @@
   std::vector<ProcessLifetime> lifetimes;  // of nodes that were ended
 };
 
+// Finds all violations in the records of a run.
 class Checker {
  public:
   // Throws std::invalid_argument if two classes have the same name.
--- a/standins/common/http.cpp
+++ b/standins/common/http.cpp
@@ -35,7 +35,7 @@
     const std::string_view line = lines.substr(0, end);
     lines.remove_prefix(std::min(end + 1, lines.size()));
     const std::size_t colon = line.find(':');
-    if (colon == std::string_view::npos) throw MessageError("a header without a colon");
+    if (colon == std::string_view::npos) throw MessageError("header line without a colon");
     if (!visit(line.substr(0, colon), trimmed(line.substr(colon + 1)))) return;
   }
 }
@@ -72,20 +72,21 @@
 std::optional<MessageHead> parse_head(std::string_view bytes) {
   const std::size_t end = bytes.find("\r\n\r\n");
   if (end == std::string_view::npos) {
-    if (bytes.size() > kMaxHeadBytes) throw MessageError("a head without end");
+    if (bytes.size() > kMaxHeadBytes) throw MessageError("message head too long");
     return std::nullopt;
   }
   MessageHead out;
   out.size = end + 4;
   const std::size_t line = bytes.find("\r\n");
   out.start = bytes.substr(0, line);
-  if (out.start.find("HTTP/1.") == std::string_view::npos) throw MessageError("not HTTP");
+  if (out.start.find("HTTP/1.") == std::string_view::npos) throw MessageError("not an HTTP message");
   if (line < end) out.lines = bytes.substr(line + 2, end - line);
   each_field(out.lines, [&](std::string_view name, std::string_view value) {
     if (same(name, "content-length")) {
       std::uint64_t length = 0;
       const auto [stop, bad] = std::from_chars(value.data(), value.data() + value.size(), length);
-      if (bad != std::errc() || stop != value.data() + value.size()) throw MessageError("a bad length");
+      if (bad != std::errc() || stop != value.data() + value.size())
+        throw MessageError("invalid Content-Length");
       out.length = length;
     } else if (same(name, "transfer-encoding")) {
       out.chunked = same(value, "chunked");
@@ -132,12 +133,12 @@
     const std::string_view line = rest.substr(0, end);
     from += end + 2;
     if (part_ == Part::kDataEnd) {
-      if (!line.empty()) throw MessageError("a chunk longer than it says");
+      if (!line.empty()) throw MessageError("chunk data longer than its size");
       part_ = Part::kSize;
     } else if (part_ == Part::kSize) {
       const auto [stop, bad] = std::from_chars(line.data(), line.data() + line.size(), left_, 16);
       if (bad != std::errc() || (stop != line.data() + line.size() && *stop != ';')) {
-        throw MessageError("a bad chunk size");
+        throw MessageError("invalid chunk size");
       }
       part_ = left_ == 0 ? Part::kTrailers : Part::kData;
     } else if (line.empty()) {
--- a/standins/common/loop.cpp
+++ b/standins/common/loop.cpp
@@ -29,7 +29,7 @@
   at.sin_family = AF_INET;
   at.sin_port = htons(static_cast<std::uint16_t>(address.port));
   if (inet_pton(AF_INET, address.ip.c_str(), &at.sin_addr) != 1 || (ntohl(at.sin_addr.s_addr) >> 24) != 127) {
-    throw std::runtime_error(address.ip + " is no loopback address");
+    throw std::runtime_error(address.ip + " is not a loopback address");
   }
   return at;
 }
@@ -61,7 +61,7 @@
 
 Fd listen_on(const Address& where, int backlog, bool shared) {
   Fd out(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
-  if (!out) fail("no socket");
+  if (!out) fail("can't create a socket");
   const int on = 1;
   setsockopt(out.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
   if (shared) setsockopt(out.get(), SOL_SOCKET, SO_REUSEPORT, &on, sizeof on);
@@ -82,7 +82,7 @@
 
 Fd bind_udp(const Address& where) {
   Fd out(socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
-  if (!out) fail("no socket");
+  if (!out) fail("can't create a socket");
   const sockaddr_in at = to_sockaddr(where);
   if (bind(out.get(), reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0) {
     fail("can't bind " + where.text());
@@ -134,7 +134,7 @@
 }
 
 Loop::Loop() : epoll_(epoll_create1(EPOLL_CLOEXEC)), wake_(eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK)) {
-  if (!epoll_ || !wake_) fail("no event loop");
+  if (!epoll_ || !wake_) fail("can't create an event loop");
   add(wake_.get(), EPOLLIN, nullptr);
 }
 
@@ -254,14 +254,14 @@
   epoll_event event{};
   event.events = events;
   event.data.ptr = watcher;
-  if (epoll_ctl(epoll_.get(), EPOLL_CTL_ADD, fd, &event) != 0) fail("can't watch a descriptor");
+  if (epoll_ctl(epoll_.get(), EPOLL_CTL_ADD, fd, &event) != 0) fail("can't register a descriptor with epoll");
 }
 
 void Loop::modify(int fd, std::uint32_t events, Watcher* watcher) {
   epoll_event event{};
   event.events = events;
   event.data.ptr = watcher;
-  if (epoll_ctl(epoll_.get(), EPOLL_CTL_MOD, fd, &event) != 0) fail("can't watch a descriptor");
+  if (epoll_ctl(epoll_.get(), EPOLL_CTL_MOD, fd, &event) != 0) fail("can't register a descriptor with epoll");
 }
 
 void Loop::remove(int fd) { epoll_ctl(epoll_.get(), EPOLL_CTL_DEL, fd, nullptr); }
--- a/standins/common/options.h
+++ b/standins/common/options.h
@@ -9,6 +9,7 @@
 
 namespace nettlestand::standins {
 
+// Parsed options; the last value of a repeated option counts, all() returns every one.
 class Options {
  public:
   // `known`: the accepted names without dashes. Throws std::invalid_argument.
--- a/standins/common/records.h
+++ b/standins/common/records.h
@@ -8,6 +8,7 @@
 
 namespace nettlestand::standins {
 
+// Who closed a connection; kOpen: not closed yet.
 enum class Closer { kOpen, kPeer, kServer };
 
 // A connection that a server accepted.
@@ -47,9 +48,8 @@
 struct OverloadRecord {
   std::string server;
   double at = 0;
-  double requested_work = 0,
-         // Work in seconds that arrived in the second before, and that the server could have done.
-      available_work = 0;
+  // Work in seconds that arrived in the second before, and that the server could have done.
+  double requested_work = 0, available_work = 0;
 };
 
 // A change of discovery's server list as delivered to one node.
@@ -60,6 +60,7 @@
   double changed_at = 0, delivered_at = 0;  // delivered: written to a connection; 0: not yet
 };
 
+// How a call ended for its client.
 enum class CallEnd {
   kOpen,      // the load ended first
   kAnswered,  // a complete answer arrived
@@ -83,9 +84,8 @@
   CallEnd end = CallEnd::kOpen;
   int status = 0;
   std::uint64_t answer_digest = 0;
-  bool has_extra_bytes =
-      // Bytes followed the complete answer before the next request on the connection.
-      false;
+  // Bytes followed the complete answer before the next request on the connection.
+  bool has_extra_bytes = false;
 };
 
 // The lifetime of one node process, for excusing requests lost when it was ended.
--- a/standins/interposition/interposed_faults.cpp
+++ b/standins/interposition/interposed_faults.cpp
@@ -22,7 +22,7 @@
 
 std::string fresh_folder(const char* what) {
   std::string out = base() + "/nettlestand_" + what + "_XXXXXX";
-  if (mkdtemp(out.data()) == nullptr) throw std::runtime_error("no folder in " + base());
+  if (mkdtemp(out.data()) == nullptr) throw std::runtime_error("can't create a folder in " + base());
   return out;
 }
 
@@ -32,12 +32,12 @@
   path_ = base() + "/nettlestand_seams_XXXXXX";
   const int fd = mkstemp(path_.data());
   if (fd < 0 || ftruncate(fd, sizeof(InterposedFaultSettings)) != 0)
-    throw std::runtime_error("no file in " + base());
+    throw std::runtime_error("can't create a file in " + base());
   void* at = mmap(nullptr, sizeof(InterposedFaultSettings), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
   close(fd);
-  if (at == MAP_FAILED) throw std::runtime_error("can't share " + path_);
+  if (at == MAP_FAILED) throw std::runtime_error("can't map " + path_);
   settings_ = new (at) InterposedFaultSettings;
-  if (folder.size() + 1 > sizeof settings_->folder) throw std::runtime_error(folder + " is too long a name");
+  if (folder.size() + 1 > sizeof settings_->folder) throw std::runtime_error(folder + ": path is too long");
   std::memcpy(settings_->folder, folder.c_str(), folder.size() + 1);
 }
 
--- a/standins/interposition/interposed_faults.h
+++ b/standins/interposition/interposed_faults.h
@@ -1,5 +1,5 @@
-// Seams of a process under test, put in by a preloaded library so that the program itself stays the shipped
-// one: its wall clock may be wrong or step, and the files below one folder may be slow, full or torn.
+// Fault injection into a process under test by a preloaded library, so that the program itself stays the
+// shipped one: its wall clock may be wrong or jump, and the files below one folder may be slow, full or torn.
 #pragma once
 
 #include <atomic>
@@ -27,7 +27,7 @@
   InterposedFaults& operator=(const InterposedFaults&) = delete;
 
   InterposedFaultSettings& settings() { return *settings_; }
-  // What a process needs in its environment; `library` is the preloaded one's file.
+  // Environment assignment that a process needs in addition to the library's.
   std::string environment() const { return "NETTLESTAND_SEAMS=" + path_; }
 
  private:
--- a/standins/interposition/preload.cpp
+++ b/standins/interposition/preload.cpp
@@ -1,5 +1,5 @@
-// The preloaded half: stands before the C library's calls for the wall clock and for writing, and asks the
-// shared settings. Without NETTLESTAND_SEAMS it does nothing.
+// The preloaded library: replaces the C library's functions for the wall clock and for writing, and follows
+// the shared settings. Does nothing without NETTLESTAND_SEAMS.
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <signal.h>
--- a/standins/tier/demo_main.cpp
+++ b/standins/tier/demo_main.cpp
@@ -66,7 +66,7 @@
   TierWorld world(options);
   std::cout << world.nodes() << " processes, " << options.engines << " engines\n";
   bool good = report(world.change_configuration("replace", 0, kConfiguration).status == 200,
-                     "a configuration is taken");
+                     "a configuration is accepted");
   good = report(until(15000,
                       [&] {
                         for (std::size_t i = 0; i < world.edges(); ++i) {
@@ -95,9 +95,9 @@
          good;
   const std::string change =
       R"({"generation":5,"upsert":{"tenants":[{"name":"desk","api_keys":["demo-key"]}]}})";
-  good =
-      report(world.change_configuration("update", 2, change).status == 200, "a change is taken without it") &&
-      good;
+  good = report(world.change_configuration("update", 2, change).status == 200,
+                "a change is accepted without it") &&
+         good;
   world.start(leader);
   good =
       report(until(15000, [&] { return world.ready(leader); }), world.name(leader) + " is back and ready") &&
--- a/standins/tier/engine.h
+++ b/standins/tier/engine.h
@@ -39,10 +39,12 @@
   kUnprocessable  // 422
 };
 
+// A request as an engine received it.
 struct ReceivedRequest {
   std::string id, target, tenant, body, last_event_id, api_key;
 };
 
+// A model server that answers with an event stream.
 class Engine {
  public:
   static constexpr int kDefaultEvents = 4;
--- a/standins/tier/persistent_connection.h
+++ b/standins/tier/persistent_connection.h
@@ -12,6 +12,7 @@
 
 namespace nettlestand::tier::standins {
 
+// Outcome of one HTTP exchange.
 struct HttpResult {
   int status = 0;                              // 0: no complete head was received
   bool complete = false;                       // the whole body was received
@@ -20,6 +21,7 @@
   std::string body;
 };
 
+// A blocking HTTP/1.1 client connection.
 class PersistentConnection {
  public:
   // Connects; whether that succeeded.
--- a/standins/tier/tier_world.cpp
+++ b/standins/tier/tier_world.cpp
@@ -34,7 +34,7 @@
   if (options_.core + options_.plain_edges + options_.stores > kMaxNodes)
     throw std::runtime_error("too many nodes for one network");
   std::string pattern = (std::filesystem::temp_directory_path() / "nettlestand-tier-XXXXXX").string();
-  if (::mkdtemp(pattern.data()) == nullptr) throw std::runtime_error("no temporary folder");
+  if (::mkdtemp(pattern.data()) == nullptr) throw std::runtime_error("can't create a temporary folder");
   folder_ = pattern;
   // Loopback addresses derived from the process id, so that several worlds can run side by side.
   network_ = static_cast<unsigned>(::getpid()) % 50000;
--- a/standins/tier/tier_world.h
+++ b/standins/tier/tier_world.h
@@ -13,12 +13,14 @@
 
 namespace nettlestand::tier::standins {
 
+// Size of the tier; `more_settings` is appended to each node's settings file.
 struct TierOptions {
   std::string program;
   std::size_t core = 3, plain_edges = 1, stores = 3, engines = 3;
   std::string more_settings;
 };
 
+// Starts the tier in its constructor and kills it in its destructor. Folders and logs are temporary.
 class TierWorld {
  public:
   explicit TierWorld(const TierOptions& options);
--- a/standins/world/membership_rules.cpp
+++ b/standins/world/membership_rules.cpp
@@ -12,6 +12,7 @@
 
 constexpr double kNoEnd = std::numeric_limits<double>::infinity();
 
+// A period in which something was the case.
 struct Interval {
   double from = 0, until = kNoEnd;
   bool overlaps(double a, double b) const { return from < b && until > a; }
--- a/standins/world/node_process.cpp
+++ b/standins/world/node_process.cpp
@@ -123,13 +123,13 @@
   const Fd log(open(log_path_.c_str(), O_CREAT | O_TRUNC | O_WRONLY | O_APPEND | O_CLOEXEC, 0600));
   if (!log) throw std::runtime_error("can't write " + log_path_);
   // Allocates everything before the fork: other threads may hold allocator locks during it.
-  std::vector<std::string> kept = options.environment;
-  kept.push_back("GW_CONFIG=" + config_path_);
+  std::vector<std::string> variables = options.environment;
+  variables.push_back("GW_CONFIG=" + config_path_);
   for (char** e = environ; *e != nullptr; ++e) {
-    if (std::string(*e).rfind("GW_CONFIG=", 0) != 0) kept.emplace_back(*e);
+    if (std::string(*e).rfind("GW_CONFIG=", 0) != 0) variables.emplace_back(*e);
   }
   std::vector<char*> environment;
-  for (std::string& e : kept) environment.push_back(e.data());
+  for (std::string& e : variables) environment.push_back(e.data());
   environment.push_back(nullptr);
   std::vector<char*> arguments = {binary_.data()};
   for (std::string& a : options.arguments) arguments.push_back(a.data());
@@ -187,7 +187,7 @@
     if (at != std::string::npos && text.find('\n', at) != std::string::npos) {
       port_ = std::stoi(text.substr(at + words.size()));
     } else if (!running() || now() - from > kStartTimeoutSeconds) {
-      throw std::runtime_error("the node does not listen: " + text);
+      throw std::runtime_error("the node did not report a listening port: " + text);
     } else {
       std::this_thread::sleep_for(kPollInterval);
     }
--- a/standins/world/node_process.h
+++ b/standins/world/node_process.h
@@ -23,6 +23,7 @@
 // The same class as the checker describes it.
 CheckedClass checked_class(const NodeRequestClass& c);
 
+// A tenant as in the node's settings.
 struct NodeTenantConfig {
   std::string name;
   double allowance = 1000;  // calls per second over all nodes
@@ -50,9 +51,8 @@
   double over_share_worth = 1;
   std::string peer_listen;        // address of its socket for other nodes; empty: none
   std::string broadcast_address;  // an address that reaches all nodes at once; empty: none
-  std::vector<std::string>
-      // The nodes' addresses as this node reaches them, by position.
-      peer_addresses;
+  // The nodes' addresses as this node reaches them, by position.
+  std::vector<std::string> peer_addresses;
   std::string known_servers;  // a server list in discovery's format; empty: none
   std::string extra_members;  // further JSON members of the configuration, each followed by a comma
 
--- a/standins/world/script.cpp
+++ b/standins/world/script.cpp
@@ -44,6 +44,7 @@
   return from == std::string::npos ? "" : text.substr(from, text.find_last_not_of(" \t\r") - from + 1);
 }
 
+// Parses a script line by line and resolves the names of members.
 class ScriptParser {
  public:
   explicit ScriptParser(const std::vector<Member>& members) : members_(members) {}
@@ -56,7 +57,7 @@
     fault.line = number;
     if (text.rfind("at ", 0) == 0) {
       const std::size_t end = text.find(' ', 3);
-      if (end == std::string::npos) fail("nothing behind the time");
+      if (end == std::string::npos) fail("no command after the time");
       fault.at = parse_number(text.substr(3, end - 3), 0, 1e6);
       text = trimmed(text.substr(end));
     }
@@ -105,11 +106,11 @@
     return all;
   }
 
-  template <class Holds>
-  MemberIndices members_where(Holds&& holds) const {
+  template <class Predicate>
+  MemberIndices members_where(Predicate&& predicate) const {
     MemberIndices out;
     for (std::size_t i = 0; i < members_.size(); ++i) {
-      if (holds(members_[i], i)) out.push_back(i);
+      if (predicate(members_[i], i)) out.push_back(i);
     }
     return out;
   }
@@ -155,22 +156,21 @@
       words.resize(words.size() - 2);
     }
     if (words.empty()) fail("no command");
-    const auto shape = verbs.find(words[0]);
-    if (shape == verbs.end()) fail("nothing here can '" + words[0] + "'");
+    const auto spec = verbs.find(words[0]);
+    if (spec == verbs.end()) fail("nothing here can '" + words[0] + "'");
     fault.verb = words[0];
     fault.arguments.clear();
     for (std::size_t i = 1; i < words.size(); ++i) {
-      if (shape->second.keyword != nullptr && fault.arguments.size() == 1 &&
-          words[i] == shape->second.keyword)
+      if (spec->second.keyword != nullptr && fault.arguments.size() == 1 && words[i] == spec->second.keyword)
         continue;
       fault.arguments.push_back(parse_number(words[i], fault.verb == "clock" ? -1e9 : 0, 1e9));
     }
     const bool parts = fault.verb == "loss" || fault.verb == "reorder" || fault.verb == "duplicate" ||
                        fault.verb == "corrupt" || fault.verb == "starve";
     if (parts && !fault.arguments.empty() && fault.arguments[0] > 1) fail("a part is 0 to 1");
-    if (fault.arguments.size() < shape->second.min || fault.arguments.size() > shape->second.max) {
-      fail("'" + fault.verb + "' takes " + std::to_string(shape->second.min) + " to " +
-           std::to_string(shape->second.max) + " figures");
+    if (fault.arguments.size() < spec->second.min || fault.arguments.size() > spec->second.max) {
+      fail("'" + fault.verb + "' takes " + std::to_string(spec->second.min) + " to " +
+           std::to_string(spec->second.max) + " figures");
     }
   }
 
@@ -238,13 +238,13 @@
 }
 
 std::vector<WorldFault> parse_world_script(std::string_view text, const std::vector<Member>& members) {
-  ScriptParser reader(members);
+  ScriptParser parser(members);
   std::istringstream in{std::string(text)};
   std::size_t number = 0;
-  for (std::string line; std::getline(in, line);) reader.parse_line(++number, line);
-  std::stable_sort(reader.out.begin(), reader.out.end(),
+  for (std::string line; std::getline(in, line);) parser.parse_line(++number, line);
+  std::stable_sort(parser.out.begin(), parser.out.end(),
                    [](const WorldFault& a, const WorldFault& b) { return a.at < b.at; });
-  return std::move(reader.out);
+  return std::move(parser.out);
 }
 
 }  // namespace nettlestand::standins
--- a/standins/world/script.h
+++ b/standins/world/script.h
@@ -9,6 +9,7 @@
 
 namespace nettlestand::standins {
 
+// What a member of a world is.
 enum class Role { kNode, kServer, kDiscovery, kCallers };
 
 // A machine of a world.
--- a/standins/world/timeline.h
+++ b/standins/world/timeline.h
@@ -13,6 +13,7 @@
 
 namespace nettlestand::standins {
 
+// One event.
 struct TimelineEntry {
   double at = 0;     // s on the clock of now()
   std::string who;   // a member's name
@@ -21,6 +22,7 @@
   std::map<std::string, std::string> fields;
 };
 
+// All events and records of a run.
 struct Timeline {
   double began = 0, ended = 0;  // s
   std::vector<Member> members;
--- a/standins/world/world.cpp
+++ b/standins/world/world.cpp
@@ -20,8 +20,8 @@
 constexpr double kStarvationCheckIntervalSeconds = 1;
 constexpr double kExitPollIntervalSeconds = 0.02;  // s
 constexpr double kMaxLoopDelaySeconds = 0.1;       // a greater delay makes a run invalid
-constexpr double kMaxCpuWaitSeconds =
-    0.25;  // per check interval; a longer wait for a core makes a run invalid
+// Per check interval; a longer wait for a core makes a run invalid.
+constexpr double kMaxCpuWaitSeconds = 0.25;
 
 }  // namespace
 
@@ -55,8 +55,8 @@
         add("callers-" + settings_.zones[i].name, Role::kCallers, settings_.zones[i], i));
   }
   discovery_member_ = add("discovery", Role::kDiscovery, settings_.zones[0], 0);
-  members_.back().zone = members_.back().region =
-      "";  // belongs to no zone, so that no zone fault includes it
+  // Belongs to no zone, so that no zone fault includes it.
+  members_.back().zone = members_.back().region = "";
   for (std::size_t a = 0; a < members_.size(); ++a) {
     for (std::size_t b = 0; b < members_.size(); ++b) {
       if (a == b || members_[a].zone.empty() || members_[b].zone.empty()) continue;
@@ -290,7 +290,7 @@
   std::atomic<std::size_t> ended = 0;
   for (const auto& load : loads_) load->start([&ended] { ++ended; });
   next_starvation_check_ = now() + kStarvationCheckIntervalSeconds;
-  const LoopDelayMonitor beat(thread_.loop());
+  const LoopDelayMonitor delay_monitor(thread_.loop());
   const HostStalls before = HostStalls::now();
   while (ended < loads_.size() || (!scheduled_.empty() && scheduled_.begin()->first < from + seconds + 1)) {
     while (!scheduled_.empty() && scheduled_.begin()->first <= now()) {
@@ -309,7 +309,7 @@
     f();
   }
   ending_faults_ = false;
-  starvation_.record_loop_delay(beat.max_delay());
+  starvation_.record_loop_delay(delay_monitor.max_delay());
   starvation_.machine = HostStalls::now().since(before);
 }
 
@@ -331,12 +331,12 @@
   if (late <= kMaxLoopDelaySeconds || late <= max_loop_delay) return;
   max_loop_delay = late;
   is_invalid = true;
-  if (process.empty()) process = "the stand-ins' loop";
+  if (process.empty()) process = "the test doubles' loop";
 }
 
 void ProcessWorld::note(const WorldFault& fault, const char* kind) {
   std::string what = fault.verb == "server" ? to_text(fault.server) : fault.verb;
-  for (const double figure : fault.arguments) what += " " + std::to_string(figure).substr(0, 6);
+  for (const double argument : fault.arguments) what += " " + std::to_string(argument).substr(0, 6);
   std::string who = members_[fault.who].name;
   if (fault.to != WorldFault::kNoMember) who += " -> " + members_[fault.to].name;
   events_.push_back({now(), who, kind, what, {{"line", std::to_string(fault.line)}}});
@@ -515,20 +515,20 @@
   if (fault.verb == "reset") return network_->reset(from, to);
   if (fault.verb == "half-open") return network_->half_open(from, to);
   LinkFaults f;
-  const auto figure = [&](std::size_t i) { return i < fault.arguments.size() ? fault.arguments[i] : 0; };
+  const auto argument = [&](std::size_t i) { return i < fault.arguments.size() ? fault.arguments[i] : 0; };
   if (fault.verb == "cut") f.cut = true;
   if (fault.verb == "loss") {
-    f.loss = figure(0);
-    f.burst = std::max(1.0, figure(1));
+    f.loss = argument(0);
+    f.burst = std::max(1.0, argument(1));
   }
   if (fault.verb == "delay") {
-    f.delay = figure(0);
-    f.jitter = figure(1);
+    f.delay = argument(0);
+    f.jitter = argument(1);
   }
-  if (fault.verb == "reorder") f.reorder = figure(0);
-  if (fault.verb == "duplicate") f.duplicate = figure(0);
-  if (fault.verb == "corrupt") f.corrupt = figure(0);
-  if (fault.verb == "band") f.bandwidth = figure(0);
+  if (fault.verb == "reorder") f.reorder = argument(0);
+  if (fault.verb == "duplicate") f.duplicate = argument(0);
+  if (fault.verb == "corrupt") f.corrupt = argument(0);
+  if (fault.verb == "band") f.bandwidth = argument(0);
   const std::uint64_t id = network_->begin(from, to, f);
   if (fault.duration == kForever) return;
   after(fault.duration, [this, id, fault] {
@@ -585,10 +585,10 @@
     complaint = play(starvation);
     is_invalid = starvation.is_invalid;
     if (!is_invalid) return complaint;
-    std::fprintf(stderr,
-                 "void: %s; waited %.2f s of a second for a core, the stand-ins' loop late by %.2f s; %s\n",
-                 starvation.process.c_str(), starvation.max_cpu_wait, starvation.max_loop_delay,
-                 starvation.machine.text().c_str());
+    std::fprintf(
+        stderr, "void: %s; waited %.2f s of a second for a core, the test doubles' loop late by %.2f s; %s\n",
+        starvation.process.c_str(), starvation.max_cpu_wait, starvation.max_loop_delay,
+        starvation.machine.text().c_str());
   }
   return complaint;
 }
--- a/standins/world/world.h
+++ b/standins/world/world.h
@@ -22,11 +22,13 @@
 
 namespace nettlestand::standins {
 
+// A zone and the region that it belongs to.
 struct WorldZone {
   std::string name = "a", region = "r";
   double traffic = 1;  // share of the calls, as a relative weight
 };
 
+// Size, topology, load and node configuration of a world.
 struct WorldSettings {
   std::string binary;  // path of the node program
   std::uint64_t seed = 1;
@@ -40,11 +42,11 @@
   // Nodes exchange messages: each has a socket for that, and all paths between them pass through simulated
   // links.
   bool peers = false;
-  // Number of nodes, from the first on, that vote on duties; the others are clients of the voters. Implies
-  // communication between nodes.
+  // Number of nodes, from the first on, that vote on duties; the others are clients of the voters and reach
+  // them through links.
   std::size_t voters = 0;
-  std::string
-      duties;  // additional lines for the [duties] section of every node's file, and sections after it
+  // Additional lines for the [duties] section of every node's file, and sections after it.
+  std::string duties;
   // Called for each voter before its first start with its state folder; creates the voter's initial store.
   std::function<void(std::size_t node, const std::string& folder)> prepare_voter;
   bool logs = true;  // nodes log in JSON, as the timeline requires
@@ -55,10 +57,9 @@
 // CPU starvation during a run. If nodes waited for a core for too long, no timing of the run is meaningful:
 // the run is invalid and is repeated.
 struct Starvation {
-  double max_cpu_wait =
-      // Longest time within one second, in s, that a process waited for a core without a fault script asking
-      // for it.
-      0;
+  // Longest time within one second, in s, that a process waited for a core without a fault script
+  // asking.
+  double max_cpu_wait = 0;
   std::string process;  // the process that waited longest
   // Longest delay of the test doubles' event loop in s, if it exceeded the bound.
   double max_loop_delay = 0;
@@ -144,8 +145,8 @@
   std::vector<std::unique_ptr<ScriptedServer>> servers_;
   std::vector<std::unique_ptr<NodeProcess>> nodes_;
   std::vector<std::unique_ptr<StateFolder>> states_;
-  std::vector<std::unique_ptr<InterposedFaults>>
-      interposed_faults_;  // by node; null without interposed faults
+  // By node; null without interposed faults.
+  std::vector<std::unique_ptr<InterposedFaults>> interposed_faults_;
   std::vector<int> node_ports_;
   std::vector<std::string> logs_;         // of processes that have ended, by node
   std::vector<bool> stalled_on_purpose_;  // paused or starved by the fault script, by node
--- a/tests/faults/fault_scripts_test.cpp
+++ b/tests/faults/fault_scripts_test.cpp
@@ -80,6 +80,7 @@
   return at + which + random.pick(kFaults) + " for " + format_number(random.uniform(0.05, 0.6));
 }
 
+// One world with the faults and events that its seed selects.
 struct ScriptedRun {
   World w;
   SeededRandom random;
@@ -207,6 +208,7 @@
   }
 };
 
+// Counts over all runs of a test.
 struct Totals {
   std::mutex mutex;
   std::uint64_t calls = 0, again = 0;
--- a/tests/faults/world.h
+++ b/tests/faults/world.h
@@ -46,6 +46,7 @@
           {"unsafe", CallEffect::kUnsafe, 1, timeout, 0, 200}};
 }
 
+// One node with its servers, discovery and records.
 struct World {
   LoopThread thread;
   Recorder recorder;
--- a/tests/lab/world_test.cpp
+++ b/tests/lab/world_test.cpp
@@ -66,12 +66,12 @@
 // As when the whole process is stopped: a thread watching from outside is delayed as long as the loop.
 TEST(Lateness, OfTheLoopIsToldThoughTheWatchingThreadWasHeldUpWithIt) {
   LoopThread thread;
-  const LoopDelayMonitor beat(thread.loop());
+  const LoopDelayMonitor delay_monitor(thread.loop());
   thread.loop().call([] { busy_wait(0.3); });
   thread.loop().call([] {});
-  ASSERT_TRUE(ProcessWorld::until([&] { return beat.max_delay() > 0.2; }, 5));
+  ASSERT_TRUE(ProcessWorld::until([&] { return delay_monitor.max_delay() > 0.2; }, 5));
   Starvation starvation;
-  starvation.record_loop_delay(beat.max_delay());
+  starvation.record_loop_delay(delay_monitor.max_delay());
   EXPECT_TRUE(starvation.is_invalid);
   EXPECT_GT(starvation.max_loop_delay, 0.2);
 }
