--- a/bench/duties.cpp
+++ b/bench/duties.cpp
@@ -82,8 +82,8 @@
     way.cut = true;
     for (ActorId other = 0; other < cluster.sim.size(); ++other) {
       if (other == actor(cluster, holder)) continue;
-      if (out) cluster.sim.set_way(actor(cluster, holder), other, way);
-      if (in) cluster.sim.set_way(other, actor(cluster, holder), way);
+      if (out) cluster.sim.set_link(actor(cluster, holder), other, way);
+      if (in) cluster.sim.set_link(other, actor(cluster, holder), way);
     }
   };
   const std::vector<std::pair<const char*, std::function<void(Cluster&, std::size_t)>>> faults = {
--- a/bench/peers.cpp
+++ b/bench/peers.cpp
@@ -231,7 +231,7 @@
     if (fault == "one-sided") {
       standins::LinkFaults cut;
       cut.cut = true;
-      for (std::size_t i = 0; i < nodes * 3 / 2; ++i) fleet->sim.set_way(random_node(), random_node(), cut);
+      for (std::size_t i = 0; i < nodes * 3 / 2; ++i) fleet->sim.set_link(random_node(), random_node(), cut);
     }
     std::vector<double> paused_until(nodes, -10);  // end of the last pause; infinite during a pause
     std::unordered_map<MemberKey, emulator::ActorId> actor_of;
--- a/emulator/fleet.cpp
+++ b/emulator/fleet.cpp
@@ -17,26 +17,28 @@
 
 constexpr std::uint64_t kAny = std::numeric_limits<std::uint64_t>::max();
 
-enum class What : std::uint8_t {
+enum class EventKind : std::uint8_t {
   kArrival,
   kFinish,
   kTimeOut,
   kEnd,
   kTimer,
   kDeadline,
-  kList,
-  kAgain,
+  kServerListChange,
+  kRetry,
   kCrash,
-  kCopy,
-  kFollow
+  kCopyFault,
+  kMembershipChange
 };
 
-struct Due {
+struct ScheduledEvent {
   double at;
   std::uint64_t order;
-  What what;
+  EventKind what;
   std::uint64_t a, b;
-  bool operator>(const Due& other) const { return at != other.at ? at > other.at : order > other.order; }
+  bool operator>(const ScheduledEvent& other) const {
+    return at != other.at ? at > other.at : order > other.order;
+  }
 };
 
 struct Attempt {
@@ -46,7 +48,7 @@
   qu::Outcome end = qu::Outcome::kUnknown;  // how it ends where no answer is worked out
 };
 
-struct Open {
+struct OpenRequest {
   std::uint32_t copy = 0, tenant = 0;
   std::size_t ask = 0;
   double arrived = 0;
@@ -55,7 +57,7 @@
 };
 
 // A client's request, over all its tries.
-struct Ask {
+struct ClientRequest {
   double born = 0;
   std::uint32_t tenant = 0, copy = 0;
   int tries = 0;
@@ -65,7 +67,7 @@
   std::vector<qu::Event> waiting;  // while it stands
   bool paused = false, dead = false;
   double died = 0;
-  std::uint64_t life = 0;
+  std::uint64_t generation = 0;
 };
 
 struct Job {
@@ -77,12 +79,12 @@
   double speed = 1;
   double born = 0;  // 0: warm
   int busy = 0;
-  std::uint64_t life = 0;  // 16 bits of it count
+  std::uint64_t generation = 0;  // 16 bits of it count
   std::deque<Job> queue;
   int held = 0;  // attempts out, for the policies that see all
-  bool drained = false, fallen = false, gone = false;
-  std::deque<std::pair<double, double>> pushed;  // when, how much work; of a cold server
-  double pushed_sum = 0;
+  bool drained = false, collapsed = false, gone = false;
+  std::deque<std::pair<double, double>> recent_work;  // when, how much work; of a cold server
+  double recent_work_sum = 0;
   std::uint64_t connects = 0;
 };
 
@@ -113,18 +115,19 @@
     now_ = kStart;
     if (spec_.policy == Policy::kModule) start_copies();
     for (std::size_t i = 0; i < spec_.changes.size(); ++i)
-      at(kStart + spec_.changes[i].at, What::kList, i, 0);
+      at(kStart + spec_.changes[i].at, EventKind::kServerListChange, i, 0);
     for (std::size_t i = 0; i < spec_.faults.size(); ++i) {
-      if (spec_.faults[i].kind == FaultKind::kCrash) at(kStart + spec_.faults[i].from, What::kCrash, i, 0);
+      if (spec_.faults[i].kind == FaultKind::kCrash)
+        at(kStart + spec_.faults[i].from, EventKind::kCrash, i, 0);
     }
     for (std::size_t i = 0; i < spec_.copy_faults.size(); ++i) {
-      at(kStart + spec_.copy_faults[i].from, What::kCopy, i, 0);
-      at(kStart + spec_.copy_faults[i].until, What::kCopy, i, 1);
+      at(kStart + spec_.copy_faults[i].from, EventKind::kCopyFault, i, 0);
+      at(kStart + spec_.copy_faults[i].until, EventKind::kCopyFault, i, 1);
     }
     next_arrival();
-    while (!due_.empty()) {
-      const Due next = due_.top();
-      due_.pop();
+    while (!event_queue_.empty()) {
+      const ScheduledEvent next = event_queue_.top();
+      event_queue_.pop();
       now_ = next.at;
       step(next);
     }
@@ -162,7 +165,7 @@
     for (std::size_t i = 0; i < servers_.size() && spec_.cold; ++i) servers_[i].born = now_;
     for (std::size_t i = 0; i < spec_.copies; ++i) {
       copies_.push_back(make_copy(i));
-      meet_servers(i);
+      send_server_list(i);
     }
   }
 
@@ -170,19 +173,19 @@
     qu::Settings s = settings();
     s.copy_index = static_cast<int>(i);
     s.zone = static_cast<int>(zone_of(i));
-    return {s, spec_.seed * 1000 + i + 7919 * states_[i].life};
+    return {s, spec_.seed * 1000 + i + 7919 * states_[i].generation};
   }
-  void meet_servers(std::size_t i) {
+  void send_server_list(std::size_t i) {
     qu::MembershipUpdate all;
     for (std::size_t j = 0; j < servers_.size(); ++j) {
-      if (!servers_[j].gone) all.servers.push_back(told(j));
+      if (!servers_[j].gone) all.servers.push_back(server_info(j));
     }
     tell(i, qu::Started{});
     tell(i, all);
   }
   std::size_t zone_of(std::size_t place) const { return place % spec_.zones; }
 
-  qu::Server told(std::size_t i) const {
+  qu::Server server_info(std::size_t i) const {
     qu::Server out;
     out.address = std::to_string(i);
     out.cell = static_cast<int>(i / 4);
@@ -193,8 +196,8 @@
 
   double unit() { return std::uniform_real_distribution<double>(0, 1)(random_); }
   double exponential(double mean) { return -mean * std::log(1 - unit()); }
-  void at(double when, What what, std::uint64_t a, std::uint64_t b) {
-    due_.push({when, ++order_, what, a, b});
+  void at(double when, EventKind what, std::uint64_t a, std::uint64_t b) {
+    event_queue_.push({when, ++order_, what, a, b});
   }
 
   double load_factor() const {
@@ -207,44 +210,44 @@
 
   void next_arrival() {
     const double when = now_ + exponential(1 / (offered_ * load_factor()));
-    if (when - kStart < spec_.seconds) at(when, What::kArrival, 0, 0);
+    if (when - kStart < spec_.seconds) at(when, EventKind::kArrival, 0, 0);
   }
 
-  void step(const Due& next) {
+  void step(const ScheduledEvent& next) {
     switch (next.what) {
-      case What::kArrival:
+      case EventKind::kArrival:
         next_arrival();
         return arrive(0);
-      case What::kAgain:
+      case EventKind::kRetry:
         return arrive(next.a);
-      case What::kCrash:
+      case EventKind::kCrash:
         return crash(spec_.faults[next.a]);
-      case What::kFollow:
-        return follow();
-      case What::kCopy:
+      case EventKind::kMembershipChange:
+        return announce_balancers();
+      case EventKind::kCopyFault:
         return next.b == 0 ? begin(spec_.copy_faults[next.a]) : end(spec_.copy_faults[next.a]);
-      case What::kFinish:
-        if (servers_[(next.b >> 16) & 0xFFFFFFFF].life != next.b >> 48) return;  // it died meanwhile
+      case EventKind::kFinish:
+        if (servers_[(next.b >> 16) & 0xFFFFFFFF].generation != next.b >> 48) return;  // it died meanwhile
         return finish(next.a, static_cast<std::uint32_t>(next.b >> 16),
                       static_cast<std::uint32_t>(next.b & 0xFFFF));
-      case What::kTimeOut:
+      case EventKind::kTimeOut:
         return end(next.a, static_cast<std::uint32_t>(next.b), qu::Outcome::kTimedOut);
-      case What::kEnd: {
+      case EventKind::kEnd: {
         const auto it = open_.find(next.a);
         if (it != open_.end())
           end(next.a, static_cast<std::uint32_t>(next.b), it->second.attempts[next.b].end);
         return;
       }
-      case What::kTimer:
+      case EventKind::kTimer:
         return tell(next.a & 0xFFFFFFFF, qu::TimerFired{next.b}, next.a >> 32);
-      case What::kDeadline: {
+      case EventKind::kDeadline: {
         const auto it = open_.find(next.a);
         if (it == open_.end() || it->second.answered) return;
         answer(it->second, &Counts::failed);
         if (spec_.policy == Policy::kModule) tell(it->second.copy, qu::RequestGone{std::to_string(next.a)});
         return forget(next.a);  // its callers have left it
       }
-      case What::kList:
+      case EventKind::kServerListChange:
         return change(spec_.changes[next.a]);
     }
   }
@@ -259,12 +262,12 @@
       servers_[i].gone = what.state == qu::ServerState::kGone;
       if (what.restarted) {
         servers_[i].born = now_;
-        servers_[i].fallen = false;
-        servers_[i].pushed.clear();
-        servers_[i].pushed_sum = 0;
+        servers_[i].collapsed = false;
+        servers_[i].recent_work.clear();
+        servers_[i].recent_work_sum = 0;
       }
       servers_[i].drained = what.state != qu::ServerState::kReady;
-      update.servers.push_back(told(i));
+      update.servers.push_back(server_info(i));
       update.servers.back().state = what.state;
     }
     for (std::size_t i = 0; i < copies_.size(); ++i) tell(i, update);
@@ -277,7 +280,7 @@
     return static_cast<std::uint32_t>(it - weights_.begin());
   }
 
-  Asked* asked_of(const Ask& ask) {
+  Asked* asked_of(const ClientRequest& ask) {
     const auto second = static_cast<std::size_t>(ask.born - kStart);
     return second < result_.requests.size() ? &result_.requests[second][zone_of(ask.copy)] : nullptr;
   }
@@ -285,22 +288,22 @@
   // `again`: the place of a request that comes again, from 1; 0: a new one.
   void arrive(std::size_t again) {
     const std::uint64_t number = ++last_;
-    Open& open = open_[number];
+    OpenRequest& open = open_[number];
     if (again == 0) {
-      Ask ask;
+      ClientRequest ask;
       double pick = unit() * offered_;
       while (ask.tenant + 1 < spec_.tenants.size() && (pick -= spec_.tenants[ask.tenant].offered) >= 0) {
         ++ask.tenant;
       }
       ask.copy = draw_copy();
       ask.born = now_;
-      asks_.push_back(ask);
-      open.ask = asks_.size();
+      client_requests_.push_back(ask);
+      open.ask = client_requests_.size();
       if (Asked* asked = asked_of(ask)) ++asked->asked;
     } else {
       open.ask = again;
     }
-    Ask& ask = asks_[open.ask - 1];
+    ClientRequest& ask = client_requests_[open.ask - 1];
     ++ask.tries;
     if (Asked* asked = asked_of(ask)) ++asked->tries;
     open.tenant = ask.tenant;
@@ -318,12 +321,12 @@
     open.arrived = now_;
     open.counted = now_ - kStart >= spec_.count_from;
     count(open, &Counts::asked);
-    at(now_ + spec_.give_up, What::kDeadline, number, 0);
+    at(now_ + spec_.give_up, EventKind::kDeadline, number, 0);
     if (states_[open.copy].dead) {
       answer(open, &Counts::failed);
       return forget(number);
     }
-    if (spec_.policy != Policy::kModule) return route_plainly(number, open);
+    if (spec_.policy != Policy::kModule) return route_without_module(number, open);
     qu::Request request;
     request.id = std::to_string(number);
     request.tenant = open.tenant;
@@ -331,7 +334,7 @@
     tell(open.copy, request);
   }
 
-  void route_plainly(std::uint64_t number, Open& open) {
+  void route_without_module(std::uint64_t number, OpenRequest& open) {
     std::size_t best = 0;
     const std::size_t from = static_cast<std::size_t>(unit() * static_cast<double>(servers_.size()));
     int least = std::numeric_limits<int>::max();
@@ -350,10 +353,10 @@
     send(number, open, best, spec_.give_up);
   }
 
-  // `life`: of the copy that it is meant for.
-  void tell(std::size_t copy, const qu::Event& event, std::uint64_t life = kAny) {
+  // `generation`: of the copy that it is meant for.
+  void tell(std::size_t copy, const qu::Event& event, std::uint64_t generation = kAny) {
     CopyState& state = states_[copy];
-    if (state.dead || (life != kAny && life != state.life)) return;
+    if (state.dead || (generation != kAny && generation != state.generation)) return;
     if (state.paused) {
       state.waiting.push_back(event);
       return;
@@ -374,14 +377,14 @@
       } else if (const auto* f = std::get_if<qu::Fail>(&action)) {
         final(std::stoull(f->id), &Counts::failed);
       } else if (const auto* t = std::get_if<qu::SetTimer>(&action)) {
-        at(std::max(now_, t->at), What::kTimer, copy | (state.life << 32), t->token);
+        at(std::max(now_, t->at), EventKind::kTimer, copy | (state.generation << 32), t->token);
       } else if (const auto* c = std::get_if<qu::Cancel>(&action)) {
         const auto it = open_.find(std::stoull(c->id));
         if (it == open_.end()) continue;
         Attempt& attempt = it->second.attempts[static_cast<std::size_t>(c->attempt)];
         if (!attempt.open) continue;
         attempt.end = qu::Outcome::kCancelled;
-        at(now_, What::kEnd, it->first, static_cast<std::uint64_t>(c->attempt));
+        at(now_, EventKind::kEnd, it->first, static_cast<std::uint64_t>(c->attempt));
       }
     }
   }
@@ -389,7 +392,7 @@
   void final(std::uint64_t number, std::uint64_t Counts::*how) {
     const auto it = open_.find(number);
     if (it == open_.end() && !spec_.copy_faults.empty()) return;
-    Open& open = open_.at(number);
+    OpenRequest& open = open_.at(number);
     if (open.answered) {
       if (spec_.copy_faults.empty()) ++result_.answered_twice;
     } else {
@@ -398,7 +401,7 @@
     forget(number);
   }
 
-  void count(const Open& open, std::uint64_t Counts::*what) {
+  void count(const OpenRequest& open, std::uint64_t Counts::*what) {
     const auto second = static_cast<std::size_t>(open.arrived - kStart);
     if (second < result_.seconds.size()) ++(result_.seconds[second].*what);
     if (!open.counted) return;
@@ -406,15 +409,15 @@
     if (open.tenant < result_.tenants.size()) ++(result_.tenants[open.tenant].*what);
   }
 
-  void answer(Open& open, std::uint64_t Counts::*how) {
+  void answer(OpenRequest& open, std::uint64_t Counts::*how) {
     open.answered = true;
     count(open, how);
-    const Ask& ask = asks_[open.ask - 1];
+    const ClientRequest& ask = client_requests_[open.ask - 1];
     Asked* asked = asked_of(ask);
     if (how != &Counts::served) {
       const bool may = how == &Counts::refused || spec_.effect != qu::Effect::kUnsafe;
       if (ask.tries < spec_.tries && may) {
-        at(now_ + exponential(spec_.retry_pause), What::kAgain, open.ask, 0);
+        at(now_ + exponential(spec_.retry_pause), EventKind::kRetry, open.ask, 0);
       } else if (asked != nullptr) {
         ++(how == &Counts::refused ? asked->refused : asked->failed);
       }
@@ -436,20 +439,20 @@
         Attempt& a = open.attempts[i];
         if (!a.open || !hits(fault, a.server, open.copy)) continue;
         a.end = qu::Outcome::kReset;
-        at(now_, What::kEnd, number, i);
+        at(now_, EventKind::kEnd, number, i);
       }
     }
     for (std::size_t i = 0; i < servers_.size(); ++i) {
       if (!hits(fault, i, 0)) continue;
       servers_[i].queue.clear();
-      ++servers_[i].life;
+      ++servers_[i].generation;
       servers_[i].busy = 0;
-      std::erase_if(kept_, [i](const auto& entry) { return (entry.first & 0xFFFFFFFF) == i; });
+      std::erase_if(last_served_, [i](const auto& entry) { return (entry.first & 0xFFFFFFFF) == i; });
     }
   }
 
   // As membership tells the living: by their place among them, and allowances by half of all at the least.
-  void follow() {
+  void announce_balancers() {
     const auto lives = [](const CopyState& state) { return !state.dead; };
     const int count = static_cast<int>(std::count_if(states_.begin(), states_.end(), lives));
     int index = 0;
@@ -467,9 +470,9 @@
       return;
     }
     state.dead = true;
-    if (spec_.follow_after >= 0) at(now_ + spec_.follow_after, What::kFollow, 0, 0);
+    if (spec_.follow_after >= 0) at(now_ + spec_.follow_after, EventKind::kMembershipChange, 0, 0);
     state.died = now_;
-    ++state.life;
+    ++state.generation;
     state.waiting.clear();
     std::vector<std::uint64_t> held;
     for (auto& [number, open] : open_) {
@@ -477,7 +480,7 @@
     }
     std::sort(held.begin(), held.end());
     for (const std::uint64_t number : held) {
-      Open& open = open_[number];
+      OpenRequest& open = open_[number];
       for (Attempt& a : open.attempts) {
         if (a.open) --servers_[a.server].held;
         a.open = false;
@@ -496,9 +499,9 @@
       return;
     }
     state.dead = false;
-    if (spec_.follow_after >= 0) at(now_ + spec_.follow_after, What::kFollow, 0, 0);
+    if (spec_.follow_after >= 0) at(now_ + spec_.follow_after, EventKind::kMembershipChange, 0, 0);
     copies_[fault.copy] = make_copy(fault.copy);
-    meet_servers(fault.copy);
+    send_server_list(fault.copy);
   }
 
   bool hits(const Fault& f, std::size_t server, std::uint32_t copy) const {
@@ -526,7 +529,7 @@
     return nullptr;
   }
 
-  double warmth(const Server& s) const {
+  double warm_up_fraction(const Server& s) const {
     if (s.born == 0 || spec_.ramp_time <= 0) return 1;
     return std::min(1.0,
                     spec_.start_capacity + (1 - spec_.start_capacity) * (now_ - s.born) / spec_.ramp_time);
@@ -543,12 +546,12 @@
     }
   }
 
-  void send(std::uint64_t number, Open& open, std::size_t to, double timeout) {
+  void send(std::uint64_t number, OpenRequest& open, std::size_t to, double timeout) {
     Server& s = servers_[to];
     const auto attempt = static_cast<std::uint32_t>(open.attempts.size());
     open.attempts.push_back({static_cast<std::uint32_t>(to), now_, true, false, qu::Outcome::kUnknown});
     ++result_.attempts;
-    if (Asked* asked = asked_of(asks_[open.ask - 1])) ++asked->attempts;
+    if (Asked* asked = asked_of(client_requests_[open.ask - 1])) ++asked->attempts;
     ++result_.sent[to];
     const auto second = static_cast<std::size_t>(now_ - kStart);
     auto& by_second = result_.sent_by_second[to];
@@ -559,7 +562,7 @@
     if (s.drained) ++result_.sent_after_drain;
     const auto ends = [&](double when, qu::Outcome how) {
       open.attempts[attempt].end = how;
-      at(std::min(when, now_ + timeout), What::kEnd, number, attempt);
+      at(std::min(when, now_ + timeout), EventKind::kEnd, number, attempt);
     };
     if (const Fault* f = fault_of(to, open.copy, FaultKind::kRefuse); f && s.connects++ % f->every == 0) {
       ++result_.dial_failed;
@@ -572,18 +575,18 @@
     const std::uint64_t pair = (static_cast<std::uint64_t>(open.copy) << 32) | to;
     const Fault* cut = fault_of(to, open.copy, FaultKind::kCut);
     if (cut != nullptr) {
-      const auto kept = kept_.find(pair);
-      if (kept != kept_.end() &&
+      const auto kept = last_served_.find(pair);
+      if (kept != last_served_.end() &&
           kept->second > now_ - spec_.idle_close) {  // written on it, and never heard of
-        at(now_ + timeout, What::kTimeOut, number, attempt);
+        at(now_ + timeout, EventKind::kTimeOut, number, attempt);
         return;
       }
     }
-    if (s.fallen || cut != nullptr || fault_of(to, open.copy, FaultKind::kHangConnect)) {
+    if (s.collapsed || cut != nullptr || fault_of(to, open.copy, FaultKind::kHangConnect)) {
       ++result_.dial_failed;
       return ends(now_ + spec_.connect_timeout, qu::Outcome::kDialFailed);
     }
-    at(now_ + timeout, What::kTimeOut, number, attempt);
+    at(now_ + timeout, EventKind::kTimeOut, number, attempt);
     run(open, attempt);
     if (fault_of(to, open.copy, FaultKind::kSilent)) {
       return;
@@ -594,29 +597,29 @@
     if (fault_of(to, open.copy, FaultKind::kError)) {
       return ends(now_ + spec_.refuse_time, qu::Outcome::kError);
     }
-    if (push(s)) return;
+    if (overloads_cold_server(s)) return;
     s.queue.push_back({number, attempt});
     begin(to);
   }
 
   // Whether a cold server falls over under what it has been sent.
-  bool push(Server& s) {
-    const double warm = warmth(s);
+  bool overloads_cold_server(Server& s) {
+    const double warm = warm_up_fraction(s);
     if (warm >= 1) return false;
-    s.pushed.emplace_back(now_, spec_.work);
-    s.pushed_sum += spec_.work;
-    while (s.pushed.front().first < now_ - spec_.tip_after) {
-      s.pushed_sum -= s.pushed.front().second;
-      s.pushed.pop_front();
+    s.recent_work.emplace_back(now_, spec_.work);
+    s.recent_work_sum += spec_.work;
+    while (s.recent_work.front().first < now_ - spec_.tip_after) {
+      s.recent_work_sum -= s.recent_work.front().second;
+      s.recent_work.pop_front();
     }
     const double most = spec_.tip_multiple * warm * s.speed * spec_.cores * spec_.tip_after;
-    if (s.pushed_sum <= most + 4 * spec_.work) return false;
-    s.fallen = true;
+    if (s.recent_work_sum <= most + 4 * spec_.work) return false;
+    s.collapsed = true;
     ++result_.fallen_over;
     return true;
   }
 
-  void run(Open& open, std::uint32_t attempt) {
+  void run(OpenRequest& open, std::uint32_t attempt) {
     open.attempts[attempt].ran = true;
     if (spec_.effect != qu::Effect::kUnsafe) return;
     const auto ran =
@@ -631,9 +634,9 @@
       s.queue.pop_front();
       ++s.busy;
       const Fault* slow = fault_of(at_server, 0, FaultKind::kSlow);
-      const double took = work() * (slow ? slow->factor : 1) / (s.speed * warmth(s));
-      at(now_ + took, What::kFinish, job.request,
-         (s.life << 48) | (static_cast<std::uint64_t>(at_server) << 16) | job.attempt);
+      const double took = work() * (slow ? slow->factor : 1) / (s.speed * warm_up_fraction(s));
+      at(now_ + took, EventKind::kFinish, job.request,
+         (s.generation << 48) | (static_cast<std::uint64_t>(at_server) << 16) | job.attempt);
     }
   }
 
@@ -651,7 +654,7 @@
     Attempt& a = it->second.attempts[attempt];
     if (!a.open) return;
     a.end = qu::Outcome::kDelivered;
-    at((cut != nullptr ? kStart + cut->until : now_) + way, What::kEnd, number, attempt);
+    at((cut != nullptr ? kStart + cut->until : now_) + way, EventKind::kEnd, number, attempt);
   }
 
   void end(std::uint64_t number, std::uint32_t attempt, qu::Outcome how) {
@@ -664,9 +667,9 @@
     const std::uint64_t pair = (static_cast<std::uint64_t>(it->second.copy) << 32) | a.server;
     if (!spec_.faults.empty()) {
       if (how == qu::Outcome::kDelivered) {
-        kept_[pair] = now_;
+        last_served_[pair] = now_;
       } else if (how == qu::Outcome::kTimedOut || how == qu::Outcome::kReset) {
-        kept_.erase(pair);
+        last_served_.erase(pair);
       }
     }
     if (how == qu::Outcome::kDelivered && !it->second.answered) answer(it->second, &Counts::served);
@@ -685,12 +688,13 @@
   Result result_;
   std::vector<qu::Balancer> copies_;
   std::vector<Server> servers_;
-  std::unordered_map<std::uint64_t, Open> open_;
-  std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;
-  std::vector<Ask> asks_;
+  std::unordered_map<std::uint64_t, OpenRequest> open_;
+  std::priority_queue<ScheduledEvent, std::vector<ScheduledEvent>, std::greater<>> event_queue_;
+  std::vector<ClientRequest> client_requests_;
   std::vector<CopyState> states_;
-  std::vector<double> weights_;                     // of the copies, summed up; empty: even
-  std::unordered_map<std::uint64_t, double> kept_;  // by copy and server: when a kept connection served last
+  std::vector<double> weights_;  // of the copies, summed up; empty: even
+  std::unordered_map<std::uint64_t, double>
+      last_served_;  // by copy and server: when a kept connection served last
   double now_ = 0, offered_ = 0;
   std::uint64_t order_ = 0, last_ = 0;
 };
--- a/emulator/simulation.cpp
+++ b/emulator/simulation.cpp
@@ -8,19 +8,19 @@
 
 constexpr double kEpoch = 1'700'000'000;  // s; where wall clocks start
 
-std::uint64_t pair_of(std::uint32_t a, std::uint32_t b) { return (static_cast<std::uint64_t>(a) << 32) | b; }
+std::uint64_t link_key(std::uint32_t a, std::uint32_t b) { return (static_cast<std::uint64_t>(a) << 32) | b; }
 
 }  // namespace
 
-class Simulation::Host final : public Context {
+class Simulation::ProcessContext final : public Context {
  public:
-  Host(Simulation& s, ActorId self) : s_(s), self_(self) {}
+  ProcessContext(Simulation& s, ActorId self) : s_(s), self_(self) {}
   ActorId self() const override { return self_; }
   double now() const override { return s_.now_; }
   double wall_clock() const override { return kEpoch + s_.now_ + s_.processes_[self_].wall_offset; }
   void send(ActorId to, std::string bytes) override { s_.send(self_, to, std::move(bytes)); }
   void set_timer(double at, std::uint64_t token) override {
-    s_.push({std::max(at, s_.now_), 0, What::kTimer, self_, 0, s_.processes_[self_].life, token});
+    s_.push({std::max(at, s_.now_), 0, EventKind::kTimer, self_, 0, s_.processes_[self_].generation, token});
   }
   pcg64& random() override { return s_.processes_[self_].random; }
 
@@ -41,9 +41,9 @@
 void Simulation::start(ActorId who) {
   Process& p = processes_[who];
   if (p.actor) return;
-  p.actor = p.factory(who, p.life);
+  p.actor = p.factory(who, p.generation);
   p.paused = false;
-  Host host(*this, who);
+  ProcessContext host(*this, who);
   p.actor->start(host);
 }
 
@@ -51,7 +51,7 @@
   Process& p = processes_[who];
   if (!p.actor) return;
   p.actor.reset();
-  ++p.life;
+  ++p.generation;
   p.paused = false;
   p.waiting.clear();
   p.timers.clear();
@@ -63,7 +63,7 @@
   Process& p = processes_[who];
   if (!p.paused) return;
   p.paused = false;
-  Host host(*this, who);
+  ProcessContext host(*this, who);
   // As an event loop does: first the timers that are due, then what waits in the socket.
   for (const std::uint64_t token : std::exchange(p.timers, {})) {
     if (p.actor) p.actor->timer(host, token);
@@ -73,32 +73,35 @@
   }
 }
 
-void Simulation::set_way(ActorId from, ActorId to, const standins::LinkFaults& faults) {
-  ways_[pair_of(from, to)] = faults;
-  roads_.erase(pair_of(from, to));
+void Simulation::set_link(ActorId from, ActorId to, const standins::LinkFaults& faults) {
+  link_faults_[link_key(from, to)] = faults;
+  stateful_links_.erase(link_key(from, to));
 }
 void Simulation::set_zones(std::uint32_t from, std::uint32_t to, const standins::LinkFaults& faults) {
-  zones_[pair_of(from, to)] = faults;
-  roads_.clear();
+  zone_faults_[link_key(from, to)] = faults;
+  stateful_links_.clear();
 }
 void Simulation::heal() {
   network_ = {};
-  ways_.clear();
-  zones_.clear();
-  roads_.clear();
+  link_faults_.clear();
+  zone_faults_.clear();
+  stateful_links_.clear();
 }
 
-standins::LinkModel& Simulation::way(ActorId from, ActorId to) {
+standins::LinkModel& Simulation::link_model(ActorId from, ActorId to) {
   standins::LinkFaults all = network_;
-  if (const auto it = ways_.find(pair_of(from, to)); it != ways_.end()) all = combine(all, it->second);
-  if (const auto it = zones_.find(pair_of(processes_[from].zone, processes_[to].zone)); it != zones_.end()) {
+  if (const auto it = link_faults_.find(link_key(from, to)); it != link_faults_.end())
+    all = combine(all, it->second);
+  if (const auto it = zone_faults_.find(link_key(processes_[from].zone, processes_[to].zone));
+      it != zone_faults_.end()) {
     all = combine(all, it->second);
   }
   const bool has_state = (all.loss > 0 && all.burst > 1) || all.bandwidth > 0;
-  standins::LinkModel* out = &plain_;
+  standins::LinkModel* out = &stateless_link_;
   if (has_state) {
-    out = &roads_.try_emplace(pair_of(from, to), seed_ ^ (pair_of(from, to) * 0x9E3779B97F4A7C15ULL))
-               .first->second;
+    out =
+        &stateful_links_.try_emplace(link_key(from, to), seed_ ^ (link_key(from, to) * 0x9E3779B97F4A7C15ULL))
+             .first->second;
   }
   out->set(all);
   return *out;
@@ -109,40 +112,40 @@
   ++p.traffic.sent;
   p.traffic.bytes_sent += bytes.size();
   if (to >= processes_.size()) return;
-  standins::LinkModel& on = way(from, to);
+  standins::LinkModel& on = link_model(from, to);
   for (const standins::LinkModel::Delivery& one : on.datagram_arrivals(now_, bytes.size())) {
     std::string copy = bytes;
     if (one.corrupt && !copy.empty()) {
       const auto at = static_cast<std::size_t>(on.uniform_below(copy.size()));
       copy[at] = static_cast<char>(copy[at] ^ (1 << on.uniform_below(8)));
     }
-    flying_.emplace(++last_held_, std::move(copy));
-    push({one.at, 0, What::kMessage, to, from, 0, last_held_});
+    messages_in_flight_.emplace(++last_token_, std::move(copy));
+    push({one.at, 0, EventKind::kMessage, to, from, 0, last_token_});
   }
 }
 
 void Simulation::at(double when, std::function<void()> f) {
-  calls_.emplace(++last_held_, std::move(f));
-  push({std::max(when, now_), 0, What::kCall, 0, 0, 0, last_held_});
+  callbacks_.emplace(++last_token_, std::move(f));
+  push({std::max(when, now_), 0, EventKind::kCall, 0, 0, 0, last_token_});
 }
 
 void Simulation::run_until(double when) {
-  while (!due_.empty() && due_.top().at <= when) {
-    const Due next = due_.top();
-    due_.pop();
+  while (!event_queue_.empty() && event_queue_.top().at <= when) {
+    const ScheduledEvent next = event_queue_.top();
+    event_queue_.pop();
     now_ = next.at;
     ++handled_;
-    if (next.what == What::kCall) {
-      const auto it = calls_.find(next.token);
+    if (next.what == EventKind::kCall) {
+      const auto it = callbacks_.find(next.token);
       const auto f = std::move(it->second);
-      calls_.erase(it);
+      callbacks_.erase(it);
       f();
       continue;
     }
     Process& p = processes_[next.who];
-    Host host(*this, next.who);
-    if (next.what == What::kTimer) {
-      if (!p.actor || p.life != next.life) continue;
+    ProcessContext host(*this, next.who);
+    if (next.what == EventKind::kTimer) {
+      if (!p.actor || p.generation != next.generation) continue;
       if (p.paused) {
         p.timers.push_back(next.token);
       } else {
@@ -150,12 +153,12 @@
       }
       continue;
     }
-    const auto it = flying_.find(next.token);
+    const auto it = messages_in_flight_.find(next.token);
     const std::string bytes = std::move(it->second);
-    flying_.erase(it);
+    messages_in_flight_.erase(it);
     if (!p.actor) continue;
     if (p.paused) {
-      if (p.waiting.size() < kSocketHolds) p.waiting.emplace_back(next.from, bytes);
+      if (p.waiting.size() < kMaxQueuedDatagrams) p.waiting.emplace_back(next.from, bytes);
       continue;
     }
     ++p.traffic.received;
--- a/emulator/simulation.h
+++ b/emulator/simulation.h
@@ -35,7 +35,7 @@
   virtual pcg64& random() = 0;
 };
 
-// A deciding half with its host: a life of a process.
+// A deciding half with its host: a generation of a process.
 class Actor {
  public:
   virtual ~Actor() = default;
@@ -50,10 +50,10 @@
 
 class Simulation {
  public:
-  // Makes an actor's next life; `life` counts from 0.
-  using Factory = std::function<std::unique_ptr<Actor>(ActorId self, std::uint64_t life)>;
+  // Makes an actor's next generation; `generation` counts from 0.
+  using Factory = std::function<std::unique_ptr<Actor>(ActorId self, std::uint64_t generation)>;
 
-  explicit Simulation(std::uint64_t seed) : seed_(seed), random_(seed), plain_(seed) {}
+  explicit Simulation(std::uint64_t seed) : seed_(seed), random_(seed), stateless_link_(seed) {}
 
   // A further process, not started. Numbered from 0. `zone` for faults between groups.
   ActorId add(Factory factory, std::uint32_t zone = 0);
@@ -72,7 +72,7 @@
 
   // Of all ways, and more of single ones or of those between two zones: they go together.
   void set_network(const standins::LinkFaults& all) { network_ = all; }
-  void set_way(ActorId from, ActorId to, const standins::LinkFaults& faults);
+  void set_link(ActorId from, ActorId to, const standins::LinkFaults& faults);
   void set_zones(std::uint32_t from, std::uint32_t to, const standins::LinkFaults& faults);
   void heal();
 
@@ -84,13 +84,13 @@
   const Traffic& traffic(ActorId who) const { return processes_[who].traffic; }
   std::uint64_t handled() const { return handled_; }
 
-  static constexpr std::size_t kSocketHolds = 512;  // datagrams that wait for a process that stands
+  static constexpr std::size_t kMaxQueuedDatagrams = 512;  // datagrams that wait for a process that stands
 
  private:
   struct Process {
     Factory factory;
     std::unique_ptr<Actor> actor;
-    std::uint64_t life = 0;
+    std::uint64_t generation = 0;
     std::uint32_t zone = 0;
     bool paused = false;
     double wall_offset = 0;
@@ -99,37 +99,39 @@
     std::vector<std::pair<ActorId, std::string>> waiting;
     std::vector<std::uint64_t> timers;  // that came due while it stood
   };
-  enum class What : std::uint8_t { kMessage, kTimer, kCall };
-  struct Due {
+  enum class EventKind : std::uint8_t { kMessage, kTimer, kCall };
+  struct ScheduledEvent {
     double at;
     std::uint64_t order;
-    What what;
+    EventKind what;
     ActorId who, from;
-    std::uint64_t life, token;
-    bool operator>(const Due& other) const { return at != other.at ? at > other.at : order > other.order; }
+    std::uint64_t generation, token;
+    bool operator>(const ScheduledEvent& other) const {
+      return at != other.at ? at > other.at : order > other.order;
+    }
   };
-  class Host;
+  class ProcessContext;
 
-  standins::LinkModel& way(ActorId from, ActorId to);
+  standins::LinkModel& link_model(ActorId from, ActorId to);
   void send(ActorId from, ActorId to, std::string bytes);
-  void push(Due due) {
+  void push(ScheduledEvent due) {
     due.order = ++order_;
-    due_.push(due);
+    event_queue_.push(due);
   }
 
   const std::uint64_t seed_;
   pcg64 random_;
   double now_ = 0;
-  std::uint64_t order_ = 0, handled_ = 0, last_held_ = 0;
+  std::uint64_t order_ = 0, handled_ = 0, last_token_ = 0;
   std::vector<Process> processes_;
   standins::LinkFaults network_;
-  std::unordered_map<std::uint64_t, standins::LinkFaults> ways_, zones_;
+  std::unordered_map<std::uint64_t, standins::LinkFaults> link_faults_, zone_faults_;
   std::unordered_map<std::uint64_t, standins::LinkModel>
-      roads_;  // those with bursts or bands, which have a state
-  standins::LinkModel plain_;
-  std::unordered_map<std::uint64_t, std::string> flying_;
-  std::unordered_map<std::uint64_t, std::function<void()>> calls_;
-  std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;
+      stateful_links_;  // those with bursts or bands, which have a state
+  standins::LinkModel stateless_link_;
+  std::unordered_map<std::uint64_t, std::string> messages_in_flight_;
+  std::unordered_map<std::uint64_t, std::function<void()>> callbacks_;
+  std::priority_queue<ScheduledEvent, std::vector<ScheduledEvent>, std::greater<>> event_queue_;
 };
 
 }  // namespace nettlestand::emulator
--- a/tests/duties/cluster_test.cpp
+++ b/tests/duties/cluster_test.cpp
@@ -126,7 +126,7 @@
   cut.cut = true;
   for (ActorId i = 0; i < cluster.sim.size(); ++i) {
     if (i == alone) continue;
-    cluster.sim.set_way(i, static_cast<ActorId>(alone), cut);
+    cluster.sim.set_link(i, static_cast<ActorId>(alone), cut);
   }
   cluster.run(5);  // it receives nothing, and all others receive its messages
   cluster.sim.heal();
@@ -333,8 +333,8 @@
         break;
       case 3:
         way.cut = true;
-        cluster.sim.at(at, [&cluster, a, b, way] { cluster.sim.set_way(a, b, way); });
-        cluster.sim.at(at + lasts, [&cluster, a, b] { cluster.sim.set_way(a, b, {}); });
+        cluster.sim.at(at, [&cluster, a, b, way] { cluster.sim.set_link(a, b, way); });
+        cluster.sim.at(at + lasts, [&cluster, a, b] { cluster.sim.set_link(a, b, {}); });
         break;
       case 4:  // cuts one direction, chosen at random, of each of its links
         way.cut = true;
@@ -342,10 +342,10 @@
           if (o == a) continue;
           const bool out = random() % 2 == 0;
           cluster.sim.at(at, [&cluster, a, o, way, out] {
-            out ? cluster.sim.set_way(a, o, way) : cluster.sim.set_way(o, a, way);
+            out ? cluster.sim.set_link(a, o, way) : cluster.sim.set_link(o, a, way);
           });
           cluster.sim.at(at + lasts, [&cluster, a, o, out] {
-            out ? cluster.sim.set_way(a, o, {}) : cluster.sim.set_way(o, a, {});
+            out ? cluster.sim.set_link(a, o, {}) : cluster.sim.set_link(o, a, {});
           });
         }
         break;
--- a/tests/lab/emulator_test.cpp
+++ b/tests/lab/emulator_test.cpp
@@ -12,7 +12,8 @@
 
 // Passes a rumour on to a few by chance, once a second; says all that it met.
 struct Gossip : Actor {
-  Gossip(std::size_t all, std::uint64_t life, std::string* log) : all(all), life(life), log(log) {}
+  Gossip(std::size_t all, std::uint64_t generation, std::string* log)
+      : all(all), generation(generation), log(log) {}
   void start(Context& c) override { c.set_timer(c.now() + 1, 7); }
   void message(Context& c, ActorId from, const std::string& bytes) override {
     heard = bytes;
@@ -28,14 +29,14 @@
     c.set_timer(c.now() + 1, 7);
   }
   std::size_t all;
-  std::uint64_t life;
+  std::uint64_t generation;
   std::string* log;
   std::string heard;
   int ticks = 0;
 };
 
 Simulation::Factory gossips(std::size_t all, std::string* log = nullptr) {
-  return [=](ActorId, std::uint64_t life) { return std::make_unique<Gossip>(all, life, log); };
+  return [=](ActorId, std::uint64_t generation) { return std::make_unique<Gossip>(all, generation, log); };
 }
 
 std::string course(std::uint64_t seed) {
@@ -80,7 +81,7 @@
   EXPECT_FALSE(s.alive(0));
   s.run_until(7);
   s.start(0);
-  EXPECT_EQ(static_cast<Gossip*>(s.actor(0))->life, 1U) << "another life";
+  EXPECT_EQ(static_cast<Gossip*>(s.actor(0))->generation, 1U) << "another life";
   s.run_until(8.5);
   EXPECT_EQ(static_cast<Gossip*>(s.actor(0))->ticks, 1) << "timers of the life before are gone";
 }
@@ -93,12 +94,12 @@
   standins::LinkFaults cut;
   cut.cut = true;
   s.set_zones(0, 1, cut);
-  s.set_way(0, 1, cut);
+  s.set_link(0, 1, cut);
   static_cast<Gossip*>(s.actor(0))->heard = "x";
   s.run_until(60);
   EXPECT_TRUE(static_cast<Gossip*>(s.actor(1))->heard.empty());
   EXPECT_TRUE(static_cast<Gossip*>(s.actor(2))->heard.empty());
-  s.set_way(0, 1, {});
+  s.set_link(0, 1, {});
   s.run_until(120);
   EXPECT_EQ(static_cast<Gossip*>(s.actor(1))->heard, "x");
   EXPECT_TRUE(static_cast<Gossip*>(s.actor(3))->heard.empty()) << "the zones are still cut";
--- a/tests/peers/membership_test.cpp
+++ b/tests/peers/membership_test.cpp
@@ -215,19 +215,19 @@
     const char* what;
     void (*set)(Fleet&);
   };
-  const Case cases[] = {{"A hears B, B does not hear A", [](Fleet& f) { f.sim.set_way(0, 1, cut()); }},
+  const Case cases[] = {{"A hears B, B does not hear A", [](Fleet& f) { f.sim.set_link(0, 1, cut()); }},
                         {"A can't reach C at all",
                          [](Fleet& f) {
-                           f.sim.set_way(0, 2, cut());
-                           f.sim.set_way(2, 0, cut());
+                           f.sim.set_link(0, 2, cut());
+                           f.sim.set_link(2, 0, cut());
                          }},
                         {"a ring of one-sided cuts",
                          [](Fleet& f) {
-                           for (emulator::ActorId i = 0; i < 12; ++i) f.sim.set_way(i, (i + 1) % 12, cut());
+                           for (emulator::ActorId i = 0; i < 12; ++i) f.sim.set_link(i, (i + 1) % 12, cut());
                          }},
                         {"a third reaches two thirds only one way", [](Fleet& f) {
                            for (emulator::ActorId i = 0; i < 4; ++i) {
-                             for (emulator::ActorId j = 4; j < 9; ++j) f.sim.set_way(i, j, cut());
+                             for (emulator::ActorId j = 4; j < 9; ++j) f.sim.set_link(i, j, cut());
                            }
                          }}};
   for (const Case& c : cases) {
@@ -301,11 +301,11 @@
           fleet.sim.resume(1);
           break;
         case 4:
-          fleet.sim.set_way(2, 0, cut());
+          fleet.sim.set_link(2, 0, cut());
           break;
         case 5:
-          fleet.sim.set_way(0, 1, cut());
-          fleet.sim.set_way(1, 0, cut());
+          fleet.sim.set_link(0, 1, cut());
+          fleet.sim.set_link(1, 0, cut());
           break;
         case 6:
           fleet.sim.heal();
@@ -347,7 +347,7 @@
         fleet.sim.resume(a);
         break;
       case 4:
-        fleet.sim.set_way(a, b, cut());
+        fleet.sim.set_link(a, b, cut());
         break;
       case 5:
         fleet.sim.set_network(loss(0.25, 3));
