--- a/bench/peers.cpp
+++ b/bench/peers.cpp
@@ -205,8 +205,8 @@
     const lab::Estimate b = lab::estimate(bytes), d = lab::estimate(datagrams);
     std::printf("| %zu | %.0f%% | %s | %.1f, %.1f | %.1f, %.1f | %d of %d | %.0f ± %.0f | %.1f ± %.1f |\n",
                 nodes, 100 * loss, name_of(kAllVariants[k]), quantile(first, 0.5), quantile(first, 0.99),
-                quantile(all, 0.5), quantile(all, 0.99), incomplete, seeds * rounds, b.mean, b.half, d.mean,
-                d.half);
+                quantile(all, 0.5), quantile(all, 0.99), incomplete, seeds * rounds, b.mean, b.half_width,
+                d.mean, d.half_width);
   }
 }
 
@@ -290,8 +290,8 @@
                         b = lab::estimate(bytes);
     std::printf("| %s | %zu | %s | %.0f | %.2f ± %.2f | %.3f ± %.3f | %.0f ± %.0f | %.0f ± %.0f |\n",
                 fault.c_str(), nodes, name_of(kAllVariants[k]),
-                minutes / 60 * static_cast<double>(nodes) * seeds, a.mean, a.half, d.mean, d.half, st.mean,
-                st.half, b.mean, b.half);
+                minutes / 60 * static_cast<double>(nodes) * seeds, a.mean, a.half_width, d.mean, d.half_width,
+                st.mean, st.half_width, b.mean, b.half_width);
   }
 }
 
@@ -321,8 +321,8 @@
     std::erase_if(took[k], [](double t) { return std::isnan(t); });
     const lab::Estimate t = lab::estimate(took[k]);
     std::printf("| %zu%s | %.0f%% | %s | %.1f ± %.1f | %d of %d | %.0f ± %.0f |\n", nodes,
-                listed ? ", listed" : "", 100 * loss, name_of(kAllVariants[k]), t.mean, t.half,
-                static_cast<int>(late), seeds, b.mean, b.half);
+                listed ? ", listed" : "", 100 * loss, name_of(kAllVariants[k]), t.mean, t.half_width,
+                static_cast<int>(late), seeds, b.mean, b.half_width);
   }
 }
 
--- a/lab/play_emulated.cpp
+++ b/lab/emulator_runner.cpp
@@ -3,18 +3,18 @@
 #include <map>
 #include <set>
 
-#include "lab/play.h"
+#include "lab/runners.h"
 
 namespace nettlestand::lab {
 namespace {
 
 namespace si = standins;
 
-constexpr double kForGood = 1e6;    // s
-constexpr double kRestart = 0.05;   // s that a killed node is gone where it is started again at once
-constexpr double kEmulatedTip = 3;  // of present capacity, in two seconds: as the site has it
+constexpr double kForeverSeconds = 1e6;   // s
+constexpr double kRestartSeconds = 0.05;  // s that a killed node is gone where it is started again at once
+constexpr double kOverloadMultiple = 3;   // of present capacity, in two seconds: as the site has it
 
-fleet::FaultKind kind_of(const si::Fault& fault) {
+fleet::FaultKind emulator_fault_kind(const si::Fault& fault) {
   switch (fault.kind) {
     case si::FaultKind::kRefuse:
     case si::FaultKind::kReject:
@@ -32,22 +32,22 @@
     case si::FaultKind::kCrash:
       return fleet::FaultKind::kCrash;
     default:
-      throw CantPlay("the emulator does not play '" + si::to_text(fault) + "'");
+      throw UnsupportedSetup("the emulator does not play '" + si::to_text(fault) + "'");
   }
 }
 
 // Ways between nodes and servers that are cut, gathered: copies that are cut off from the same servers at the
 // same times make one fault.
-class Cuts {
+class PartitionCollector {
  public:
   void add(double from, double until, std::size_t copy, std::size_t server) {
-    cut_[{from, until}][copy].insert(server);
+    copies_by_interval_[{from, until}][copy].insert(server);
   }
-  void into(fleet::Spec& spec) const {
-    for (const auto& [when, copies] : cut_) {
-      std::map<std::set<std::size_t>, std::vector<std::size_t>> alike;
-      for (const auto& [copy, servers] : copies) alike[servers].push_back(copy);
-      for (const auto& [servers, together] : alike) {
+  void append_to(fleet::Spec& spec) const {
+    for (const auto& [when, copies] : copies_by_interval_) {
+      std::map<std::set<std::size_t>, std::vector<std::size_t>> copies_by_servers;
+      for (const auto& [copy, servers] : copies) copies_by_servers[servers].push_back(copy);
+      for (const auto& [servers, together] : copies_by_servers) {
         fleet::Fault fault;
         fault.kind = fleet::FaultKind::kCut;
         fault.from = when.first;
@@ -62,21 +62,21 @@
   }
 
  private:
-  std::map<std::pair<double, double>, std::map<std::size_t, std::set<std::size_t>>> cut_;
+  std::map<std::pair<double, double>, std::map<std::size_t, std::set<std::size_t>>> copies_by_interval_;
 };
 
 }  // namespace
 
-fleet::Spec spec_of(const Setup& setup, std::uint64_t seed) {
+fleet::Spec emulator_spec(const Setup& setup, std::uint64_t seed) {
   fleet::Spec out;
   out.servers = setup.servers;
   out.copies = setup.nodes;
   out.cores = setup.cores;
-  out.work = setup.work;
-  out.draw = setup.draw == "fixed"     ? fleet::WorkDraw::kFixed
-             : setup.draw == "uniform" ? fleet::WorkDraw::kUniform
-                                       : fleet::WorkDraw::kExponential;
-  out.aim = setup.aim;
+  out.work = setup.service_time;
+  out.draw = setup.work_distribution == "fixed"     ? fleet::WorkDraw::kFixed
+             : setup.work_distribution == "uniform" ? fleet::WorkDraw::kUniform
+                                                    : fleet::WorkDraw::kExponential;
+  out.aim = setup.latency_target;
   out.give_up = setup.deadline;
   out.effect = setup.effect == "safe" ? quinceusher::Effect::kSafe : quinceusher::Effect::kUnsafe;
   const double each = 1.0 / setup.tenants;
@@ -87,48 +87,50 @@
   out.seconds = setup.seconds;
   out.count_from = setup.count_from;
   out.max_attempts = setup.max_attempts;
-  out.follow_after = setup.follow;
+  out.follow_after = setup.membership_delay;
   out.start_capacity = setup.start_capacity;
   out.ramp_time = setup.ramp_time;
-  out.tip_multiple = kEmulatedTip;
+  out.tip_multiple = kOverloadMultiple;
   out.tip_after = 2;
   out.zones = setup.zones.size();
-  out.between_zones = setup.between_zones;
-  out.uneven = setup.uneven;
+  out.between_zones = setup.cross_zone_delay;
+  out.uneven = setup.traffic_skew;
   out.tries = setup.tries;
-  out.retry_pause = setup.retry_pause;
+  out.retry_pause = setup.mean_retry_delay;
   out.seed = seed;
 
   const std::vector<si::Member> members = setup.members();
   const auto server = [&](std::size_t member) { return member - setup.nodes; };
-  Cuts cuts;
+  PartitionCollector partitions;
   for (const si::WorldFault& f : setup.faults()) {
     const si::Member& who = members[f.who];
-    const double until = f.duration == si::kForever ? kForGood : f.at + f.duration;
+    const double until = f.duration == si::kForever ? kForeverSeconds : f.at + f.duration;
     if (f.to != si::WorldFault::kNoMember) {
       const si::Member& to = members[f.to];
-      if (f.verb != "cut") throw CantPlay("the emulator does not play '" + f.verb + "' on ways; only 'cut'");
+      if (f.verb != "cut")
+        throw UnsupportedSetup("the emulator does not play '" + f.verb + "' on ways; only 'cut'");
       if (who.role == si::Role::kNode && to.role == si::Role::kServer)
-        cuts.add(f.at, until, f.who, server(f.to));
+        partitions.add(f.at, until, f.who, server(f.to));
       if (who.role == si::Role::kServer && to.role == si::Role::kNode)
-        cuts.add(f.at, until, f.to, server(f.who));
+        partitions.add(f.at, until, f.to, server(f.who));
       const bool callers = who.role == si::Role::kCallers || to.role == si::Role::kCallers;
       const bool node = who.role == si::Role::kNode || to.role == si::Role::kNode;
-      if (callers && node && who.zone == to.zone) throw CantPlay("the emulator does not cut callers off");
+      if (callers && node && who.zone == to.zone)
+        throw UnsupportedSetup("the emulator does not cut callers off");
       continue;  // nothing else passes on the other ways, but discovery's news: it tells at once here
     }
     switch (who.role) {
       case si::Role::kNode: {
         fleet::CopyFault fault;
         fault.from = f.at;
-        fault.until = f.verb == "restart" ? f.at + kRestart : until;
+        fault.until = f.verb == "restart" ? f.at + kRestartSeconds : until;
         fault.copy = f.who;
         if (f.verb == "pause") {
           fault.kind = fleet::CopyFault::Kind::kPause;
         } else if (f.verb == "kill" || f.verb == "restart") {
           fault.kind = fleet::CopyFault::Kind::kKill;
         } else {
-          throw CantPlay("the emulator does not play '" + f.verb + "' of nodes");
+          throw UnsupportedSetup("the emulator does not play '" + f.verb + "' of nodes");
         }
         out.copy_faults.push_back(fault);
         break;
@@ -137,7 +139,7 @@
         const std::size_t place = server(f.who);
         if (f.verb == "server") {
           fleet::Fault fault;
-          fault.kind = kind_of(f.server);
+          fault.kind = emulator_fault_kind(f.server);
           fault.from = f.at;
           fault.until = until;
           fault.first = place;
@@ -164,10 +166,10 @@
         break;
       }
       default:
-        throw CantPlay("the emulator has no discovery that goes down: its news come at once");
+        throw UnsupportedSetup("the emulator has no discovery that goes down: its news come at once");
     }
   }
-  cuts.into(out);
+  partitions.append_to(out);
   // Changes at one moment are told together, as a list is.
   std::stable_sort(out.changes.begin(), out.changes.end(),
                    [](const fleet::ListChange& a, const fleet::ListChange& b) { return a.at < b.at; });
@@ -186,10 +188,10 @@
   return out;
 }
 
-void check_emulated(const Setup& setup) { spec_of(setup, 1); }
+void check_emulator_support(const Setup& setup) { emulator_spec(setup, 1); }
 
-Run play_emulated(const Setup& setup, std::uint64_t seed) {
-  fleet::Result played = fleet::play(spec_of(setup, seed));
+Run run_emulated(const Setup& setup, std::uint64_t seed) {
+  fleet::Result played = fleet::play(emulator_spec(setup, seed));
   Run out;
   out.variant = setup.variant;
   out.seed = seed;
@@ -212,8 +214,8 @@
   }
   out.p50_ms = 1000 * quantile(all, 0.5);
   out.p99_ms = 1000 * quantile(all, 0.99);
-  const auto [from, until] = setup.trouble();
-  out.recovery_s = recovery(out.series, setup.count_from, from, until, setup.seconds);
+  const auto [from, until] = setup.fault_window();
+  out.recovery_s = recovery_time(out.series, setup.count_from, from, until, setup.seconds);
   out.rules_broken = played.repeats_run + played.unanswered + played.answered_twice +
                      played.sent_after_drain + played.fallen_over;
   return out;
--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -11,14 +11,15 @@
 #include <thread>
 #include <vector>
 
-#include "lab/play.h"
 #include "lab/report.h"
+#include "lab/runners.h"
 
 namespace {
 
 namespace lab = nettlestand::lab;
 
-constexpr int kBroken = 1, kBad = 2;  // exit codes: a rule was broken; what was given can't be used
+constexpr int kExitRuleBroken = 1,
+              kExitBadInput = 2;  // exit codes: a rule was broken; what was given can't be used
 
 std::string contents(const std::string& path) {
   std::ifstream in(path);
@@ -48,9 +49,9 @@
   result.about = experiment.about;
   result.on = on;
   for (const lab::Setup& setup : experiment.variants) {
-    emulated ? lab::check_emulated(setup) : lab::check_processes(setup);
+    emulated ? lab::check_emulator_support(setup) : lab::check_process_support(setup);
     result.variants.push_back(setup.variant);
-    result.troubles.push_back(setup.trouble());
+    result.fault_windows.push_back(setup.fault_window());
     result.seconds = std::max(result.seconds, setup.seconds);
   }
   const std::size_t all = experiment.variants.size() * experiment.seeds.size();
@@ -63,8 +64,7 @@
       const lab::Setup& setup = experiment.variants[i / experiment.seeds.size()];
       const std::uint64_t seed = experiment.seeds[i % experiment.seeds.size()];
       try {
-        result.runs[i] =
-            emulated ? lab::play_emulated(setup, seed) : lab::play_on_processes(setup, seed, node);
+        result.runs[i] = emulated ? lab::run_emulated(setup, seed) : lab::run_on_processes(setup, seed, node);
       } catch (const std::exception& problem) {
         const std::lock_guard lock(mutex);
         failed = setup.variant + ", seed " + std::to_string(seed) + ": " + problem.what();
@@ -84,7 +84,7 @@
   if (!out_file.empty()) write(out_file, lab::to_json(result));
   std::printf("%s\n%s", lab::table(result).c_str(), lab::compare_variants(result).c_str());
   for (const lab::Run& one : result.runs) {
-    if (one.rules_broken > 0) return kBroken;
+    if (one.rules_broken > 0) return kExitRuleBroken;
   }
   return 0;
 }
@@ -100,39 +100,39 @@
       (std::filesystem::read_symlink("/proc/self/exe").parent_path().parent_path() / "nettlestand").string();
   int jobs = 0, seeds = 0;
   bool quiet = false;
-  CLI::App* run_it =
+  CLI::App* run_command =
       app.add_subcommand("run",
                          "Plays an experiment and prints means with 95% intervals; exit code 1 "
                          "where a rule was broken.");
-  run_it->add_option("file", file, "the experiment (TOML)")->required();
-  run_it->add_option("--on", on, "emulator or processes")
+  run_command->add_option("file", file, "the experiment (TOML)")->required();
+  run_command->add_option("--on", on, "emulator or processes")
       ->check(CLI::IsMember({"emulator", "processes"}))
       ->capture_default_str();
-  run_it->add_option("--out", out, "a file for the result (JSON)");
-  run_it->add_option("--node", node, "the node's program, for processes")->capture_default_str();
-  run_it->add_option("--jobs", jobs, "runs at a time; 0: one a core, on processes one in all")
+  run_command->add_option("--out", out, "a file for the result (JSON)");
+  run_command->add_option("--node", node, "the node's program, for processes")->capture_default_str();
+  run_command->add_option("--jobs", jobs, "runs at a time; 0: one a core, on processes one in all")
       ->check(CLI::Range(0, 256));
-  run_it->add_option("--seeds", seeds, "so many, in place of the file's")->check(CLI::Range(1, 10000));
-  run_it->add_flag("--quiet", quiet, "no line on progress");
-  CLI::App* compare_it = app.add_subcommand(
+  run_command->add_option("--seeds", seeds, "so many, in place of the file's")->check(CLI::Range(1, 10000));
+  run_command->add_flag("--quiet", quiet, "no line on progress");
+  CLI::App* compare_command = app.add_subcommand(
       "compare", "Holds two results of one experiment against each other, seed by seed, as of two builds.");
-  compare_it->add_option("first", file, "a result (JSON)")->required();
-  compare_it->add_option("second", other, "another")->required();
-  CLI::App* report_it = app.add_subcommand("report", "Makes one HTML page with plots of a result.");
-  report_it->add_option("result", file, "a result (JSON)")->required();
-  report_it->add_option("--out", out, "the page's file")->required();
+  compare_command->add_option("first", file, "a result (JSON)")->required();
+  compare_command->add_option("second", other, "another")->required();
+  CLI::App* report_command = app.add_subcommand("report", "Makes one HTML page with plots of a result.");
+  report_command->add_option("result", file, "a result (JSON)")->required();
+  report_command->add_option("--out", out, "the page's file")->required();
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& problem) {
-    return app.exit(problem) == 0 ? 0 : kBad;
+    return app.exit(problem) == 0 ? 0 : kExitBadInput;
   }
   try {
-    if (*compare_it) {
+    if (*compare_command) {
       std::printf("%s",
                   lab::compare(lab::read_result(contents(file)), lab::read_result(contents(other))).c_str());
       return 0;
     }
-    if (*report_it) {
+    if (*report_command) {
       write(out, lab::report(lab::read_result(contents(file))));
       return 0;
     }
@@ -141,6 +141,6 @@
     return run(file, on, out, node, jobs, seeds, quiet);
   } catch (const std::exception& problem) {
     std::fprintf(stderr, "nettlestand-lab: %s\n", problem.what());
-    return kBad;
+    return kExitBadInput;
   }
 }
--- a/lab/play_processes.cpp
+++ b/lab/process_runner.cpp
@@ -3,7 +3,7 @@
 #include <cstdio>
 #include <map>
 
-#include "lab/play.h"
+#include "lab/runners.h"
 #include "standins/world/world.h"
 
 namespace nettlestand::lab {
@@ -11,19 +11,19 @@
 
 namespace si = standins;
 
-si::WorldSettings world_of(const Setup& setup, std::uint64_t seed, const std::string& node) {
+si::WorldSettings world_settings(const Setup& setup, std::uint64_t seed, const std::string& node) {
   si::WorldSettings out;
   out.binary = node;
   out.seed = seed;
   out.zones.clear();
   for (const std::string& zone : setup.zones) out.zones.push_back({zone, "r", 1});
-  out.cross_zone_delay = setup.between_zones;
+  out.cross_zone_delay = setup.cross_zone_delay;
   out.nodes = setup.nodes;
   out.servers = setup.servers;
   out.server.cores = setup.cores;
-  out.server.service_time = setup.work;
-  out.server.exponential = setup.draw == "exponential";
-  out.node.classes = {{"c", setup.effect, "all", 0, setup.aim, setup.deadline, 0.5}};
+  out.server.service_time = setup.service_time;
+  out.server.exponential = setup.work_distribution == "exponential";
+  out.node.classes = {{"c", setup.effect, "all", 0, setup.latency_target, setup.deadline, 0.5}};
   out.node.tenants.clear();
   out.load.tenants.clear();
   for (int i = 0; i < setup.tenants; ++i) {
@@ -37,30 +37,30 @@
   }
   out.node.stage = 0;  // callers reach it first, as the emulated ones
   out.node.attempts = setup.max_attempts;
-  out.peers = setup.follow >= 0;
+  out.peers = setup.membership_delay >= 0;
   out.node.start_capacity = setup.start_capacity;
   out.node.ramp_time = setup.ramp_time;
   out.load.classes = {{"c", setup.effect == "safe" ? si::CallEffect::kSafe : si::CallEffect::kUnsafe, 1,
-                       setup.deadline, setup.aim, 0}};
+                       setup.deadline, setup.latency_target, 0}};
   out.load.rate = setup.load * setup.capacity();
   out.load.max_attempts = setup.tries;
-  out.load.mean_retry_delay = setup.retry_pause;
+  out.load.mean_retry_delay = setup.mean_retry_delay;
   return out;
 }
 
 struct Request {
-  double born = 0, answered = 0;
+  double first_due_at = 0, answered_at = 0;
   std::size_t zone = 0;
   std::uint64_t tries = 0, attempts = 0;
   bool served = false, refused = false;
-  double last = 0;
+  double last_answered_at = 0;
 };
 
-Run play_once(const Setup& setup, std::uint64_t seed, const std::string& node) {
-  si::ProcessWorld world(world_of(setup, seed, node));
+Run run_once(const Setup& setup, std::uint64_t seed, const std::string& node) {
+  si::ProcessWorld world(world_settings(setup, seed, node));
   world.start();
-  const double began = si::now();
-  world.play(setup.script, setup.seconds);
+  const double started_at = si::now();
+  world.play(setup.fault_script, setup.seconds);
   const si::Timeline timeline = world.finish();
   Run out;
   out.variant = setup.variant;
@@ -74,17 +74,17 @@
   for (const si::AttemptRecord& attempt : timeline.evidence.attempts) ++attempts[attempt.id];
   for (const si::CallRecord& call : timeline.evidence.calls) {
     Request& r = requests[call.first_id];
-    r.born = call.due_at;
+    r.first_due_at = call.due_at;
     ++r.tries;
     r.attempts += attempts[call.id];
     const std::size_t member = std::stoul(call.node.substr(1));
     r.zone = member % setup.zones.size();
     if (call.end == si::CallEnd::kAnswered && call.status == 200) {
       r.served = true;
-      r.answered = call.answered_at;
+      r.answered_at = call.answered_at;
     }
-    if (call.answered_at >= r.last) {
-      r.last = call.answered_at;
+    if (call.answered_at >= r.last_answered_at) {
+      r.last_answered_at = call.answered_at;
       r.refused = call.end == si::CallEnd::kAnswered && (call.status == 429 || call.status == 503);
     }
   }
@@ -92,15 +92,15 @@
   std::map<std::pair<int, std::size_t>, std::vector<double>> times;
   std::vector<double> all;
   for (const auto& [id, r] : requests) {
-    const int second = static_cast<int>(std::floor(r.born - began));
-    const bool in_aim = r.served && r.answered - r.born <= setup.aim;
+    const int second = static_cast<int>(std::floor(r.first_due_at - started_at));
+    const bool in_aim = r.served && r.answered_at - r.first_due_at <= setup.latency_target;
     Point& p = points[{second, r.zone}];
     ++p.asked;
     p.in_aim += in_aim ? 1 : 0;
     p.refused += !r.served && r.refused ? 1 : 0;
     p.failed += !r.served && !r.refused ? 1 : 0;
-    if (r.served) times[{second, r.zone}].push_back(r.answered - r.born);
-    if (r.born - began < setup.count_from) continue;
+    if (r.served) times[{second, r.zone}].push_back(r.answered_at - r.first_due_at);
+    if (r.first_due_at - started_at < setup.count_from) continue;
     ++out.asked;
     out.in_aim += in_aim ? 1 : 0;
     out.served += r.served ? 1 : 0;
@@ -108,7 +108,7 @@
     out.failed += !r.served && !r.refused ? 1 : 0;
     out.tries += r.tries;
     out.attempts += r.attempts;
-    if (r.served) all.push_back(r.answered - r.born);
+    if (r.served) all.push_back(r.answered_at - r.first_due_at);
   }
   for (int second = 0; second < static_cast<int>(std::ceil(setup.seconds)); ++second) {
     for (std::size_t zone = 0; zone < setup.zones.size(); ++zone) {
@@ -121,30 +121,30 @@
   }
   out.p50_ms = 1000 * quantile(all, 0.5);
   out.p99_ms = 1000 * quantile(all, 0.99);
-  const auto [from, until] = setup.trouble();
-  out.recovery_s = recovery(out.series, setup.count_from, from, until, setup.seconds);
+  const auto [from, until] = setup.fault_window();
+  out.recovery_s = recovery_time(out.series, setup.count_from, from, until, setup.seconds);
   return out;
 }
 
 }  // namespace
 
-void check_processes(const Setup& setup) {
-  if (setup.nodes > 50) throw CantPlay("processes: 50 nodes at most");
+void check_process_support(const Setup& setup) {
+  if (setup.nodes > 50) throw UnsupportedSetup("processes: 50 nodes at most");
   if (setup.nodes + setup.servers + setup.zones.size() + 1 > 250)
-    throw CantPlay("processes: 250 machines at most");
-  if (setup.uneven > 0) throw CantPlay("processes: traffic.uneven is the emulator's alone");
-  if (setup.draw == "uniform") throw CantPlay("processes: work is exponential or fixed");
+    throw UnsupportedSetup("processes: 250 machines at most");
+  if (setup.traffic_skew > 0) throw UnsupportedSetup("processes: traffic.uneven is the emulator's alone");
+  if (setup.work_distribution == "uniform") throw UnsupportedSetup("processes: work is exponential or fixed");
   for (const si::WorldFault& fault : setup.faults()) {
     if (si::needs_interposed_faults(fault))
-      throw CantPlay("processes: '" + fault.verb + "' is for tests, whose worlds have seams");
+      throw UnsupportedSetup("processes: '" + fault.verb + "' is for tests, whose worlds have seams");
   }
 }
 
-Run play_on_processes(const Setup& setup, std::uint64_t seed, const std::string& node) {
-  check_processes(setup);
+Run run_on_processes(const Setup& setup, std::uint64_t seed, const std::string& node) {
+  check_process_support(setup);
   Run out;
   for (int i = 0; i < 3; ++i) {
-    out = play_once(setup, seed, node);
+    out = run_once(setup, seed, node);
     if (!out.is_void) break;
     std::fprintf(stderr, "%s, seed %llu: void, the machine was too busy\n", setup.variant.c_str(),
                  static_cast<unsigned long long>(seed));
--- a/lab/report.cpp
+++ b/lab/report.cpp
@@ -56,31 +56,31 @@
   return out + "</table>";
 }
 
-class Folder {
+class TemporaryDirectory {
  public:
-  Folder() {
+  TemporaryDirectory() {
     const char* base = std::getenv("TMPDIR");
     std::string name = std::string(base != nullptr ? base : "/tmp") + "/nettlestand_lab_XXXXXX";
     if (mkdtemp(name.data()) == nullptr) throw std::runtime_error("no folder for plots");
     path = name;
   }
-  ~Folder() {
+  ~TemporaryDirectory() {
     std::error_code ignored;
     std::filesystem::remove_all(path, ignored);
   }
-  Folder(const Folder&) = delete;
-  Folder& operator=(const Folder&) = delete;
+  TemporaryDirectory(const TemporaryDirectory&) = delete;
+  TemporaryDirectory& operator=(const TemporaryDirectory&) = delete;
   std::filesystem::path path;
 };
 
 // Mean and interval over seeds, second by second and zone by zone.
-struct Line {
+struct ZoneSeries {
   std::vector<Estimate> service, p99;
 };
 
-std::map<std::string, Line> lines_of(const Result& r, const std::string& variant) {
+std::map<std::string, ZoneSeries> series_by_zone(const Result& r, const std::string& variant) {
   std::map<std::string, std::map<int, std::pair<std::vector<double>, std::vector<double>>>> values;
-  for (const Run* run : runs_of(r, variant)) {
+  for (const Run* run : valid_runs(r, variant)) {
     for (const Point& p : run->series) {
       if (p.asked > 0) {
         values[p.zone][p.second].first.push_back(static_cast<double>(p.in_aim) /
@@ -89,7 +89,7 @@
       if (p.p99_ms > 0) values[p.zone][p.second].second.push_back(p.p99_ms);
     }
   }
-  std::map<std::string, Line> out;
+  std::map<std::string, ZoneSeries> out;
   for (const auto& [zone, seconds] : values) {
     for (int s = 0; s < static_cast<int>(r.seconds); ++s) {
       const auto it = seconds.find(s);
@@ -101,8 +101,8 @@
 }
 
 std::string plot(const Result& r, std::size_t variant, bool service) {
-  const Folder folder;
-  const auto lines = lines_of(r, r.variants[variant]);
+  const TemporaryDirectory folder;
+  const auto lines = series_by_zone(r, r.variants[variant]);
   std::ofstream script(folder.path / "plot");
   script << "set terminal svg size 860,300 dynamic background '#ffffff' font 'sans,12'\nset output '"
          << (folder.path / "plot.svg").string()
@@ -112,7 +112,7 @@
   } else {
     script << "set ylabel 'p99, ms'\nset yrange [0:*]\n";
   }
-  const auto [from, until] = r.troubles[variant];
+  const auto [from, until] = r.fault_windows[variant];
   if (until > from) {
     script << "set object 1 rectangle from first " << from << ", graph 0 to first " << until
            << ", graph 1 fillcolor rgb '#dddddd' fillstyle solid 0.6 noborder behind\n";
@@ -127,7 +127,7 @@
     const auto& values = service ? line.service : line.p99;
     for (std::size_t s = 0; s < values.size(); ++s) {
       if (values[s].count == 0) continue;
-      const double half = values[s].count > 1 ? values[s].half : 0;
+      const double half = values[s].count > 1 ? values[s].half_width : 0;
       data << static_cast<double>(s) + 0.5 << " " << values[s].mean << " "
            << std::max(0.0, values[s].mean - half) << " " << values[s].mean + half << "\n";
     }
@@ -144,15 +144,15 @@
   const std::string command = "gnuplot " + (folder.path / "plot").string() + " 2>&1";
   FILE* pipe = popen(command.c_str(), "r");
   if (pipe == nullptr) throw std::runtime_error("can't start gnuplot");
-  std::string told;
+  std::string output;
   std::array<char, 256> part{};
-  while (std::fgets(part.data(), static_cast<int>(part.size()), pipe) != nullptr) told += part.data();
+  while (std::fgets(part.data(), static_cast<int>(part.size()), pipe) != nullptr) output += part.data();
   const int status = pclose(pipe);
-  if (status != 0) throw std::runtime_error("gnuplot (Debian's gnuplot-nox) failed: " + told);
+  if (status != 0) throw std::runtime_error("gnuplot (Debian's gnuplot-nox) failed: " + output);
   std::ifstream svg(folder.path / "plot.svg");
   std::string out{std::istreambuf_iterator<char>(svg), std::istreambuf_iterator<char>()};
   const std::size_t at = out.find("<svg");
-  if (at == std::string::npos) throw std::runtime_error("gnuplot made no picture: " + told);
+  if (at == std::string::npos) throw std::runtime_error("gnuplot made no picture: " + output);
   return out.substr(at);
 }
 
--- a/lab/result.cpp
+++ b/lab/result.cpp
@@ -15,26 +15,27 @@
 namespace nettlestand::lab {
 namespace {
 
-constexpr double kRecovered = 0.95;  // of the service before
-constexpr int kHeldFor = 2;          // s that it must hold
+constexpr double kRecoveryThreshold = 0.95;  // of the service before
+constexpr int kRecoveryHoldSeconds = 2;      // s that it must hold
 
 // Two-sided 95% quantiles of Student's t, by degrees of freedom from 1.
-constexpr std::array<double, 30> kStudent = {
+constexpr std::array<double, 30> kStudentT95 = {
     12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131,
     2.120,  2.110, 2.101, 2.093, 2.086, 2.080, 2.074, 2.069, 2.064, 2.060, 2.056, 2.052, 2.048, 2.045, 2.042};
 
-std::string text(const char* form, double a, double b = 0) {
+std::string format_numbers(const char* format, double a, double b = 0) {
   std::array<char, 96> out{};
-  std::snprintf(out.data(), out.size(), form, a, b);
+  std::snprintf(out.data(), out.size(), format, a, b);
   return out.data();
 }
 
-double part(std::uint64_t of, std::uint64_t all) {
+double ratio(std::uint64_t of, std::uint64_t all) {
   return all == 0 ? 0 : static_cast<double>(of) / static_cast<double>(all);
 }
 
-std::string shown(const Estimate& e) {
-  return std::isfinite(e.half) ? text("%.4g ± %.2g", e.mean, e.half) : text("%.4g (one run)", e.mean);
+std::string format_estimate(const Estimate& e) {
+  return std::isfinite(e.half_width) ? format_numbers("%.4g ± %.2g", e.mean, e.half_width)
+                                     : format_numbers("%.4g (one run)", e.mean);
 }
 
 }  // namespace
@@ -67,8 +68,8 @@
   for (std::size_t i = 0; i < r.variants.size(); ++i) {
     w.StartObject();
     put("name", r.variants[i]);
-    number("trouble_from", r.troubles[i].first);
-    number("trouble_until", r.troubles[i].second);
+    number("trouble_from", r.fault_windows[i].first);
+    number("trouble_until", r.fault_windows[i].second);
     w.EndObject();
   }
   w.EndArray();
@@ -148,7 +149,7 @@
   out.seconds = number(d, "seconds");
   for (const auto& v : list(d, "variants")) {
     out.variants.push_back(word(v, "name"));
-    out.troubles.emplace_back(number(v, "trouble_from"), number(v, "trouble_until"));
+    out.fault_windows.emplace_back(number(v, "trouble_from"), number(v, "trouble_until"));
   }
   for (const auto& r : list(d, "runs")) {
     Run run;
@@ -176,8 +177,8 @@
   return out;
 }
 
-double recovery(const std::vector<Point>& series, double count_from, double from, double until,
-                double seconds) {
+double recovery_time(const std::vector<Point>& series, double count_from, double from, double until,
+                     double seconds) {
   if (until <= 0) return -1;
   std::map<int, std::pair<std::uint64_t, std::uint64_t>> by_second;
   for (const Point& p : series) {
@@ -191,32 +192,32 @@
     good += counts.second;
   }
   if (asked == 0) return -1;
-  const double wanted = kRecovered * part(good, asked);
+  const double wanted = kRecoveryThreshold * ratio(good, asked);
   const int first = static_cast<int>(std::ceil(until));
-  for (int second = first; second + kHeldFor <= static_cast<int>(seconds); ++second) {
+  for (int second = first; second + kRecoveryHoldSeconds <= static_cast<int>(seconds); ++second) {
     bool holds = true;
-    for (int s = second; s < second + kHeldFor; ++s) {
-      holds = holds && part(by_second[s].second, by_second[s].first) >= wanted;
+    for (int s = second; s < second + kRecoveryHoldSeconds; ++s) {
+      holds = holds && ratio(by_second[s].second, by_second[s].first) >= wanted;
     }
     if (holds) return second - until;
   }
   return -1;
 }
 
-const std::vector<std::string>& figures() {
+const std::vector<std::string>& metric_names() {
   static const std::vector<std::string> all = {"in time", "refused", "failed",   "p50 ms",
                                                "p99 ms",  "tries",   "attempts", "recovery s"};
   return all;
 }
 
-double figure_of(const Run& run, const std::string& name) {
-  if (name == "in time") return part(run.in_aim, run.asked);
-  if (name == "refused") return part(run.refused, run.asked);
-  if (name == "failed") return part(run.failed, run.asked);
+double metric_value(const Run& run, const std::string& name) {
+  if (name == "in time") return ratio(run.in_aim, run.asked);
+  if (name == "refused") return ratio(run.refused, run.asked);
+  if (name == "failed") return ratio(run.failed, run.asked);
   if (name == "p50 ms") return run.p50_ms;
   if (name == "p99 ms") return run.p99_ms;
-  if (name == "tries") return part(run.tries, run.asked);
-  if (name == "attempts") return part(run.attempts, run.asked);
+  if (name == "tries") return ratio(run.tries, run.asked);
+  if (name == "attempts") return ratio(run.attempts, run.asked);
   if (name == "recovery s") return run.recovery_s;
   throw std::invalid_argument("no figure '" + name + "'");
 }
@@ -224,19 +225,20 @@
 Estimate estimate(const std::vector<double>& values) {
   Estimate out;
   out.count = values.size();
-  out.half = std::numeric_limits<double>::infinity();
+  out.half_width = std::numeric_limits<double>::infinity();
   if (values.empty()) return out;
   for (const double value : values) out.mean += value / static_cast<double>(values.size());
   if (values.size() < 2) return out;
   double square = 0;
   for (const double value : values) square += (value - out.mean) * (value - out.mean);
   const std::size_t free = values.size() - 1;
-  const double t = free <= kStudent.size() ? kStudent[free - 1] : 1.96 + 2.5 / static_cast<double>(free);
-  out.half = t * std::sqrt(square / static_cast<double>(free) / static_cast<double>(values.size()));
+  const double t =
+      free <= kStudentT95.size() ? kStudentT95[free - 1] : 1.96 + 2.5 / static_cast<double>(free);
+  out.half_width = t * std::sqrt(square / static_cast<double>(free) / static_cast<double>(values.size()));
   return out;
 }
 
-std::vector<const Run*> runs_of(const Result& result, const std::string& variant) {
+std::vector<const Run*> valid_runs(const Result& result, const std::string& variant) {
   std::vector<const Run*> out;
   for (const Run& run : result.runs) {
     if (run.variant == variant && !run.is_void) out.push_back(&run);
@@ -251,21 +253,21 @@
   std::vector<double> values;
   for (const Run* run : b) {
     const auto it = by_seed.find(run->seed);
-    if (it != by_seed.end()) values.push_back(figure_of(*run, figure) - figure_of(*it->second, figure));
+    if (it != by_seed.end()) values.push_back(metric_value(*run, figure) - metric_value(*it->second, figure));
   }
   Difference out{estimate(values), false};
-  out.told_apart = out.estimate.count >= 2 && std::abs(out.estimate.mean) > out.estimate.half;
+  out.is_significant = out.estimate.count >= 2 && std::abs(out.estimate.mean) > out.estimate.half_width;
   return out;
 }
 
 std::string table(const Result& result) {
   std::string out = "| variant | runs | rules broken |";
-  for (const std::string& figure : figures()) out += " " + figure + " |";
+  for (const std::string& figure : metric_names()) out += " " + figure + " |";
   out += "\n|";
-  for (std::size_t i = 0; i < figures().size() + 3; ++i) out += " --- |";
+  for (std::size_t i = 0; i < metric_names().size() + 3; ++i) out += " --- |";
   out += "\n";
   for (const std::string& variant : result.variants) {
-    const auto runs = runs_of(result, variant);
+    const auto runs = valid_runs(result, variant);
     const auto all = std::count_if(result.runs.begin(), result.runs.end(),
                                    [&](const Run& run) { return run.variant == variant; });
     std::uint64_t broken = 0;
@@ -274,18 +276,18 @@
            (static_cast<std::size_t>(all) > runs.size() ? " of " + std::to_string(all) + ", the rest void"
                                                         : "") +
            " | " + std::to_string(broken) + " |";
-    for (const std::string& figure : figures()) {
+    for (const std::string& figure : metric_names()) {
       std::vector<double> values;
       std::size_t never = 0;
       for (const Run* run : runs) {
-        const double value = figure_of(*run, figure);
+        const double value = metric_value(*run, figure);
         if (figure == "recovery s" && value < 0) {
           ++never;
         } else {
           values.push_back(value);
         }
       }
-      out += " " + (values.empty() ? std::string("-") : shown(estimate(values))) +
+      out += " " + (values.empty() ? std::string("-") : format_estimate(estimate(values))) +
              (never > 0 && !values.empty() ? ", never in " + std::to_string(never) : "") + " |";
     }
     out += "\n";
@@ -297,17 +299,17 @@
 
 std::string differences(const std::vector<const Run*>& a, const std::vector<const Run*>& b) {
   std::string out;
-  for (const std::string& figure : figures()) {
+  for (const std::string& figure : metric_names()) {
     if (figure == "recovery s") continue;
     const Difference d = difference(a, b, figure);
     out += "| " + figure + " | " + std::to_string(d.estimate.count) + " | " +
-           (d.estimate.count == 0 ? "-" : shown(d.estimate)) + " | " +
-           (d.told_apart ? (d.estimate.mean > 0 ? "more" : "less") : "can't be told apart") + " |\n";
+           (d.estimate.count == 0 ? "-" : format_estimate(d.estimate)) + " | " +
+           (d.is_significant ? (d.estimate.mean > 0 ? "more" : "less") : "can't be told apart") + " |\n";
   }
   return out;
 }
 
-const char* kDifferenceHead = "| figure | pairs | difference | verdict |\n| --- | --- | --- | --- |\n";
+const char* kDifferenceHeader = "| figure | pairs | difference | verdict |\n| --- | --- | --- | --- |\n";
 
 }  // namespace
 
@@ -315,8 +317,8 @@
   std::string out;
   for (const std::string& variant : b.variants) {
     if (std::find(a.variants.begin(), a.variants.end(), variant) == a.variants.end()) continue;
-    out += "\n" + variant + ": the second less the first, seed by seed\n\n" + kDifferenceHead +
-           differences(runs_of(a, variant), runs_of(b, variant));
+    out += "\n" + variant + ": the second less the first, seed by seed\n\n" + kDifferenceHeader +
+           differences(valid_runs(a, variant), valid_runs(b, variant));
   }
   return out.empty() ? "no variant stands in both\n" : out;
 }
@@ -325,8 +327,8 @@
   std::string out;
   for (std::size_t i = 1; i < result.variants.size(); ++i) {
     out += "\n" + result.variants[i] + " less " + result.variants[0] + ", seed by seed\n\n" +
-           kDifferenceHead +
-           differences(runs_of(result, result.variants[0]), runs_of(result, result.variants[i]));
+           kDifferenceHeader +
+           differences(valid_runs(result, result.variants[0]), valid_runs(result, result.variants[i]));
   }
   return out;
 }
--- a/lab/result.h
+++ b/lab/result.h
@@ -36,7 +36,7 @@
 struct Result {
   std::string experiment, about, on;  // emulator or processes
   double seconds = 0;
-  std::vector<std::pair<double, double>> troubles;  // from, until: of each variant
+  std::vector<std::pair<double, double>> fault_windows;  // from, until: of each variant
   std::vector<std::string> variants;
   std::vector<Run> runs;  // by variant, then seed
 };
@@ -47,16 +47,16 @@
 Result read_result(std::string_view json);
 
 // From the series: what Run::recovery_s is. `from`, `until`: of the trouble.
-double recovery(const std::vector<Point>& series, double count_from, double from, double until,
-                double seconds);
+double recovery_time(const std::vector<Point>& series, double count_from, double from, double until,
+                     double seconds);
 
 // A figure of a run by its name in the tables.
-double figure_of(const Run& run, const std::string& name);
-const std::vector<std::string>& figures();  // their names
+double metric_value(const Run& run, const std::string& name);
+const std::vector<std::string>& metric_names();  // their names
 
-// A mean over seeds with its 95% interval (Student's t); `half` is infinite where there is one seed.
+// A mean over seeds with its 95% interval (Student's t); `half_width` is infinite where there is one seed.
 struct Estimate {
-  double mean = 0, half = 0;
+  double mean = 0, half_width = 0;
   std::size_t count = 0;
 };
 Estimate estimate(const std::vector<double>& values);
@@ -73,13 +73,13 @@
 // What is known of a difference, run by run with the same seed. Void runs and their partners are left out.
 struct Difference {
   Estimate estimate;  // b - a
-  bool told_apart = false;
+  bool is_significant = false;
 };
 Difference difference(const std::vector<const Run*>& a, const std::vector<const Run*>& b,
                       const std::string& figure);
 
 // The runs of a variant that are not void.
-std::vector<const Run*> runs_of(const Result& result, const std::string& variant);
+std::vector<const Run*> valid_runs(const Result& result, const std::string& variant);
 
 // Tables for people.
 std::string table(const Result& result);
--- a/lab/play.h
+++ b/lab/runners.h
@@ -11,19 +11,19 @@
 namespace nettlestand::lab {
 
 // What a side can't play, with the reason.
-struct CantPlay : std::runtime_error {
+struct UnsupportedSetup : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
 // The fleet that a setup describes. Throws CantPlay.
-fleet::Spec spec_of(const Setup& setup, std::uint64_t seed);
-Run play_emulated(const Setup& setup, std::uint64_t seed);
+fleet::Spec emulator_spec(const Setup& setup, std::uint64_t seed);
+Run run_emulated(const Setup& setup, std::uint64_t seed);
 
 // `node`: the program's file. Plays a void run again, three times at most. Throws CantPlay.
-Run play_on_processes(const Setup& setup, std::uint64_t seed, const std::string& node);
+Run run_on_processes(const Setup& setup, std::uint64_t seed, const std::string& node);
 
 // For either, before the first run.
-void check_emulated(const Setup& setup);
-void check_processes(const Setup& setup);
+void check_emulator_support(const Setup& setup);
+void check_process_support(const Setup& setup);
 
 }  // namespace nettlestand::lab
--- a/tests/fuzz/peers_fuzz.cpp
+++ b/tests/fuzz/peers_fuzz.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-void check(bool good, const char* what) {
-  if (good) return;
+void check(bool condition, const char* what) {
+  if (condition) return;
   std::fprintf(stderr, "broken: %s\n", what);
   std::abort();
 }
@@ -32,7 +32,7 @@
   np::DatagramCodec wire({}), other({});
   std::vector<np::Membership::Outgoing> out;
   double now = 10;
-  const auto sent = [&] {
+  const auto check_outgoing = [&] {
     check(out.size() <= 4096, "too much is sent at once");
     for (np::Membership::Outgoing& o : out) {
       const std::string bytes = wire.encode(o.message);  // throws where it is too long
@@ -45,7 +45,7 @@
     core.changes();
   };
   core.start(now, {2, 3}, out);
-  sent();
+  check_outgoing();
   for (std::size_t at = 0; at + 3 <= size;) {
     const std::size_t length = data[at];
     now += data[at + 1] * data[at + 1] / 2000.0;
@@ -55,13 +55,13 @@
     at += body.size();
     for (int i = 0; i < 100 && core.next_tick() <= now; ++i) {
       core.tick(core.next_tick(), out);
-      sent();
+      check_outgoing();
     }
     std::uint64_t number = 0;
     np::DecodeError error;
     if (const auto message = wire.decode_body(body, number, error)) {
       core.on_message(now, from, *message, out);
-      sent();
+      check_outgoing();
     }
     check(core.members().size() <= settings.max_members + 1, "more members than there is room for");
     check(core.live_count() >= 1 && core.live_count() <= settings.max_members + 1,
--- a/tests/lab/experiment_test.cpp
+++ b/tests/lab/experiment_test.cpp
@@ -9,7 +9,7 @@
 #include <iterator>
 #include <string>
 
-#include "lab/play.h"
+#include "lab/runners.h"
 #include "lab/report.h"
 
 namespace nettlestand::lab {
@@ -54,9 +54,9 @@
   out.on = "emulator";
   for (const Setup& setup : experiment.variants) {
     out.variants.push_back(setup.variant);
-    out.troubles.push_back(setup.trouble());
+    out.fault_windows.push_back(setup.fault_window());
     out.seconds = setup.seconds;
-    for (const std::uint64_t seed : experiment.seeds) out.runs.push_back(play_emulated(setup, seed));
+    for (const std::uint64_t seed : experiment.seeds) out.runs.push_back(run_emulated(setup, seed));
   }
   return out;
 }
@@ -70,7 +70,7 @@
   EXPECT_DOUBLE_EQ(e.variants[1].load, 0.8) << "laid over the rest";
   EXPECT_EQ(e.variants[1].tries, 2) << "which stays";
   EXPECT_DOUBLE_EQ(e.variants[0].ramp_time, 2);
-  EXPECT_EQ(e.variants[0].trouble(), (std::pair<double, double>{1, 4.5}));
+  EXPECT_EQ(e.variants[0].fault_window(), (std::pair<double, double>{1, 4.5}));
   EXPECT_DOUBLE_EQ(e.variants[0].capacity(), 1200);
 }
 
@@ -103,16 +103,16 @@
 
 TEST(Experiment, EachSideSaysWhatItCantPlay) {
   const auto setup = [](const std::string& more) { return read_experiment(more).variants[0]; };
-  EXPECT_THROW(check_emulated(setup("faults = \"n0 -> s0: delay 1\"")), CantPlay);
-  EXPECT_THROW(check_emulated(setup("faults = \"s0: trickle 10\"")), CantPlay);
-  EXPECT_THROW(check_emulated(setup("faults = \"n0: term\"")), CantPlay);
-  EXPECT_THROW(check_emulated(setup("faults = \"discovery: refuse\"")), CantPlay);
-  EXPECT_THROW(check_emulated(setup("faults = \"callers-a -> n0: cut\"")), CantPlay);
-  EXPECT_THROW(check_processes(setup("[fleet]\nnodes = 51")), CantPlay);
-  EXPECT_THROW(check_processes(setup("[traffic]\nuneven = 1")), CantPlay);
-  EXPECT_THROW(check_processes(setup("faults = \"n0: clock 5\"")), CantPlay);
-  EXPECT_THROW(check_processes(setup("faults = \"n0: disk-torn\"")), CantPlay);
-  EXPECT_NO_THROW(check_emulated(setup("faults = \"zone a <-> rest: cut\"")));
+  EXPECT_THROW(check_emulator_support(setup("faults = \"n0 -> s0: delay 1\"")), UnsupportedSetup);
+  EXPECT_THROW(check_emulator_support(setup("faults = \"s0: trickle 10\"")), UnsupportedSetup);
+  EXPECT_THROW(check_emulator_support(setup("faults = \"n0: term\"")), UnsupportedSetup);
+  EXPECT_THROW(check_emulator_support(setup("faults = \"discovery: refuse\"")), UnsupportedSetup);
+  EXPECT_THROW(check_emulator_support(setup("faults = \"callers-a -> n0: cut\"")), UnsupportedSetup);
+  EXPECT_THROW(check_process_support(setup("[fleet]\nnodes = 51")), UnsupportedSetup);
+  EXPECT_THROW(check_process_support(setup("[traffic]\nuneven = 1")), UnsupportedSetup);
+  EXPECT_THROW(check_process_support(setup("faults = \"n0: clock 5\"")), UnsupportedSetup);
+  EXPECT_THROW(check_process_support(setup("faults = \"n0: disk-torn\"")), UnsupportedSetup);
+  EXPECT_NO_THROW(check_emulator_support(setup("faults = \"zone a <-> rest: cut\"")));
 }
 
 TEST(Experiment, ThoseThatAreShippedCanBePlayed) {
@@ -120,7 +120,7 @@
                            "cold", "cut", "node-killed", "zone-lost", "thin-refusing", "cold-return"}) {
     const Experiment e = read_experiment(contents(std::string(EXPERIMENTS) + "/" + name + ".toml"));
     EXPECT_EQ(e.name, name);
-    for (const auto& setup : e.variants) EXPECT_NO_THROW(check_emulated(setup)) << name;
+    for (const auto& setup : e.variants) EXPECT_NO_THROW(check_emulator_support(setup)) << name;
   }
 }
 
@@ -156,15 +156,14 @@
       "deadline_ms = 4000\nretry_pause_ms = 500\nuneven = 0.7\ntenants = 5\ntries = 4\n"
       "[warm_up]\nstart_capacity = 0.32\nramp_ms = 9000\n";
   const auto setup = read_experiment(text).variants[0];
-  for (const std::uint64_t seed : {1, 2, 3, 4})
-    EXPECT_EQ(play_emulated(setup, seed).rules_broken, 0U) << seed;
+  for (const std::uint64_t seed : {1, 2, 3, 4}) EXPECT_EQ(run_emulated(setup, seed).rules_broken, 0U) << seed;
 }
 
 TEST(Statistics, MeansHaveStudentsIntervals) {
   const Estimate e = estimate({1, 2, 3, 4, 5});
   EXPECT_DOUBLE_EQ(e.mean, 3);
-  EXPECT_NEAR(e.half, 2.776 * std::sqrt(2.5 / 5), 1e-9);
-  EXPECT_TRUE(std::isinf(estimate({1}).half)) << "one run tells nothing of its spread";
+  EXPECT_NEAR(e.half_width, 2.776 * std::sqrt(2.5 / 5), 1e-9);
+  EXPECT_TRUE(std::isinf(estimate({1}).half_width)) << "one run tells nothing of its spread";
   EXPECT_EQ(estimate({}).count, 0U);
 }
 
@@ -182,10 +181,10 @@
     return out;
   };
   const Difference clear = difference(pointers(a), pointers(b), "in time");
-  EXPECT_TRUE(clear.told_apart);
+  EXPECT_TRUE(clear.is_significant);
   EXPECT_NEAR(clear.estimate.mean, 0.0105, 1e-9);
   for (std::size_t i = 0; i < 6; ++i) b[i].in_aim = a[i].in_aim + (i % 2 == 0 ? 20 : 0) - 10;
-  EXPECT_FALSE(difference(pointers(a), pointers(b), "in time").told_apart);
+  EXPECT_FALSE(difference(pointers(a), pointers(b), "in time").is_significant);
   b.pop_back();
   EXPECT_EQ(difference(pointers(a), pointers(b), "in time").estimate.count, 5U);
 }
@@ -196,20 +195,20 @@
   for (int s = 0; s < 12; ++s) {
     series.push_back({s, "a", 1000, static_cast<std::uint64_t>(1000 * part[s]), 0, 0, 0});
   }
-  EXPECT_DOUBLE_EQ(recovery(series, 1, 3, 5, 12), 3) << "at 8: at 6 it did not hold";
-  EXPECT_DOUBLE_EQ(recovery(series, 1, 3, 5, 9), -1) << "not within the run";
-  EXPECT_DOUBLE_EQ(recovery(series, 1, 0, 0, 12), -1) << "nothing to recover from";
+  EXPECT_DOUBLE_EQ(recovery_time(series, 1, 3, 5, 12), 3) << "at 8: at 6 it did not hold";
+  EXPECT_DOUBLE_EQ(recovery_time(series, 1, 3, 5, 9), -1) << "not within the run";
+  EXPECT_DOUBLE_EQ(recovery_time(series, 1, 0, 0, 12), -1) << "nothing to recover from";
 }
 
 // ------------------------------------------------------------ the program
 
-struct Ran {
+struct CommandResult {
   int code = 0;
   std::string out;
 };
 
-Ran run(const std::string& arguments) {
-  Ran out;
+CommandResult run(const std::string& arguments) {
+  CommandResult out;
   FILE* pipe = popen((std::string(LAB) + " " + arguments + " 2>&1").c_str(), "r");
   std::array<char, 512> part{};
   while (std::fgets(part.data(), static_cast<int>(part.size()), pipe) != nullptr) out.out += part.data();
@@ -220,16 +219,16 @@
 TEST(Lab, RunsComparesAndReports) {
   const std::string base = testing::TempDir() + "nettlestand_lab_" + std::to_string(getpid());
   std::ofstream(base + ".toml") << kSmall;
-  const Ran one = run("run " + base + ".toml --quiet --jobs 1 --out " + base + ".1.json");
+  const CommandResult one = run("run " + base + ".toml --quiet --jobs 1 --out " + base + ".1.json");
   EXPECT_EQ(one.code, 0) << one.out;
   EXPECT_NE(one.out.find("| half | 3 | 0 |"), std::string::npos) << one.out;
   EXPECT_NE(one.out.find("more less half, seed by seed"), std::string::npos) << one.out;
-  const Ran two = run("run " + base + ".toml --quiet --jobs 4 --out " + base + ".2.json");
+  const CommandResult two = run("run " + base + ".toml --quiet --jobs 4 --out " + base + ".2.json");
   EXPECT_EQ(contents(base + ".1.json"), contents(base + ".2.json")) << "whatever runs beside what";
-  const Ran same = run("compare " + base + ".1.json " + base + ".2.json");
+  const CommandResult same = run("compare " + base + ".1.json " + base + ".2.json");
   EXPECT_EQ(same.code, 0);
   EXPECT_NE(same.out.find("| in time | 3 | 0 ± 0 | can't be told apart |"), std::string::npos) << same.out;
-  const Ran page = run("report " + base + ".1.json --out " + base + ".html");
+  const CommandResult page = run("report " + base + ".1.json --out " + base + ".html");
   EXPECT_EQ(page.code, 0) << page.out;
   const std::string html = contents(base + ".html");
   std::size_t plots = 0;
@@ -237,7 +236,7 @@
   EXPECT_EQ(plots, 4U) << "two of each variant";
   EXPECT_NE(html.find("zone a"), std::string::npos);
   std::ofstream(base + ".toml") << "[fleet]\nnode = 3\n";
-  const Ran bad = run("run " + base + ".toml");
+  const CommandResult bad = run("run " + base + ".toml");
   EXPECT_EQ(bad.code, 2);
   EXPECT_NE(bad.out.find(base + ".toml:2:8: unknown key 'fleet.node'"), std::string::npos) << bad.out;
   EXPECT_EQ(run("run").code, 2);
@@ -250,7 +249,7 @@
                    "seconds = 3\nfaults = \"at 1 s0: refuse for 0.5\"\n[fleet]\nnodes = 2\nservers = 3\n"
                    "[traffic]\nload = 0.2\ntries = 2\n")
                    .variants[0];
-  const lab::Run run = play_on_processes(setup, 1, NODE);
+  const lab::Run run = run_on_processes(setup, 1, NODE);
   EXPECT_EQ(run.rules_broken, 0U);
   EXPECT_GT(run.asked, 100U);
   EXPECT_EQ(run.asked, run.served + run.refused + run.failed);
--- a/tests/lab/seams_test.cpp
+++ b/tests/lab/seams_test.cpp
@@ -23,15 +23,15 @@
 constexpr bool kSanitized = false;
 #endif
 
-struct Ran {
+struct CommandResult {
   int status = 0;
   std::string out;
 };
 
-Ran run(const InterposedFaults& seams, const std::string& command) {
-  Ran out;
-  FILE* pipe =
-      popen((seams.environment() + " LD_PRELOAD=" + SEAMS + " sh -c '" + command + "' 2>&1").c_str(), "r");
+CommandResult run(const InterposedFaults& interposed, const std::string& command) {
+  CommandResult out;
+  FILE* pipe = popen(
+      (interposed.environment() + " LD_PRELOAD=" + SEAMS + " sh -c '" + command + "' 2>&1").c_str(), "r");
   std::array<char, 256> part{};
   while (std::fgets(part.data(), static_cast<int>(part.size()), pipe) != nullptr) out.out += part.data();
   out.status = pclose(pipe);
@@ -48,41 +48,42 @@
     if (kSanitized) GTEST_SKIP() << "a sanitizer's library has to come first";
   }
   StateFolder folder;
-  InterposedFaults seams{folder.path()};
+  InterposedFaults interposed{folder.path()};
 };
 
 TEST_F(SeamsTest, TheWallClockIsOffAndSteps) {
-  const auto told = [&] { return std::stol(run(seams, "date +%s").out); };
-  EXPECT_LE(std::abs(told() - std::time(nullptr)), 20);
-  seams.settings().wall_clock_offset = -7200.5;
-  EXPECT_LE(std::abs(told() - (std::time(nullptr) - 7200)), 20);
-  seams.settings().wall_clock_offset = 86400;
-  EXPECT_LE(std::abs(told() - (std::time(nullptr) + 86400)), 20);
+  const auto reported_time = [&] { return std::stol(run(interposed, "date +%s").out); };
+  EXPECT_LE(std::abs(reported_time() - std::time(nullptr)), 20);
+  interposed.settings().wall_clock_offset = -7200.5;
+  EXPECT_LE(std::abs(reported_time() - (std::time(nullptr) - 7200)), 20);
+  interposed.settings().wall_clock_offset = 86400;
+  EXPECT_LE(std::abs(reported_time() - (std::time(nullptr) + 86400)), 20);
 }
 
 TEST_F(SeamsTest, AFullDiskTakesAPartAndThenNothing) {
-  seams.settings().disk_bytes_left = 10;
-  const Ran ran = run(seams, "printf 0123456789abcdef > " + folder.path() + "/f");
+  interposed.settings().disk_bytes_left = 10;
+  const CommandResult ran = run(interposed, "printf 0123456789abcdef > " + folder.path() + "/f");
   EXPECT_NE(ran.status, 0) << ran.out;
   EXPECT_EQ(contents(folder.path() + "/f"), "0123456789");
-  EXPECT_EQ(run(seams, "printf elsewhere > " + folder.path() + "_not").status, 0) << "other files are well";
+  EXPECT_EQ(run(interposed, "printf elsewhere > " + folder.path() + "_not").status, 0)
+      << "other files are well";
   std::filesystem::remove(folder.path() + "_not");
-  seams.settings().disk_bytes_left = -1;
-  EXPECT_EQ(run(seams, "printf more >> " + folder.path() + "/f").status, 0);
+  interposed.settings().disk_bytes_left = -1;
+  EXPECT_EQ(run(interposed, "printf more >> " + folder.path() + "/f").status, 0);
   EXPECT_EQ(contents(folder.path() + "/f"), "0123456789more");
 }
 
 TEST_F(SeamsTest, ATornWriteStopsHalfWayAndItsProcessWithIt) {
-  seams.settings().torn_write = true;
-  const Ran ran = run(seams, "printf 0123456789 > " + folder.path() + "/f; echo after");
+  interposed.settings().torn_write = true;
+  const CommandResult ran = run(interposed, "printf 0123456789 > " + folder.path() + "/f; echo after");
   EXPECT_EQ(ran.out.find("after"), std::string::npos) << "it is gone";
   EXPECT_EQ(contents(folder.path() + "/f"), "01234");
 }
 
 TEST_F(SeamsTest, ASlowDiskKeepsItsWriterWaiting) {
-  seams.settings().disk_delay_us = 200'000;
+  interposed.settings().disk_delay_us = 200'000;
   const double from = now();
-  EXPECT_EQ(run(seams, "printf x > " + folder.path() + "/f").status, 0);
+  EXPECT_EQ(run(interposed, "printf x > " + folder.path() + "/f").status, 0);
   EXPECT_GE(now() - from, 0.2);
 }
 
