--- a/lab/emulator_runner.cpp
+++ b/lab/emulator_runner.cpp
@@ -11,8 +11,9 @@
 namespace si = standins;
 
 constexpr double kForeverSeconds = 1e6;   // s
-constexpr double kRestartSeconds = 0.05;  // s that a killed node is gone where it is started again at once
-constexpr double kOverloadMultiple = 3;   // of present capacity, in two seconds: as the site has it
+constexpr double kRestartSeconds = 0.05;  // downtime of a node that is killed and restarted at once
+// A server that gets more than this multiple of its present capacity over 2 s fails, as at the site.
+constexpr double kOverloadMultiple = 3;
 
 fleet::FaultKind emulator_fault_kind(const si::Fault& fault) {
   switch (fault.kind) {
@@ -32,12 +33,12 @@
     case si::FaultKind::kCrash:
       return fleet::FaultKind::kCrash;
     default:
-      throw UnsupportedSetup("the emulator does not play '" + si::to_text(fault) + "'");
+      throw UnsupportedSetup("the emulator does not support '" + si::to_text(fault) + "'");
   }
 }
 
-// Ways between nodes and servers that are cut, gathered: copies that are cut off from the same servers at the
-// same times make one fault.
+// Collects the cut links between nodes and servers. Nodes that lose the same servers over the same interval
+// form one fault.
 class PartitionCollector {
  public:
   void add(double from, double until, std::size_t copy, std::size_t server) {
@@ -108,7 +109,7 @@
     if (f.to != si::WorldFault::kNoMember) {
       const si::Member& to = members[f.to];
       if (f.verb != "cut")
-        throw UnsupportedSetup("the emulator does not play '" + f.verb + "' on ways; only 'cut'");
+        throw UnsupportedSetup("the emulator does not support '" + f.verb + "' on links; only 'cut'");
       if (who.role == si::Role::kNode && to.role == si::Role::kServer)
         partitions.add(f.at, until, f.who, server(f.to));
       if (who.role == si::Role::kServer && to.role == si::Role::kNode)
@@ -116,8 +117,8 @@
       const bool callers = who.role == si::Role::kCallers || to.role == si::Role::kCallers;
       const bool node = who.role == si::Role::kNode || to.role == si::Role::kNode;
       if (callers && node && who.zone == to.zone)
-        throw UnsupportedSetup("the emulator does not cut callers off");
-      continue;  // nothing else passes on the other ways, but discovery's news: it tells at once here
+        throw UnsupportedSetup("the emulator does not support links cut between callers and nodes");
+      continue;  // other links carry only discovery updates, which the emulator delivers at once
     }
     switch (who.role) {
       case si::Role::kNode: {
@@ -130,7 +131,7 @@
         } else if (f.verb == "kill" || f.verb == "restart") {
           fault.kind = fleet::CopyFault::Kind::kKill;
         } else {
-          throw UnsupportedSetup("the emulator does not play '" + f.verb + "' of nodes");
+          throw UnsupportedSetup("the emulator does not support '" + f.verb + "' for nodes");
         }
         out.copy_faults.push_back(fault);
         break;
@@ -166,11 +167,11 @@
         break;
       }
       default:
-        throw UnsupportedSetup("the emulator has no discovery that goes down: its news come at once");
+        throw UnsupportedSetup("the emulator does not support discovery faults: it delivers updates at once");
     }
   }
   partitions.append_to(out);
-  // Changes at one moment are told together, as a list is.
+  // Changes at the same time are delivered together, as one discovery list.
   std::stable_sort(out.changes.begin(), out.changes.end(),
                    [](const fleet::ListChange& a, const fleet::ListChange& b) { return a.at < b.at; });
   std::vector<fleet::ListChange> together;
--- a/lab/experiment.cpp
+++ b/lab/experiment.cpp
@@ -16,7 +16,7 @@
                       what);
 }
 
-// One table; every key that is not asked for is told of by finish().
+// A typed reader of one table; finish() rejects every key that was not read.
 class Section {
  public:
   Section(const toml::table* table, std::string name) : table_(table), name_(std::move(name)) {}
@@ -72,7 +72,7 @@
   std::set<std::string> known_;
 };
 
-// A variant's tables over the experiment's own.
+// Merges `over` into `base`; values of `over` win.
 void merge_tables(toml::table& base, const toml::table& over) {
   for (const auto& [key, node] : over) {
     toml::node* old = base.get(key);
--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -1,4 +1,4 @@
-// nettlestand-lab: experiments on the emulator and on processes.
+// nettlestand-lab: runs, compares and reports experiments in the emulator and on processes.
 #include <CLI/CLI.hpp>
 #include <atomic>
 #include <cstdio>
@@ -18,8 +18,8 @@
 
 namespace lab = nettlestand::lab;
 
-constexpr int kExitRuleBroken = 1,
-              kExitBadInput = 2;  // exit codes: a rule was broken; what was given can't be used
+// Exit codes: a run broke a rule; the input or the arguments can't be used.
+constexpr int kExitRuleBroken = 1, kExitBadInput = 2;
 
 std::string contents(const std::string& path) {
   std::ifstream in(path);
@@ -92,8 +92,9 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app("Experiments on fleets of nodes: in the emulator, or on processes with links between them.",
-               "nettlestand-lab");
+  CLI::App app(
+      "Experiments on fleets of nodes: in the emulator, or on processes connected by simulated links.",
+      "nettlestand-lab");
   app.require_subcommand(1);
   std::string file, other, out, on = "emulator";
   std::string node =
@@ -102,25 +103,26 @@
   bool quiet = false;
   CLI::App* run_command =
       app.add_subcommand("run",
-                         "Plays an experiment and prints means with 95% intervals; exit code 1 "
-                         "where a rule was broken.");
+                         "Runs an experiment and prints means with 95% intervals; exit code 1 "
+                         "if a rule was broken.");
   run_command->add_option("file", file, "the experiment (TOML)")->required();
   run_command->add_option("--on", on, "emulator or processes")
       ->check(CLI::IsMember({"emulator", "processes"}))
       ->capture_default_str();
-  run_command->add_option("--out", out, "a file for the result (JSON)");
-  run_command->add_option("--node", node, "the node's program, for processes")->capture_default_str();
-  run_command->add_option("--jobs", jobs, "runs at a time; 0: one a core, on processes one in all")
+  run_command->add_option("--out", out, "output file for the result (JSON)");
+  run_command->add_option("--node", node, "path of the node's binary, for processes")->capture_default_str();
+  run_command->add_option("--jobs", jobs, "concurrent runs; 0: one per core, or one on processes")
       ->check(CLI::Range(0, 256));
-  run_command->add_option("--seeds", seeds, "so many, in place of the file's")->check(CLI::Range(1, 10000));
-  run_command->add_flag("--quiet", quiet, "no line on progress");
+  run_command->add_option("--seeds", seeds, "number of seeds, replaces the file's")
+      ->check(CLI::Range(1, 10000));
+  run_command->add_flag("--quiet", quiet, "no progress line");
   CLI::App* compare_command = app.add_subcommand(
-      "compare", "Holds two results of one experiment against each other, seed by seed, as of two builds.");
+      "compare", "Compares two results of one experiment, such as of two builds, seed by seed.");
   compare_command->add_option("first", file, "a result (JSON)")->required();
-  compare_command->add_option("second", other, "another")->required();
-  CLI::App* report_command = app.add_subcommand("report", "Makes one HTML page with plots of a result.");
+  compare_command->add_option("second", other, "another result (JSON)")->required();
+  CLI::App* report_command = app.add_subcommand("report", "Writes an HTML page with plots of a result.");
   report_command->add_option("result", file, "a result (JSON)")->required();
-  report_command->add_option("--out", out, "the page's file")->required();
+  report_command->add_option("--out", out, "output file for the page")->required();
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& problem) {
--- a/lab/process_runner.cpp
+++ b/lab/process_runner.cpp
@@ -35,7 +35,7 @@
       out.load.floods.push_back({name, setup.steps[step].second, setup.steps[step].first, until});
     }
   }
-  out.node.stage = 0;  // callers reach it first, as the emulated ones
+  out.node.stage = 0;  // the first tier: callers reach it directly, as in the emulator
   out.node.attempts = setup.max_attempts;
   out.peers = setup.membership_delay >= 0;
   out.node.start_capacity = setup.start_capacity;
@@ -48,6 +48,7 @@
   return out;
 }
 
+// A client's request with all its tries. Times are in seconds.
 struct Request {
   double first_due_at = 0, answered_at = 0;
   std::size_t zone = 0;
@@ -70,7 +71,7 @@
   out.rules_broken = static_cast<std::uint64_t>(std::count(broken.begin(), broken.end(), '\n'));
   if (!broken.empty()) std::fprintf(stderr, "%s", broken.c_str());
   std::map<std::string, Request> requests;
-  std::map<std::string, std::uint64_t> attempts;  // by the id of a try
+  std::map<std::string, std::uint64_t> attempts;  // by the id of the client's try
   for (const si::AttemptRecord& attempt : timeline.evidence.attempts) ++attempts[attempt.id];
   for (const si::CallRecord& call : timeline.evidence.calls) {
     Request& r = requests[call.first_id];
@@ -132,11 +133,14 @@
   if (setup.nodes > 50) throw UnsupportedSetup("processes: 50 nodes at most");
   if (setup.nodes + setup.servers + setup.zones.size() + 1 > 250)
     throw UnsupportedSetup("processes: 250 machines at most");
-  if (setup.traffic_skew > 0) throw UnsupportedSetup("processes: traffic.uneven is the emulator's alone");
-  if (setup.work_distribution == "uniform") throw UnsupportedSetup("processes: work is exponential or fixed");
+  if (setup.traffic_skew > 0)
+    throw UnsupportedSetup("processes: traffic.uneven is supported only by the emulator");
+  if (setup.work_distribution == "uniform")
+    throw UnsupportedSetup("processes: fleet.work must be exponential or fixed");
   for (const si::WorldFault& fault : setup.faults()) {
     if (si::needs_interposed_faults(fault))
-      throw UnsupportedSetup("processes: '" + fault.verb + "' is for tests, whose worlds have seams");
+      throw UnsupportedSetup("processes: '" + fault.verb +
+                             "' needs interposed faults, which only tests have");
   }
 }
 
--- a/lab/report.cpp
+++ b/lab/report.cpp
@@ -31,7 +31,7 @@
   return out;
 }
 
-// A Markdown table as HTML.
+// Converts Markdown tables, with lines of text between them, to HTML.
 std::string html_table(const std::string& markdown) {
   std::string out = "<table>";
   std::istringstream in(markdown);
@@ -56,12 +56,14 @@
   return out + "</table>";
 }
 
+// A temporary directory that is removed with its contents on destruction.
 class TemporaryDirectory {
  public:
   TemporaryDirectory() {
     const char* base = std::getenv("TMPDIR");
     std::string name = std::string(base != nullptr ? base : "/tmp") + "/nettlestand_lab_XXXXXX";
-    if (mkdtemp(name.data()) == nullptr) throw std::runtime_error("no folder for plots");
+    if (mkdtemp(name.data()) == nullptr)
+      throw std::runtime_error("can't create a temporary directory for plots");
     path = name;
   }
   ~TemporaryDirectory() {
@@ -73,7 +75,7 @@
   std::filesystem::path path;
 };
 
-// Mean and interval over seeds, second by second and zone by zone.
+// Means and intervals over the seeds for each second of one zone.
 struct ZoneSeries {
   std::vector<Estimate> service, p99;
 };
@@ -152,7 +154,7 @@
   std::ifstream svg(folder.path / "plot.svg");
   std::string out{std::istreambuf_iterator<char>(svg), std::istreambuf_iterator<char>()};
   const std::size_t at = out.find("<svg");
-  if (at == std::string::npos) throw std::runtime_error("gnuplot made no picture: " + output);
+  if (at == std::string::npos) throw std::runtime_error("gnuplot wrote no SVG: " + output);
   return out.substr(at);
 }
 
--- a/lab/report.h
+++ b/lab/report.h
@@ -1,4 +1,4 @@
-// A result as one HTML page with plots, which need nothing beside it.
+// Renders a result as one self-contained HTML page with plots.
 #pragma once
 
 #include <string>
@@ -7,8 +7,8 @@
 
 namespace nettlestand::lab {
 
-// Calls gnuplot (gnuplot-nox), whose files stay in a folder of their own that goes again. Throws
-// std::runtime_error where there is no gnuplot or it fails.
+// Runs gnuplot (gnuplot-nox) in a temporary directory that is removed afterwards. Throws std::runtime_error
+// if gnuplot is missing or fails.
 std::string report(const Result& result);
 
 }  // namespace nettlestand::lab
--- a/lab/result.cpp
+++ b/lab/result.cpp
@@ -15,8 +15,8 @@
 namespace nettlestand::lab {
 namespace {
 
-constexpr double kRecoveryThreshold = 0.95;  // of the service before
-constexpr int kRecoveryHoldSeconds = 2;      // s that it must hold
+constexpr double kRecoveryThreshold = 0.95;  // of the service before the faults
+constexpr int kRecoveryHoldSeconds = 2;      // for which the service must stay above the threshold
 
 // Two-sided 95% quantiles of Student's t, by degrees of freedom from 1.
 constexpr std::array<double, 30> kStudentT95 = {
@@ -320,7 +320,7 @@
     out += "\n" + variant + ": the second less the first, seed by seed\n\n" + kDifferenceHeader +
            differences(valid_runs(a, variant), valid_runs(b, variant));
   }
-  return out.empty() ? "no variant stands in both\n" : out;
+  return out.empty() ? "the results have no variant in common\n" : out;
 }
 
 std::string compare_variants(const Result& result) {
--- a/lab/runners.h
+++ b/lab/runners.h
@@ -1,4 +1,4 @@
-// Plays one variant with one seed, in the emulator or on processes.
+// Runs one variant with one seed, in the emulator or on real processes.
 #pragma once
 
 #include <stdexcept>
@@ -10,19 +10,20 @@
 
 namespace nettlestand::lab {
 
-// What a side can't play, with the reason.
+// A setup that the emulator or the process runner does not support, with the reason.
 struct UnsupportedSetup : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// The fleet that a setup describes. Throws CantPlay.
+// Translates a setup for the emulator. Throws UnsupportedSetup.
 fleet::Spec emulator_spec(const Setup& setup, std::uint64_t seed);
 Run run_emulated(const Setup& setup, std::uint64_t seed);
 
-// `node`: the program's file. Plays a void run again, three times at most. Throws CantPlay.
+// `node` is the path of the node's binary. A void run (the machine was too busy) is repeated, with three runs
+// at most. Throws UnsupportedSetup.
 Run run_on_processes(const Setup& setup, std::uint64_t seed, const std::string& node);
 
-// For either, before the first run.
+// Throw UnsupportedSetup before the first run, so that a long experiment does not fail halfway.
 void check_emulator_support(const Setup& setup);
 void check_process_support(const Setup& setup);
 
--- a/tests/fuzz/peers_fuzz.cpp
+++ b/tests/fuzz/peers_fuzz.cpp
@@ -1,5 +1,5 @@
-// Bytes that anybody may send, to membership: the reader of datagrams, and behind it the deciding half, which
-// must stay within its bounds and never make a datagram that is too long, whatever it is told. For libFuzzer.
+// libFuzzer target for the datagram decoder and the membership state machine behind it: whatever they
+// receive, the member table stays within its bounds and no outgoing datagram is too long.
 #include <algorithm>
 #include <cstdio>
 #include <cstdlib>
@@ -15,13 +15,13 @@
 
 void check(bool condition, const char* what) {
   if (condition) return;
-  std::fprintf(stderr, "broken: %s\n", what);
+  std::fprintf(stderr, "check failed: %s\n", what);
   std::abort();
 }
 
 }  // namespace
 
-// The input is a row of pieces: how long, how much time passes, from whom, and a datagram's inside.
+// The input is a sequence of records: body length, elapsed time, sender, and the body of a datagram.
 extern "C" int LLVMFuzzerTestOneInput(const unsigned char* data, std::size_t size) {
   np::MembershipSettings settings;
   settings.self.name = "n1";
@@ -33,13 +33,13 @@
   std::vector<np::Membership::Outgoing> out;
   double now = 10;
   const auto check_outgoing = [&] {
-    check(out.size() <= 4096, "too much is sent at once");
+    check(out.size() <= 4096, "more than 4096 datagrams at once");
     for (np::Membership::Outgoing& o : out) {
-      const std::string bytes = wire.encode(o.message);  // throws where it is too long
+      const std::string bytes = wire.encode(o.message);  // throws if it is too long
       check(bytes.size() <= np::kMaxDatagramBytes && np::max_encoded_bytes(o.message) >= bytes.size(),
-            "a datagram's length");
+            "an encoded datagram exceeds its bound");
       np::DecodeError error;
-      check(other.decode(bytes, error).has_value(), "what is sent can't be read");
+      check(other.decode(bytes, error).has_value(), "an outgoing datagram can't be decoded");
     }
     out.clear();
     core.changes();
@@ -63,9 +63,9 @@
       core.on_message(now, from, *message, out);
       check_outgoing();
     }
-    check(core.members().size() <= settings.max_members + 1, "more members than there is room for");
+    check(core.members().size() <= settings.max_members + 1, "more members than the limit");
     check(core.live_count() >= 1 && core.live_count() <= settings.max_members + 1,
-          "the number of the living");
+          "the live count is out of range");
   }
   return 0;
 }
--- a/tests/fuzz/peers_seeds.cpp
+++ b/tests/fuzz/peers_seeds.cpp
@@ -1,4 +1,4 @@
-// Inputs to begin with for peers_fuzz: each kind of message as the program writes it, alone and in rows.
+// Writes the seed corpus of peers_fuzz: each kind of message as the codec encodes it, alone and in sequence.
 //   peers_seeds FOLDER
 #include <fstream>
 #include <string>
--- a/tests/fuzz/run.sh
+++ b/tests/fuzz/run.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Fuzzes what reads bytes of strangers, with clang's libFuzzer and sanitizers: a fixed run, or for long.
-#   run.sh [RUNS]   from the seeds that the program itself makes; default 60000. 0: until it is stopped.
+# Fuzzes the parsers of untrusted input with clang's libFuzzer and sanitizers.
+#   run.sh [RUNS]   starts from generated seeds; default 60000 runs, 0 runs until stopped.
 set -euo pipefail
 cd "$(dirname "$0")/../.."
 build=${FUZZ_BUILD:-build-fuzz}
--- a/tests/lab/experiment_test.cpp
+++ b/tests/lab/experiment_test.cpp
@@ -1,4 +1,4 @@
-// Experiments: files read strictly, figures that may be told apart, the same bytes for the same seeds, the
+// Experiments: strict parsing, significance of differences, reproducibility for the same seeds, and the
 // command line.
 #include <gtest/gtest.h>
 
@@ -9,8 +9,8 @@
 #include <iterator>
 #include <string>
 
-#include "lab/runners.h"
 #include "lab/report.h"
+#include "lab/runners.h"
 
 namespace nettlestand::lab {
 namespace {
@@ -67,8 +67,8 @@
   EXPECT_EQ(e.seeds, (std::vector<std::uint64_t>{1, 2, 3}));
   EXPECT_EQ(e.variants[0].variant, "half");
   EXPECT_DOUBLE_EQ(e.variants[0].load, 0.5);
-  EXPECT_DOUBLE_EQ(e.variants[1].load, 0.8) << "laid over the rest";
-  EXPECT_EQ(e.variants[1].tries, 2) << "which stays";
+  EXPECT_DOUBLE_EQ(e.variants[1].load, 0.8) << "the variant overrides the experiment";
+  EXPECT_EQ(e.variants[1].tries, 2) << "other keys are inherited";
   EXPECT_DOUBLE_EQ(e.variants[0].ramp_time, 2);
   EXPECT_EQ(e.variants[0].fault_window(), (std::pair<double, double>{1, 4.5}));
   EXPECT_DOUBLE_EQ(e.variants[0].capacity(), 1200);
@@ -128,7 +128,7 @@
   const Experiment e = read_experiment(kSmall);
   const std::string one = to_json(played(e));
   EXPECT_EQ(one, to_json(played(e)));
-  EXPECT_EQ(one, to_json(read_result(one))) << "and survive being read";
+  EXPECT_EQ(one, to_json(read_result(one))) << "a round trip changes nothing";
   for (const lab::Run& run : read_result(one).runs) {
     EXPECT_EQ(run.rules_broken, 0U);
     EXPECT_EQ(run.asked, run.served + run.refused + run.failed);
@@ -143,7 +143,8 @@
   }
 }
 
-// An overload in which returning servers were pushed over, when budgets went by what the limits let in.
+// Guards against a fault: when budgets were derived from the load that the limits admit, returning servers
+// were overloaded until they failed.
 TEST(Experiment, ReturningServersAreNotPushedOverInAnOverload) {
   std::string text = "name = \"x\"\nseconds = 40\nfaults = '''\n";
   std::string gone;
@@ -163,7 +164,7 @@
   const Estimate e = estimate({1, 2, 3, 4, 5});
   EXPECT_DOUBLE_EQ(e.mean, 3);
   EXPECT_NEAR(e.half_width, 2.776 * std::sqrt(2.5 / 5), 1e-9);
-  EXPECT_TRUE(std::isinf(estimate({1}).half_width)) << "one run tells nothing of its spread";
+  EXPECT_TRUE(std::isinf(estimate({1}).half_width)) << "one run gives no variance";
   EXPECT_EQ(estimate({}).count, 0U);
 }
 
@@ -172,8 +173,8 @@
   for (std::size_t i = 0; i < 6; ++i) {
     a[i].seed = b[i].seed = i;
     a[i].asked = b[i].asked = 1000;
-    a[i].in_aim = 500 + 70 * i;              // far apart between seeds,
-    b[i].in_aim = a[i].in_aim + 10 + i % 2;  // and always a little more
+    a[i].in_aim = 500 + 70 * i;              // differs widely between seeds,
+    b[i].in_aim = a[i].in_aim + 10 + i % 2;  // but b is always slightly higher
   }
   const auto pointers = [](const std::vector<lab::Run>& runs) {
     std::vector<const lab::Run*> out;
@@ -195,12 +196,13 @@
   for (int s = 0; s < 12; ++s) {
     series.push_back({s, "a", 1000, static_cast<std::uint64_t>(1000 * part[s]), 0, 0, 0});
   }
-  EXPECT_DOUBLE_EQ(recovery_time(series, 1, 3, 5, 12), 3) << "at 8: at 6 it did not hold";
-  EXPECT_DOUBLE_EQ(recovery_time(series, 1, 3, 5, 9), -1) << "not within the run";
+  EXPECT_DOUBLE_EQ(recovery_time(series, 1, 3, 5, 12), 3)
+      << "at second 8; second 6 was not followed by another";
+  EXPECT_DOUBLE_EQ(recovery_time(series, 1, 3, 5, 9), -1) << "the run ends first";
   EXPECT_DOUBLE_EQ(recovery_time(series, 1, 0, 0, 12), -1) << "nothing to recover from";
 }
 
-// ------------------------------------------------------------ the program
+// ------------------------------------------------------------ the command line
 
 struct CommandResult {
   int code = 0;
@@ -224,7 +226,7 @@
   EXPECT_NE(one.out.find("| half | 3 | 0 |"), std::string::npos) << one.out;
   EXPECT_NE(one.out.find("more less half, seed by seed"), std::string::npos) << one.out;
   const CommandResult two = run("run " + base + ".toml --quiet --jobs 4 --out " + base + ".2.json");
-  EXPECT_EQ(contents(base + ".1.json"), contents(base + ".2.json")) << "whatever runs beside what";
+  EXPECT_EQ(contents(base + ".1.json"), contents(base + ".2.json")) << "the number of jobs does not matter";
   const CommandResult same = run("compare " + base + ".1.json " + base + ".2.json");
   EXPECT_EQ(same.code, 0);
   EXPECT_NE(same.out.find("| in time | 3 | 0 ± 0 | can't be told apart |"), std::string::npos) << same.out;
@@ -233,7 +235,7 @@
   const std::string html = contents(base + ".html");
   std::size_t plots = 0;
   for (std::size_t at = 0; (at = html.find("<svg", at)) != std::string::npos; ++at) ++plots;
-  EXPECT_EQ(plots, 4U) << "two of each variant";
+  EXPECT_EQ(plots, 4U) << "two for each variant";
   EXPECT_NE(html.find("zone a"), std::string::npos);
   std::ofstream(base + ".toml") << "[fleet]\nnode = 3\n";
   const CommandResult bad = run("run " + base + ".toml");
--- a/tests/lab/seams_test.cpp
+++ b/tests/lab/seams_test.cpp
@@ -1,4 +1,4 @@
-// Wrong clocks, bad disks and state that is lost, seen by ordinary programs with the seams before them.
+// Clock, disk and state faults, injected into ordinary programs through an LD_PRELOAD library.
 #include <gtest/gtest.h>
 #include <sys/stat.h>
 #include <sys/wait.h>
@@ -18,7 +18,7 @@
 namespace {
 
 #if defined(__SANITIZE_ADDRESS__) || defined(__SANITIZE_THREAD__)
-constexpr bool kSanitized = true;  // whose library has to come before ours
+constexpr bool kSanitized = true;  // the sanitizer's library must be loaded before ours
 #else
 constexpr bool kSanitized = false;
 #endif
@@ -45,7 +45,7 @@
 
 struct SeamsTest : testing::Test {
   void SetUp() override {
-    if (kSanitized) GTEST_SKIP() << "a sanitizer's library has to come first";
+    if (kSanitized) GTEST_SKIP() << "the sanitizer's library must be loaded first";
   }
   StateFolder folder;
   InterposedFaults interposed{folder.path()};
@@ -66,7 +66,7 @@
   EXPECT_NE(ran.status, 0) << ran.out;
   EXPECT_EQ(contents(folder.path() + "/f"), "0123456789");
   EXPECT_EQ(run(interposed, "printf elsewhere > " + folder.path() + "_not").status, 0)
-      << "other files are well";
+      << "files outside the folder are not affected";
   std::filesystem::remove(folder.path() + "_not");
   interposed.settings().disk_bytes_left = -1;
   EXPECT_EQ(run(interposed, "printf more >> " + folder.path() + "/f").status, 0);
@@ -76,7 +76,7 @@
 TEST_F(SeamsTest, ATornWriteStopsHalfWayAndItsProcessWithIt) {
   interposed.settings().torn_write = true;
   const CommandResult ran = run(interposed, "printf 0123456789 > " + folder.path() + "/f; echo after");
-  EXPECT_EQ(ran.out.find("after"), std::string::npos) << "it is gone";
+  EXPECT_EQ(ran.out.find("after"), std::string::npos) << "the process was terminated";
   EXPECT_EQ(contents(folder.path() + "/f"), "01234");
 }
 
@@ -101,7 +101,7 @@
 }
 
 TEST(World, NodesServeWithWrongClocksAndStartAnewWithoutTheirState) {
-  if (kSanitized) GTEST_SKIP() << "a sanitizer's library has to come first";
+  if (kSanitized) GTEST_SKIP() << "the sanitizer's library must be loaded first";
   WorldSettings s;
   s.binary = NODE;
   s.nodes = 2;
@@ -123,7 +123,7 @@
   EXPECT_EQ(std::count_if(t.evidence.lifetimes.begin(), t.evidence.lifetimes.end(),
                           [](const ProcessLifetime& lifetime) { return lifetime.killed; }),
             4)
-      << "two lives each";
+      << "two lifetimes of each node";
   WorldSettings plain;
   plain.binary = NODE;
   ProcessWorld without(plain);
