--- a/emulator/fleet.cpp
+++ b/emulator/fleet.cpp
@@ -45,9 +45,10 @@
   std::uint32_t server = 0;
   double sent = 0;
   bool open = true, ran = false;
-  qu::Outcome end = qu::Outcome::kUnknown;  // how it ends where no answer is worked out
+  qu::Outcome end = qu::Outcome::kUnknown;  // outcome of an attempt that ends without a computed response
 };
 
+// One try of a client's request, at one balancer, with its attempts at servers.
 struct OpenRequest {
   std::uint32_t copy = 0, tenant = 0;
   std::size_t ask = 0;
@@ -56,7 +57,7 @@
   std::vector<Attempt> attempts;
 };
 
-// A client's request, over all its tries.
+// A client's request, across all its tries.
 struct ClientRequest {
   double born = 0;
   std::uint32_t tenant = 0, copy = 0;
@@ -64,7 +65,7 @@
 };
 
 struct CopyState {
-  std::vector<qu::Event> waiting;  // while it stands
+  std::vector<qu::Event> waiting;  // events that arrived while it is paused
   bool paused = false, dead = false;
   double died = 0;
   std::uint64_t generation = 0;
@@ -79,11 +80,11 @@
   double speed = 1;
   double born = 0;  // 0: warm
   int busy = 0;
-  std::uint64_t generation = 0;  // 16 bits of it count
+  std::uint64_t generation = 0;  // only the low 16 bits are kept in events
   std::deque<Job> queue;
-  int held = 0;  // attempts out, for the policies that see all
+  int held = 0;  // attempts in flight, for the policies with a global view
   bool drained = false, collapsed = false, gone = false;
-  std::deque<std::pair<double, double>> recent_work;  // when, how much work; of a cold server
+  std::deque<std::pair<double, double>> recent_work;  // of a cold server: time and amount of work sent
   double recent_work_sum = 0;
   std::uint64_t connects = 0;
 };
@@ -136,7 +137,7 @@
   }
 
  private:
-  static constexpr double kStart = 1000;  // the module's clock may start anywhere
+  static constexpr double kStart = 1000;  // s; the module's clock may start at any value
 
   qu::Settings settings() const {
     qu::Settings s;
@@ -227,7 +228,8 @@
       case EventKind::kCopyFault:
         return next.b == 0 ? begin(spec_.copy_faults[next.a]) : end(spec_.copy_faults[next.a]);
       case EventKind::kFinish:
-        if (servers_[(next.b >> 16) & 0xFFFFFFFF].generation != next.b >> 48) return;  // it died meanwhile
+        if (servers_[(next.b >> 16) & 0xFFFFFFFF].generation != next.b >> 48)
+          return;  // the server has crashed since
         return finish(next.a, static_cast<std::uint32_t>(next.b >> 16),
                       static_cast<std::uint32_t>(next.b & 0xFFFF));
       case EventKind::kTimeOut:
@@ -245,7 +247,7 @@
         if (it == open_.end() || it->second.answered) return;
         answer(it->second, &Counts::failed);
         if (spec_.policy == Policy::kModule) tell(it->second.copy, qu::RequestGone{std::to_string(next.a)});
-        return forget(next.a);  // its callers have left it
+        return forget(next.a);  // the caller has given up
       }
       case EventKind::kServerListChange:
         return change(spec_.changes[next.a]);
@@ -285,7 +287,7 @@
     return second < result_.requests.size() ? &result_.requests[second][zone_of(ask.copy)] : nullptr;
   }
 
-  // `again`: the place of a request that comes again, from 1; 0: a new one.
+  // `again`: index of the client request that is retried, from 1; 0: a new request.
   void arrive(std::size_t again) {
     const std::uint64_t number = ++last_;
     OpenRequest& open = open_[number];
@@ -307,8 +309,8 @@
     ++ask.tries;
     if (Asked* asked = asked_of(ask)) ++asked->tries;
     open.tenant = ask.tenant;
-    // A front deals a client that comes again to another node of its zone; who is dead is noticed after a
-    // second.
+    // The front end assigns a retrying client to a random balancer of its zone; a dead balancer is noticed
+    // after a second.
     open.copy = ask.copy;
     for (std::size_t i = 0; again > 0 && i < spec_.copies; ++i) {
       open.copy = draw_copy();
@@ -353,7 +355,7 @@
     send(number, open, best, spec_.give_up);
   }
 
-  // `generation`: of the copy that it is meant for.
+  // `generation`: the generation of the balancer that the event is meant for; it is dropped for any other.
   void tell(std::size_t copy, const qu::Event& event, std::uint64_t generation = kAny) {
     CopyState& state = states_[copy];
     if (state.dead || (generation != kAny && generation != state.generation)) return;
@@ -367,7 +369,7 @@
       if (const auto* a = std::get_if<qu::Send>(&action)) {
         const std::uint64_t number = std::stoull(a->id);
         const auto it = open_.find(number);
-        if (it == open_.end() || it->second.answered) {  // its client left while this copy stood
+        if (it == open_.end() || it->second.answered) {  // the client gave up while this balancer was paused
           if (spec_.copy_faults.empty()) ++result_.answered_twice;
           continue;
         }
@@ -431,7 +433,7 @@
     asked->latencies.push_back(static_cast<float>(now_ - ask.born));
   }
 
-  // ------------------------------------------------------------ what happens to processes
+  // ------------------------------------------------------------ process faults
 
   void crash(const Fault& fault) {
     for (auto& [number, open] : open_) {
@@ -451,7 +453,8 @@
     }
   }
 
-  // As membership tells the living: by their place among them, and allowances by half of all at the least.
+  // Announces the live balancers as membership does: each gets its index among them; allowances are divided
+  // by at least half of all balancers.
   void announce_balancers() {
     const auto lives = [](const CopyState& state) { return !state.dead; };
     const int count = static_cast<int>(std::count_if(states_.begin(), states_.end(), lives));
@@ -577,7 +580,7 @@
     if (cut != nullptr) {
       const auto kept = last_served_.find(pair);
       if (kept != last_served_.end() &&
-          kept->second > now_ - spec_.idle_close) {  // written on it, and never heard of
+          kept->second > now_ - spec_.idle_close) {  // sent on a kept connection: no response and no error
         at(now_ + timeout, EventKind::kTimeOut, number, attempt);
         return;
       }
@@ -602,7 +605,7 @@
     begin(to);
   }
 
-  // Whether a cold server falls over under what it has been sent.
+  // Records an attempt sent to a cold server; returns whether the server collapses under its recent work.
   bool overloads_cold_server(Server& s) {
     const double warm = warm_up_fraction(s);
     if (warm >= 1) return false;
@@ -692,9 +695,9 @@
   std::priority_queue<ScheduledEvent, std::vector<ScheduledEvent>, std::greater<>> event_queue_;
   std::vector<ClientRequest> client_requests_;
   std::vector<CopyState> states_;
-  std::vector<double> weights_;  // of the copies, summed up; empty: even
+  std::vector<double> weights_;  // cumulative traffic weights of the balancers; empty: even
   std::unordered_map<std::uint64_t, double>
-      last_served_;  // by copy and server: when a kept connection served last
+      last_served_;  // by balancer and server: when a kept connection last delivered
   double now_ = 0, offered_ = 0;
   std::uint64_t order_ = 0, last_ = 0;
 };
--- a/emulator/grid.cpp
+++ b/emulator/grid.cpp
@@ -51,7 +51,7 @@
   out.give_up = 2 * out.aim;
   const double share = capacity(cell) / kTenants;
   for (std::size_t i = 0; i < kTenants; ++i) {
-    // Within its share a tenant asks for nine tenths of it; the first floods.
+    // Above capacity, well-behaved tenants use nine tenths of their share; the first tenant floods.
     const double within = cell.load > 1 ? 0.9 : cell.load;
     const double flood = cell.load * kTenants - 0.9 * (kTenants - 1);
     out.tenants.push_back({share, share * (cell.load > 1 && i == 0 ? flood : within)});
--- a/emulator/simulation.cpp
+++ b/emulator/simulation.cpp
@@ -6,7 +6,7 @@
 namespace nettlestand::emulator {
 namespace {
 
-constexpr double kEpoch = 1'700'000'000;  // s; where wall clocks start
+constexpr double kEpoch = 1'700'000'000;  // s; wall-clock time at simulated time 0
 
 std::uint64_t link_key(std::uint32_t a, std::uint32_t b) { return (static_cast<std::uint64_t>(a) << 32) | b; }
 
@@ -64,7 +64,7 @@
   if (!p.paused) return;
   p.paused = false;
   ProcessContext host(*this, who);
-  // As an event loop does: first the timers that are due, then what waits in the socket.
+  // In the order of an event loop: first the timers that are due, then the queued datagrams.
   for (const std::uint64_t token : std::exchange(p.timers, {})) {
     if (p.actor) p.actor->timer(host, token);
   }
--- a/emulator/simulation.h
+++ b/emulator/simulation.h
@@ -1,6 +1,6 @@
-// A simulated clock, network and processes round any deciding half that speaks in messages: what a node would
-// do with sockets and timers, an actor does with a Context. Nothing here decides, and nothing waits: one
-// seed, one course, to the byte, on any machine. Built for 10,000 actors.
+// A discrete-event simulation of a clock, a network and processes for message-driven decision modules: what a
+// node does with sockets and timers, an actor does with a Context. It takes no decisions of its own and never
+// waits in real time; a seed gives the same run, byte for byte, on any machine. Built for 10,000 actors.
 #pragma once
 
 #include <cstdint>
@@ -19,23 +19,24 @@
 
 using ActorId = std::uint32_t;
 
-// What an actor may do while it handles an event.
+// The interface through which an actor acts while it handles an event.
 class Context {
  public:
   virtual ~Context() = default;
   virtual ActorId self() const = 0;
-  // s on this actor's steady clock, which runs on while it stands, as a machine's does.
+  // s on this actor's steady clock, which keeps running while the process is paused, as a real machine's
+  // does.
   virtual double now() const = 0;
-  // s since 1970 as this actor's wall clock has it: wrong by what Simulation::set_wall_clock() says.
+  // s since 1970 on this actor's wall clock, which is off by the offset of Simulation::set_wall_clock().
   virtual double wall_clock() const = 0;
-  // A datagram. What becomes of it is the way's to say.
+  // Sends a datagram; the link's faults decide whether, when and how often it arrives.
   virtual void send(ActorId to, std::string bytes) = 0;
-  // timer(token) at `at`, or at once where that is past.
+  // Calls timer(token) at `at`, or at once if that is past.
   virtual void set_timer(double at, std::uint64_t token) = 0;
   virtual pcg64& random() = 0;
 };
 
-// A deciding half with its host: a generation of a process.
+// A decision module with the code that hosts it: one generation of a process.
 class Actor {
  public:
   virtual ~Actor() = default;
@@ -44,23 +45,26 @@
   virtual void timer(Context& context, std::uint64_t token) = 0;
 };
 
+// Datagrams and bytes of one process.
 struct Traffic {
   std::uint64_t sent = 0, received = 0, bytes_sent = 0, bytes_received = 0;
 };
 
+// Runs actors against a simulated clock and network.
 class Simulation {
  public:
-  // Makes an actor's next generation; `generation` counts from 0.
+  // Creates the actor for a process's next generation; `generation` counts from 0.
   using Factory = std::function<std::unique_ptr<Actor>(ActorId self, std::uint64_t generation)>;
 
   explicit Simulation(std::uint64_t seed) : seed_(seed), random_(seed), stateless_link_(seed) {}
 
-  // A further process, not started. Numbered from 0. `zone` for faults between groups.
+  // Adds a process without starting it. Ids count from 0. `zone` groups processes for set_zones().
   ActorId add(Factory factory, std::uint32_t zone = 0);
   void start(ActorId who);
-  // It dies; what is under way to it is lost.
+  // Kills the process; its timers and the messages that are queued for it are lost. Messages in flight
+  // reach the next generation if it has started by then.
   void kill(ActorId who);
-  // It stands until resume(): messages (as many as a socket holds) and timers wait.
+  // Suspends the process until resume(): messages (up to kMaxQueuedDatagrams) and timers are queued.
   void pause(ActorId who);
   void resume(ActorId who);
   void set_wall_clock(ActorId who, double offset) { processes_[who].wall_offset = offset; }
@@ -70,21 +74,22 @@
   std::size_t size() const { return processes_.size(); }
   std::uint32_t zone(ActorId who) const { return processes_[who].zone; }
 
-  // Of all ways, and more of single ones or of those between two zones: they go together.
+  // Faults of all links, of a single one-way link, and of the links between two zones; they are combined.
   void set_network(const standins::LinkFaults& all) { network_ = all; }
   void set_link(ActorId from, ActorId to, const standins::LinkFaults& faults);
   void set_zones(std::uint32_t from, std::uint32_t to, const standins::LinkFaults& faults);
   void heal();
 
-  // Runs something at a time: a script's next line.
+  // Calls `f` at the given time: a step of a fault script.
   void at(double when, std::function<void()> f);
-  // Handles all that is due up to then.
+  // Handles all events that are due up to `when`.
   void run_until(double when);
   double now() const { return now_; }
   const Traffic& traffic(ActorId who) const { return processes_[who].traffic; }
   std::uint64_t handled() const { return handled_; }
 
-  static constexpr std::size_t kMaxQueuedDatagrams = 512;  // datagrams that wait for a process that stands
+  static constexpr std::size_t kMaxQueuedDatagrams =
+      512;  // queued for a paused process, as in a socket buffer
 
  private:
   struct Process {
@@ -97,7 +102,7 @@
     pcg64 random;
     Traffic traffic;
     std::vector<std::pair<ActorId, std::string>> waiting;
-    std::vector<std::uint64_t> timers;  // that came due while it stood
+    std::vector<std::uint64_t> timers;  // tokens that became due while it was paused
   };
   enum class EventKind : std::uint8_t { kMessage, kTimer, kCall };
   struct ScheduledEvent {
@@ -127,7 +132,7 @@
   standins::LinkFaults network_;
   std::unordered_map<std::uint64_t, standins::LinkFaults> link_faults_, zone_faults_;
   std::unordered_map<std::uint64_t, standins::LinkModel>
-      stateful_links_;  // those with bursts or bands, which have a state
+      stateful_links_;  // links with loss bursts or limited bandwidth, which have state
   standins::LinkModel stateless_link_;
   std::unordered_map<std::uint64_t, std::string> messages_in_flight_;
   std::unordered_map<std::uint64_t, std::function<void()>> callbacks_;
