--- a/tests/forms/forms_test.cpp
+++ b/tests/forms/forms_test.cpp
@@ -1,5 +1,5 @@
-// What a node does for callers, servers and discovery, run unchanged against each form: the daemon, and
-// applications that embed the library.
+// Behaviour of a node towards callers, servers and discovery. The same tests run against the daemon and
+// against applications that embed the library.
 #include "tests/forms/world.h"
 
 namespace nettlestand::testing {
@@ -60,11 +60,11 @@
   EXPECT_TRUE(has(caller.message(), " 200 "));
 }
 
-// Each of these may have run: an unsafe request gets no second attempt and no refusal.
+// After each of these responses the request may have run: an unsafe request is neither retried nor refused.
 TEST_P(Forms, FailsWhatMayHaveRun) {
   const std::vector<std::string> answers = {
-      "",                                               // the connection just ends
-      "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nx",  // cut
+      "",                                               // connection closed without a response
+      "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nx",  // truncated
       "SSH-2.0 nonsense\r\n\r\n",
       with_length("HTTP/1.1 500 Error\r\n", ""),
       with_length("HTTP/1.1 503 Busy\r\n", ""),
@@ -90,9 +90,9 @@
   }
 }
 
-// With neither a length nor chunks an answer ends with its connection, if that ends in order (RFC 9112, 6.3).
-// A reset is no end, whether it comes behind the bytes or on top of them, and an end before a byte is no
-// answer.
+// A response with neither a length nor chunks ends when its connection is closed in order (RFC 9112, 6.3). A
+// reset does not end it, whether it arrives after the bytes were read or together with them, and a close
+// before the first byte is no response.
 TEST_P(Forms, TakesTheEndOfAConnectionForTheEndOfAnAnswerWithoutALengthAndNoReset) {
   for (const bool in_order : {true, false}) {
     for (const bool at_once : {true, false}) {
@@ -130,7 +130,8 @@
   }
 }
 
-// Spoilt answers on a connection that stays open: each ends its attempt at once, and its connection with it.
+// Malformed responses on a connection that stays open: each ends its attempt at once and closes the
+// connection.
 TEST_P(Forms, GivesUpSpoiltAnswersAtOnce) {
   const std::string good = "HTTP/1.1 200 OK\r\n";
   const std::vector<std::string> answers = {
@@ -156,7 +157,7 @@
     server.message();
     server.send(answer);
     EXPECT_TRUE(has(caller.message(), "HTTP/1.1 502 ")) << answer.substr(0, 90);
-    EXPECT_LT(seconds() - from, 3) << "long before its time is up: " << answer.substr(0, 90);
+    EXPECT_LT(seconds() - from, 3) << "long before its deadline: " << answer.substr(0, 90);
     EXPECT_TRUE(server.ended()) << answer.substr(0, 90);
   }
 }
@@ -206,7 +207,7 @@
   EXPECT_FALSE(has(answer, "text/odd")) << answer;
 }
 
-// Servers have been seen to answer with several times the protocol's 64 KiB.
+// Servers have been seen to send responses several times the protocol's 64 KiB.
 TEST_P(Forms, PassesOnLargeAnswersWhole) {
   World w;
   w.serve(host("s0", w.servers[0].port()));
@@ -221,7 +222,7 @@
   }
 }
 
-// What a server says before it has a request is no answer to that request, which has not run.
+// Bytes that a server sends before it has the request are no response to it; the request has not run.
 const char* const kTurnedAway = "HTTP/1.1 503 Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
 
 TEST_P(Forms, TakesNothingForAnAnswerThatStoodThereBeforeTheRequest) {
@@ -229,7 +230,7 @@
     TcpListener full(0);
     World w;
     w.connect_timeout = 10;
-    const TcpConnection crowd = TcpConnection::to(full.port());  // its queue has room for one
+    const TcpConnection crowd = TcpConnection::to(full.port());  // its accept queue holds one connection
     w.serve(host("s0", full.port()));
     TcpConnection caller = w.client();
     caller.send(request("close"));
@@ -296,9 +297,10 @@
   caller.send(request("close"));
   TcpConnection old = w.servers[0].accept();
   old.message();
-  w.tell(list(8, false, host("s0", w.servers[0].port(), "active", 5)));  // another process in its place
+  w.tell(list(8, false,
+              host("s0", w.servers[0].port(), "active", 5)));  // a restarted process at the same address
   w.watch.close();
-  EXPECT_TRUE(has(w.take_watch(), "index=8 ")) << "it has been taken over";
+  EXPECT_TRUE(has(w.take_watch(), "index=8 ")) << "the list has been applied";
   old.send(ok());
   EXPECT_TRUE(has(caller.message(), " 200 "));
   EXPECT_TRUE(old.ended());
@@ -349,8 +351,8 @@
   EXPECT_TRUE(has(caller.message(), " 200 "));
 }
 
-// A kept connection that breaks under its next request costs what may not be repeated its answer. Once that
-// has been seen, such requests go on connections that were just used, or on new ones.
+// If a kept connection breaks under its next request, a non-repeatable request fails. Once that has happened,
+// such requests use only connections that were just used, or new ones.
 TEST_P(Forms, KeepsUnsafeRequestsOffConnectionsThatGoStale) {
   World w;
   w.serve(host("s0", w.servers[0].port()));
@@ -376,7 +378,7 @@
   TcpConnection third = w.servers[0].accept();
   served(third);
   EXPECT_TRUE(third.no_data(150));
-  caller.send(request("mark"));  // may be repeated: goes on a kept one
+  caller.send(request("mark"));  // may be repeated: uses a kept connection
   served(third);
 }
 
@@ -403,8 +405,8 @@
   TcpConnection server = w.servers[0].accept();
   server.message();
   EXPECT_TRUE(has(caller.message(), "HTTP/1.1 50")) << "failed, not cut off";
-  EXPECT_LT(seconds() - from, 1.2) << "0.7 and what a busy machine adds";
-  EXPECT_TRUE(server.ended()) << "the attempt is given up";
+  EXPECT_LT(seconds() - from, 1.2) << "0.7 s, plus an allowance for a busy machine";
+  EXPECT_TRUE(server.ended()) << "the attempt is abandoned";
   EXPECT_TRUE(caller.no_data()) << "one final answer";
 }
 
@@ -436,7 +438,8 @@
   EXPECT_TRUE(has(caller.message(), "second"));
 }
 
-// The id of a request that is open: sent on, its effect could come twice or its answer go astray.
+// The id of a request that is still open is rejected: forwarded, the request could take effect twice or its
+// response reach the wrong caller.
 TEST_P(Forms, TurnsAwayAnIdThatIsOpen) {
   World w;
   w.serve(w.both());
@@ -465,14 +468,14 @@
       {"400", "nonsense\r\n\r\n"},
       {"400", "POST /api HTTP/1.1\r\nno colon\r\n\r\n"},
       {"431", "POST /api HTTP/1.1\r\nX: " + std::string(20000, 'x')},
-      {"431", "POST /api HTTP/1.1\r\n" + repeated("X: y\r\n", 4000)},  // each line short, the head endless
+      {"431", "POST /api HTTP/1.1\r\n" + repeated("X: y\r\n", 4000)},  // short lines, but too many of them
       {"404", "GET /apis HTTP/1.1\r\n\r\n"},
       {"400", request("other")},
       {"400", request("mark", "Request-Timeout-Ms: soon\r\n")},
       {"400", request("mark", "Request-Timeout-Ms: -5\r\n")},
       {"400", request("mark", "Request-Timeout-Ms: 0\r\n")},
       {"400", with_length(start + "Request-Class: close\r\nTenant: nobody\r\n", "")},
-      {"400", with_length(start + "Request-Class: mark\r\nTenant: acme\r\n", "")},  // keyed without its key
+      {"400", with_length(start + "Request-Class: mark\r\nTenant: acme\r\n", "")},  // idempotency key missing
       {"400", "GET /api HTTP/1.1\r\nRequest-Id: r\r\nRequest-Class: close\r\nTenant: acme\r\n\r\n"},
       {"400", with_length("POST /api HTTP/1.1\r\nRequest-Class: close\r\nTenant: acme\r\n", "")},
       {"400", request("close", "Idempotency-Key: k\r\n")},
@@ -505,7 +508,7 @@
       {"400", targeted("/api?x=<a>")},
       {"400", targeted("/api?x=\"a\\b\"")},
       {"400", targeted("/\xff")},
-      // Where the message ends can't be told for certain: a second request may be hidden in the first.
+      // Ambiguous message length: a second request could be smuggled inside the first.
       {"400", head("close") + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"},
       {"400", head("close") + "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n"},
       {"400", head("close") + "Transfer-Encoding: identity\r\nContent-Length: 5\r\n\r\nabcde"},
@@ -634,7 +637,7 @@
   World w;
   w.connect_timeout = 10;
   crowd.push_back(
-      TcpConnection::to(full.port()));  // its queue has room for one: further connections never come up
+      TcpConnection::to(full.port()));  // its accept queue holds one connection: further ones never complete
   w.serve(host("s0", full.port()));
   TcpConnection caller = w.client();
   caller.send(request("close"));
@@ -693,14 +696,14 @@
   known.pop_back();
   w.known = "\"known\":" + known + ",";
   w.start();
-  w.discovery.accept().send(with_length("HTTP/1.1 503 Busy\r\n", ""));  // turned away
+  w.discovery.accept().send(with_length("HTTP/1.1 503 Busy\r\n", ""));  // refused
   w.await_ready();
   EXPECT_TRUE(has(w.take_watch(), "stream=1&index=3 "));
   w.tell("\n");
-  w.watch.send("20\r\n{\"seq\":4,\"whole\":true,\"ho");  // cut in the middle of a line
+  w.watch.send("20\r\n{\"seq\":4,\"whole\":true,\"ho");  // truncated within a line
   w.watch.close();
   EXPECT_TRUE(has(w.take_watch(), "stream=1&index=3 "));
-  w.tell("{\"seq\":5,\"whole\":true,\"hosts\":[{\"host\":7}]}\n");  // nonsense
+  w.tell("{\"seq\":5,\"whole\":true,\"hosts\":[{\"host\":7}]}\n");  // malformed
   EXPECT_TRUE(has(w.take_watch(), "GET /v1/servers?stream=1 HTTP")) << "the whole list";
   TcpConnection caller = w.client();
   caller.send(request("close"));
@@ -749,7 +752,7 @@
   EXPECT_EQ(log.find("is kept"), log.rfind("is kept")) << "one line for all of them: " << log;
 }
 
-// The configuration with discovery at another address.
+// The world's configuration with another discovery address.
 std::string moved(const World& w, const TcpListener& discovery) {
   std::string out = w.config();
   const std::string old = "\"discovery\":\"127.0.0.1:" + std::to_string(w.discovery.port());
@@ -765,20 +768,21 @@
     w.node->reload(moved(w, elsewhere));
     TcpConnection next = elsewhere.accept();
     EXPECT_TRUE(has(next.message(), "GET /v1/servers?stream=1 HTTP/1.1\r\n")) << "the whole list";
-    EXPECT_TRUE(w.watch.no_data()) << "the old watch stays until the new one has spoken";
+    EXPECT_TRUE(w.watch.no_data()) << "the old watch stays until the new one has responded";
     w.tell(list(8, true, host("s1", w.servers[1].port())));
     TcpConnection caller = w.client();
     const auto serves = [&](const TcpListener& peer) {
       until([&] {
         caller.send(request("close"));
         TcpConnection server = w.next();
-        while (server.message().empty()) server = w.next();  // given up: the list changed while it came up
+        while (server.message().empty())
+          server = w.next();  // abandoned: the list changed while it was connecting
         server.send(with_length("HTTP/1.1 200 OK\r\nConnection: close\r\n", "answer"));
         caller.message();
         return server.local_port() == peer.port();
       });
     };
-    serves(w.servers[1]);  // what the old watch says still counts
+    serves(w.servers[1]);  // updates from the old watch still apply
     next.send(kWatchHead);
     EXPECT_TRUE(w.watch.no_data());
     next.send(chunk(list(3, true, host("s0", w.servers[0].port()))));
@@ -796,7 +800,7 @@
   w.node->reload(moved(w, elsewhere));
   elsewhere.accept().send(with_length("HTTP/1.1 503 Busy\r\n", ""));
   TcpConnection second = elsewhere.accept();
-  w.watch.close();  // and the old one has gone by then
+  w.watch.close();  // the old watch has ended by then
   second.reset();
   EXPECT_TRUE(has(elsewhere.accept().message(), "GET /v1/servers?stream=1 HTTP/1.1\r\n"));
   EXPECT_TRUE(has(w.health(), " 200 ")) << "with the last list";
@@ -859,12 +863,12 @@
   kept.send("GET /healthz HTTP/1.1\r\n\r\n");
   EXPECT_TRUE(has(kept.message(), "HTTP/1.1 503 "));
   kept.send(request("close", "", "question",
-                    "r2"));  // clients go on using what they have, and may have no other node
+                    "r2"));  // clients keep using open connections, and may have no other node
   TcpConnection second = w.servers[0].accept();
   second.message();
   second.send(ok());
   EXPECT_TRUE(has(kept.message(), " 200 "));
-  TcpConnection late = w.client();  // the node has long been told: it still accepts
+  TcpConnection late = w.client();  // the drain began earlier; the node still accepts
   late.send("GET /healthz HTTP/1.1\r\n\r\n");
   EXPECT_TRUE(has(late.message(), "HTTP/1.1 503 "));
   EXPECT_TRUE(late.ended()) << "idle connections are closed before the end";
@@ -877,7 +881,7 @@
   EXPECT_LT(seconds() - from, 3.7);
 }
 
-// The node's own deadline, where neither the module nor the client ends a request in time.
+// The node's own drain deadline applies if neither the decision module nor the client ends a request in time.
 TEST_P(Forms, AnswersWhatIsOpenBeforeItIsKilled) {
   World w;
   w.serve(host("s0", w.servers[0].port()));
@@ -892,7 +896,7 @@
   EXPECT_LT(seconds() - from, 4.5);
 }
 
-// Bodies that are begun and never end hold memory: past a part of the limit the node turns requests away.
+// Bodies that are never completed hold memory: above a part of the memory limit the node refuses requests.
 TEST_P(Forms, HoldsNoMoreBodiesThanItsMemoryAllows) {
   World w;
   w.memory_mb = 16;
--- a/tests/forms/httplib_service.cpp
+++ b/tests/forms/httplib_service.cpp
@@ -1,5 +1,5 @@
-// An application that embeds a gateway on a thread of its own: its own cpp-httplib server, with /api for the
-// gateway and /healthz and /own for itself. It is told, signalled and judged as the daemon is.
+// Test application that embeds a gateway on a separate thread: a cpp-httplib server that passes /api to the
+// gateway and serves /healthz and /own itself. Configuration, signals and tests are those of the daemon.
 #include <csignal>
 #include <thread>
 
@@ -45,7 +45,7 @@
     const int signal = sigtimedwait(&signals, nullptr, &look);
     if (signal == SIGHUP) nt::reload(*gateway);
     if ((signal == SIGTERM || signal == SIGINT) && !draining) {
-      draining = true;  // before it says so
+      draining = true;  // set before the log line, on which tests wait
       began = ns::now();
       nt::log_line("draining");
     }
@@ -57,7 +57,7 @@
     if (plan.is_finished(since, server.connections() > 0)) break;
   }
   nt::log_line("drained");
-  std::_Exit(0);  // what is still open ends with the process
+  std::_Exit(0);  // connections that are still open end with the process
 }
 
 }  // namespace
--- a/tests/forms/middleware_test.cpp
+++ b/tests/forms/middleware_test.cpp
@@ -1,4 +1,5 @@
-// What only an embedding application has: routes of its own beside /api, through its framework.
+// Tests specific to embedding applications: routes of the application beside /api, served by its web
+// framework.
 #include "tests/forms/world.h"
 
 namespace nettlestand::testing {
@@ -22,8 +23,7 @@
   for (const char byte : own("byte by byte")) caller.send(std::string(1, byte));
   EXPECT_TRUE(caller.message().ends_with("\r\n\r\nbyte by byte"));
   caller.send(own(std::string(60000, 'x')));
-  EXPECT_TRUE(caller.message().ends_with(std::string(60000, 'x')))
-      << "the most that its door lets in is 64 KiB";
+  EXPECT_TRUE(caller.message().ends_with(std::string(60000, 'x'))) << "the body limit is 64 KiB";
   TcpConnection large = w.client();
   large.send("POST /own HTTP/1.1\r\nHost: a\r\nContent-Length: 65537\r\n\r\n");
   EXPECT_TRUE(has(large.message(), "HTTP/1.1 413 "));
@@ -45,7 +45,8 @@
   EXPECT_TRUE(caller.message().ends_with("third"));
 }
 
-// The header that ties what RESTinio has parsed to what was read below it is nobody's to send.
+// An internal header links requests parsed by RESTinio to the bytes read below it; clients must not be able
+// to send it.
 TEST_P(Middleware, TakesNoClientsWordForItsOwn) {
   World w;
   w.serve(host("s0", w.servers[0].port()));
--- a/tests/forms/platform_options.h
+++ b/tests/forms/platform_options.h
@@ -1,5 +1,5 @@
-// The platform's configuration as a gateway's Options: the applications of this suite are told what the
-// daemon is.
+// Converts the platform's configuration to gateway Options, so that the test applications are configured the
+// same way as the daemon.
 #pragma once
 
 #include <string>
@@ -13,7 +13,7 @@
   return endpoint.address().to_string() + ":" + std::to_string(endpoint.port());
 }
 
-// As daemon/node.cpp divides them.
+// Divides sockets and memory as daemon/node.cpp does.
 inline Options options_of(const Config& config) {
   using std::chrono::duration_cast;
   using std::chrono::milliseconds;
--- a/tests/forms/restinio_service.cpp
+++ b/tests/forms/restinio_service.cpp
@@ -1,5 +1,5 @@
-// An application that embeds a gateway: its own RESTinio server, with /api for the gateway and /healthz and
-// /own for itself. It is told, signalled and judged as the daemon is.
+// Test application that embeds a gateway: a RESTinio server that passes /api to the gateway and serves
+// /healthz and /own itself. Configuration, signals and tests are those of the daemon.
 #include <boost/asio/signal_set.hpp>
 #include <csignal>
 #include <utility>
@@ -24,7 +24,7 @@
   explicit Service(const ns::Config& config)
       : plan_(nt::plan_of(config)), gateway_(open(config)), look_(loop_) {
     binding_ = std::make_shared<ns::restinio::GatewayBinding>(*gateway_);
-    // Not more than the daemon takes on, so that descriptors are left for servers.
+    // Accepts no more connections than the daemon, so that descriptors remain for servers.
     server_ = std::make_unique<restinio::http_server_t<Traits>>(
         restinio::external_io_context(loop_),
         restinio::server_settings_t<Traits>{}
--- a/tests/forms/service.h
+++ b/tests/forms/service.h
@@ -1,4 +1,5 @@
-// What the applications of this suite share: their configuration, their log, and the drain.
+// Shared by the test applications that embed the gateway: reading the configuration, logging and the drain
+// plan.
 #pragma once
 
 #include <cstdio>
@@ -27,7 +28,7 @@
   return read_platform_config({std::istreambuf_iterator<char>(in), {}});
 }
 
-// After SIGHUP: a configuration that can't be used changes nothing.
+// Handles SIGHUP: applies the new discovery address; an unusable configuration changes nothing.
 inline void reload(Gateway& gateway) {
   try {
     if (const Error moved = gateway.set_discovery_address(text_of(*load().discovery)))
--- a/tests/forms/world.h
+++ b/tests/forms/world.h
@@ -1,4 +1,4 @@
-// A node of either form among scripted callers, servers and discovery.
+// Test fixture: a node (the daemon or an embedding application) with scripted callers, servers and discovery.
 #pragma once
 
 #include <array>
@@ -30,14 +30,14 @@
   return with_length(head(request_class, id) + more, body);
 }
 
-// A request with these lines in place of its usual Host.
+// A request with `lines` in place of its usual Host header.
 inline std::string hosted(const std::string& lines) {
   std::string out = request("close");
   const std::string usual = "Host: service.internal\r\n";
   return out.replace(out.find(usual), usual.size(), lines);
 }
 
-// A request for this target, in this version of HTTP.
+// A request for the given target and HTTP version.
 inline std::string targeted(const std::string& target, const std::string& version = "1.1") {
   std::string out = request("close");
   return out.replace(0, out.find('\r'), "POST " + target + " HTTP/" + version);
@@ -71,7 +71,7 @@
   return out;
 }
 
-// A head of this size, filled up with lines of this length.
+// Pads a message head to `size` bytes with header lines of `line` bytes.
 inline std::string filled(std::string head, std::size_t size, std::size_t line) {
   size -= 2;
   while (head.size() < size) {
@@ -81,7 +81,7 @@
   return head + "\r\n";
 }
 
-// Sends it in two parts, the second once the first has been read.
+// Sends `text` split at `cut`; the second part follows once the peer has read the first.
 inline void send_cut(const TcpConnection& to, const std::string& text, std::size_t cut) {
   to.send(text.substr(0, cut));
   if (cut == text.size()) return;
@@ -89,7 +89,8 @@
   to.send(text.substr(cut));
 }
 
-// Where to cut a head: at its ends, round the sizes that parsers keep to, and in between.
+// Split positions for a message head: near both ends, around common parser buffer sizes, and regularly
+// between.
 inline std::vector<std::size_t> cuts_of(std::size_t size) {
   std::vector<std::size_t> out = {size, 1, 2, 15, 16, 17, 18, 4096};
   for (std::size_t at = size - 5; at < size; ++at) out.push_back(at);
@@ -98,7 +99,7 @@
   return out;
 }
 
-// What is under test: a program, and its name in the tests' names.
+// The program under test and the label that appears in test names.
 struct Form {
   const char* name;
   const char* binary;
@@ -111,7 +112,7 @@
   void SetUp() override { node_binary() = GetParam().binary; }
 };
 
-// A node past tier 0, so that each request is sent on, with what the tests need to script its surroundings.
+// A node above tier 0, so that it forwards every request, with the scripted peers around it.
 struct World {
   TcpListener discovery;
   std::array<TcpListener, 2> servers;
@@ -146,7 +147,7 @@
   }
   void tell(const std::string& line) { watch.send(chunk(line)); }
   std::string both() const { return host("s0", servers[0].port()) + "," + host("s1", servers[1].port()); }
-  // Starts with the given servers, and waits until they have been taken over.
+  // Starts the node with the given servers and waits until it is ready.
   void serve(const std::string& hosts) {
     start();
     take_watch();
@@ -162,7 +163,7 @@
     return caller.message();
   }
   TcpConnection client() const { return TcpConnection::to(node->port()); }
-  // The connection on which the next request comes, whichever server it goes to.
+  // Accepts the connection of the next request, at whichever server it arrives.
   TcpConnection next() const { return TcpListener::accept_either(servers[0], servers[1]); }
 };
 
--- a/tests/lab/emulator_test.cpp
+++ b/tests/lab/emulator_test.cpp
@@ -1,4 +1,5 @@
-// The emulator: processes, clocks and ways round a deciding half, and the fleet with what happens to it.
+// Tests of the emulator: simulated processes, clocks and links around actors, and the simulated fleet with
+// faults.
 #include <gtest/gtest.h>
 
 #include <numeric>
@@ -10,7 +11,7 @@
 namespace nettlestand::emulator {
 namespace {
 
-// Passes a rumour on to a few by chance, once a second; says all that it met.
+// Sends the last rumour that it heard to a random actor once a second; logs every message it receives.
 struct Gossip : Actor {
   Gossip(std::size_t all, std::uint64_t generation, std::string* log)
       : all(all), generation(generation), log(log) {}
@@ -74,16 +75,16 @@
   s.pause(1);
   s.run_until(5.5);
   auto* one = static_cast<Gossip*>(s.actor(1));
-  EXPECT_EQ(one->ticks, 0) << "it stands";
+  EXPECT_EQ(one->ticks, 0) << "it is paused";
   s.resume(1);
   EXPECT_EQ(one->ticks, 1) << "one timer was due";
   s.kill(0);
   EXPECT_FALSE(s.alive(0));
   s.run_until(7);
   s.start(0);
-  EXPECT_EQ(static_cast<Gossip*>(s.actor(0))->generation, 1U) << "another life";
+  EXPECT_EQ(static_cast<Gossip*>(s.actor(0))->generation, 1U) << "the next generation";
   s.run_until(8.5);
-  EXPECT_EQ(static_cast<Gossip*>(s.actor(0))->ticks, 1) << "timers of the life before are gone";
+  EXPECT_EQ(static_cast<Gossip*>(s.actor(0))->ticks, 1) << "timers of the previous generation are dropped";
 }
 
 TEST(Simulation, WaysAreCutOneWayAndBetweenZones) {
@@ -193,8 +194,8 @@
   EXPECT_EQ(r.repeats_run, 0U);
   EXPECT_EQ(r.fallen_over, 0U);
   EXPECT_GT(total(r, &fleet::Asked::served, 9, 12), total(r, &fleet::Asked::asked, 9, 12) * 99 / 100)
-      << "well again";
-  // A killed copy's callers are told off for a second and then go elsewhere.
+      << "recovered";
+  // Callers of a killed balancer fail for a second and then use another one.
   EXPECT_GT(total(r, &fleet::Asked::served, 4, 5), total(r, &fleet::Asked::asked, 4, 5) * 95 / 100);
 }
 
