--- a/bench/fleet_faults.cpp
+++ b/bench/fleet_faults.cpp
@@ -55,7 +55,7 @@
     for (const std::size_t balancers : {1U, 10U}) {
       for (const Effect effect : {Effect::kSafe, Effect::kUnsafe}) {
         fleet::Spec spec;
-        spec.copies = balancers;
+        spec.balancers = balancers;
         spec.work = 0.01;
         spec.aim = 0.5;
         spec.give_up = 1.5;
--- a/emulator/fleet.cpp
+++ b/emulator/fleet.cpp
@@ -27,7 +27,7 @@
   kServerListChange,
   kRetry,
   kCrash,
-  kCopyFault,
+  kBalancerFault,
   kMembershipChange
 };
 
@@ -50,7 +50,7 @@
 
 // One try of a client's request, at one balancer, with its attempts at servers.
 struct OpenRequest {
-  std::uint32_t copy = 0, tenant = 0;
+  std::uint32_t balancer = 0, tenant = 0;
   std::size_t ask = 0;
   double arrived = 0;
   bool answered = false, counted = false;
@@ -60,11 +60,11 @@
 // A client's request, across all its tries.
 struct ClientRequest {
   double born = 0;
-  std::uint32_t tenant = 0, copy = 0;
+  std::uint32_t tenant = 0, balancer = 0;
   int tries = 0;
 };
 
-struct CopyState {
+struct BalancerState {
   std::vector<qu::Event> waiting;  // events that arrived while it is paused
   bool paused = false, dead = false;
   double died = 0;
@@ -103,27 +103,27 @@
     result_.sent_by_second.resize(spec.servers);
     if (spec.keep_times) result_.sent_at.resize(spec.servers);
     for (const Tenant& tenant : spec.tenants) offered_ += tenant.offered;
-    result_.requests.resize(result_.seconds.size(), std::vector<Asked>(spec.zones));
-    states_.resize(spec.copies);
+    result_.requests.resize(result_.seconds.size(), std::vector<RequestOutcomes>(spec.zones));
+    balancer_states_.resize(spec.balancers);
     double sum = 0;
     std::normal_distribution<double> normal;
-    for (std::size_t i = 0; i < spec.copies && spec.uneven > 0; ++i) {
+    for (std::size_t i = 0; i < spec.balancers && spec.uneven > 0; ++i) {
       weights_.push_back(sum += std::exp(spec.uneven * normal(random_)));
     }
   }
 
   Result play() {
     now_ = kStart;
-    if (spec_.policy == Policy::kModule) start_copies();
+    if (spec_.policy == Policy::kModule) start_balancers();
     for (std::size_t i = 0; i < spec_.changes.size(); ++i)
       at(kStart + spec_.changes[i].at, EventKind::kServerListChange, i, 0);
     for (std::size_t i = 0; i < spec_.faults.size(); ++i) {
       if (spec_.faults[i].kind == FaultKind::kCrash)
         at(kStart + spec_.faults[i].from, EventKind::kCrash, i, 0);
     }
-    for (std::size_t i = 0; i < spec_.copy_faults.size(); ++i) {
-      at(kStart + spec_.copy_faults[i].from, EventKind::kCopyFault, i, 0);
-      at(kStart + spec_.copy_faults[i].until, EventKind::kCopyFault, i, 1);
+    for (std::size_t i = 0; i < spec_.balancer_faults.size(); ++i) {
+      at(kStart + spec_.balancer_faults[i].from, EventKind::kBalancerFault, i, 0);
+      at(kStart + spec_.balancer_faults[i].until, EventKind::kBalancerFault, i, 1);
     }
     next_arrival();
     while (!event_queue_.empty()) {
@@ -141,7 +141,7 @@
 
   qu::Settings settings() const {
     qu::Settings s;
-    s.copy_count = static_cast<int>(spec_.copies);
+    s.copy_count = static_cast<int>(spec_.balancers);
     s.tier = spec_.tier;
     qu::RequestClass c;
     c.aim = spec_.aim;
@@ -162,19 +162,19 @@
     return s;
   }
 
-  void start_copies() {
+  void start_balancers() {
     for (std::size_t i = 0; i < servers_.size() && spec_.cold; ++i) servers_[i].born = now_;
-    for (std::size_t i = 0; i < spec_.copies; ++i) {
-      copies_.push_back(make_copy(i));
+    for (std::size_t i = 0; i < spec_.balancers; ++i) {
+      balancers_.push_back(make_balancer(i));
       send_server_list(i);
     }
   }
 
-  qu::Balancer make_copy(std::size_t i) const {
+  qu::Balancer make_balancer(std::size_t i) const {
     qu::Settings s = settings();
     s.copy_index = static_cast<int>(i);
     s.zone = static_cast<int>(zone_of(i));
-    return {s, spec_.seed * 1000 + i + 7919 * states_[i].generation};
+    return {s, spec_.seed * 1000 + i + 7919 * balancer_states_[i].generation};
   }
   void send_server_list(std::size_t i) {
     qu::MembershipUpdate all;
@@ -225,8 +225,8 @@
         return crash(spec_.faults[next.a]);
       case EventKind::kMembershipChange:
         return announce_balancers();
-      case EventKind::kCopyFault:
-        return next.b == 0 ? begin(spec_.copy_faults[next.a]) : end(spec_.copy_faults[next.a]);
+      case EventKind::kBalancerFault:
+        return next.b == 0 ? begin(spec_.balancer_faults[next.a]) : end(spec_.balancer_faults[next.a]);
       case EventKind::kFinish:
         if (servers_[(next.b >> 16) & 0xFFFFFFFF].generation != next.b >> 48)
           return;  // the server has crashed since
@@ -246,7 +246,8 @@
         const auto it = open_.find(next.a);
         if (it == open_.end() || it->second.answered) return;
         answer(it->second, &Counts::failed);
-        if (spec_.policy == Policy::kModule) tell(it->second.copy, qu::RequestGone{std::to_string(next.a)});
+        if (spec_.policy == Policy::kModule)
+          tell(it->second.balancer, qu::RequestGone{std::to_string(next.a)});
         return forget(next.a);  // the caller has given up
       }
       case EventKind::kServerListChange:
@@ -272,19 +273,19 @@
       update.servers.push_back(server_info(i));
       update.servers.back().state = what.state;
     }
-    for (std::size_t i = 0; i < copies_.size(); ++i) tell(i, update);
+    for (std::size_t i = 0; i < balancers_.size(); ++i) tell(i, update);
   }
 
-  std::uint32_t draw_copy() {
+  std::uint32_t draw_balancer() {
     const double at = unit();
-    if (weights_.empty()) return static_cast<std::uint32_t>(at * static_cast<double>(spec_.copies));
+    if (weights_.empty()) return static_cast<std::uint32_t>(at * static_cast<double>(spec_.balancers));
     const auto it = std::lower_bound(weights_.begin(), weights_.end(), at * weights_.back());
     return static_cast<std::uint32_t>(it - weights_.begin());
   }
 
-  Asked* asked_of(const ClientRequest& ask) {
+  RequestOutcomes* outcomes_of(const ClientRequest& ask) {
     const auto second = static_cast<std::size_t>(ask.born - kStart);
-    return second < result_.requests.size() ? &result_.requests[second][zone_of(ask.copy)] : nullptr;
+    return second < result_.requests.size() ? &result_.requests[second][zone_of(ask.balancer)] : nullptr;
   }
 
   // `again`: index of the client request that is retried, from 1; 0: a new request.
@@ -297,34 +298,35 @@
       while (ask.tenant + 1 < spec_.tenants.size() && (pick -= spec_.tenants[ask.tenant].offered) >= 0) {
         ++ask.tenant;
       }
-      ask.copy = draw_copy();
+      ask.balancer = draw_balancer();
       ask.born = now_;
       client_requests_.push_back(ask);
       open.ask = client_requests_.size();
-      if (Asked* asked = asked_of(ask)) ++asked->asked;
+      if (RequestOutcomes* asked = outcomes_of(ask)) ++asked->asked;
     } else {
       open.ask = again;
     }
     ClientRequest& ask = client_requests_[open.ask - 1];
     ++ask.tries;
-    if (Asked* asked = asked_of(ask)) ++asked->tries;
+    if (RequestOutcomes* asked = outcomes_of(ask)) ++asked->tries;
     open.tenant = ask.tenant;
     // The front end assigns a retrying client to a random balancer of its zone; a dead balancer is noticed
     // after a second.
-    open.copy = ask.copy;
-    for (std::size_t i = 0; again > 0 && i < spec_.copies; ++i) {
-      open.copy = draw_copy();
-      if (zone_of(open.copy) == zone_of(ask.copy)) break;
+    open.balancer = ask.balancer;
+    for (std::size_t i = 0; again > 0 && i < spec_.balancers; ++i) {
+      open.balancer = draw_balancer();
+      if (zone_of(open.balancer) == zone_of(ask.balancer)) break;
     }
-    for (std::size_t i = 0; i < spec_.copies && states_[open.copy].dead && now_ > states_[open.copy].died + 1;
+    for (std::size_t i = 0; i < spec_.balancers && balancer_states_[open.balancer].dead &&
+                            now_ > balancer_states_[open.balancer].died + 1;
          ++i) {
-      open.copy = static_cast<std::uint32_t>((open.copy + spec_.zones) % spec_.copies);
+      open.balancer = static_cast<std::uint32_t>((open.balancer + spec_.zones) % spec_.balancers);
     }
     open.arrived = now_;
     open.counted = now_ - kStart >= spec_.count_from;
     count(open, &Counts::asked);
     at(now_ + spec_.give_up, EventKind::kDeadline, number, 0);
-    if (states_[open.copy].dead) {
+    if (balancer_states_[open.balancer].dead) {
       answer(open, &Counts::failed);
       return forget(number);
     }
@@ -333,7 +335,7 @@
     request.id = std::to_string(number);
     request.tenant = open.tenant;
     request.time_left = spec_.give_up;
-    tell(open.copy, request);
+    tell(open.balancer, request);
   }
 
   void route_without_module(std::uint64_t number, OpenRequest& open) {
@@ -356,21 +358,21 @@
   }
 
   // `generation`: the generation of the balancer that the event is meant for; it is dropped for any other.
-  void tell(std::size_t copy, const qu::Event& event, std::uint64_t generation = kAny) {
-    CopyState& state = states_[copy];
+  void tell(std::size_t balancer, const qu::Event& event, std::uint64_t generation = kAny) {
+    BalancerState& state = balancer_states_[balancer];
     if (state.dead || (generation != kAny && generation != state.generation)) return;
     if (state.paused) {
       state.waiting.push_back(event);
       return;
     }
     std::vector<qu::Action> actions;
-    copies_[copy].handle(now_, event, actions);
+    balancers_[balancer].handle(now_, event, actions);
     for (const qu::Action& action : actions) {
       if (const auto* a = std::get_if<qu::Send>(&action)) {
         const std::uint64_t number = std::stoull(a->id);
         const auto it = open_.find(number);
         if (it == open_.end() || it->second.answered) {  // the client gave up while this balancer was paused
-          if (spec_.copy_faults.empty()) ++result_.answered_twice;
+          if (spec_.balancer_faults.empty()) ++result_.answered_twice;
           continue;
         }
         send(number, it->second, std::stoul(a->server), a->timeout);
@@ -379,7 +381,7 @@
       } else if (const auto* f = std::get_if<qu::Fail>(&action)) {
         final(std::stoull(f->id), &Counts::failed);
       } else if (const auto* t = std::get_if<qu::SetTimer>(&action)) {
-        at(std::max(now_, t->at), EventKind::kTimer, copy | (state.generation << 32), t->token);
+        at(std::max(now_, t->at), EventKind::kTimer, balancer | (state.generation << 32), t->token);
       } else if (const auto* c = std::get_if<qu::Cancel>(&action)) {
         const auto it = open_.find(std::stoull(c->id));
         if (it == open_.end()) continue;
@@ -393,10 +395,10 @@
 
   void final(std::uint64_t number, std::uint64_t Counts::*how) {
     const auto it = open_.find(number);
-    if (it == open_.end() && !spec_.copy_faults.empty()) return;
+    if (it == open_.end() && !spec_.balancer_faults.empty()) return;
     OpenRequest& open = open_.at(number);
     if (open.answered) {
-      if (spec_.copy_faults.empty()) ++result_.answered_twice;
+      if (spec_.balancer_faults.empty()) ++result_.answered_twice;
     } else {
       answer(open, how);
     }
@@ -415,7 +417,7 @@
     open.answered = true;
     count(open, how);
     const ClientRequest& ask = client_requests_[open.ask - 1];
-    Asked* asked = asked_of(ask);
+    RequestOutcomes* asked = outcomes_of(ask);
     if (how != &Counts::served) {
       const bool may = how == &Counts::refused || spec_.effect != qu::Effect::kUnsafe;
       if (ask.tries < spec_.tries && may) {
@@ -439,7 +441,7 @@
     for (auto& [number, open] : open_) {
       for (std::size_t i = 0; i < open.attempts.size(); ++i) {
         Attempt& a = open.attempts[i];
-        if (!a.open || !hits(fault, a.server, open.copy)) continue;
+        if (!a.open || !hits(fault, a.server, open.balancer)) continue;
         a.end = qu::Outcome::kReset;
         at(now_, EventKind::kEnd, number, i);
       }
@@ -456,19 +458,20 @@
   // Announces the live balancers as membership does: each gets its index among them; allowances are divided
   // by at least half of all balancers.
   void announce_balancers() {
-    const auto lives = [](const CopyState& state) { return !state.dead; };
-    const int count = static_cast<int>(std::count_if(states_.begin(), states_.end(), lives));
+    const auto lives = [](const BalancerState& state) { return !state.dead; };
+    const int count =
+        static_cast<int>(std::count_if(balancer_states_.begin(), balancer_states_.end(), lives));
     int index = 0;
-    for (std::size_t i = 0; i < states_.size(); ++i) {
-      if (states_[i].dead) continue;
-      const double sharers = std::max<double>(count, static_cast<double>(states_.size()) / 2);
+    for (std::size_t i = 0; i < balancer_states_.size(); ++i) {
+      if (balancer_states_[i].dead) continue;
+      const double sharers = std::max<double>(count, static_cast<double>(balancer_states_.size()) / 2);
       tell(i, qu::BalancersChanged{index++, count, sharers});
     }
   }
 
-  void begin(const CopyFault& fault) {
-    CopyState& state = states_[fault.copy];
-    if (fault.kind == CopyFault::Kind::kPause) {
+  void begin(const BalancerFault& fault) {
+    BalancerState& state = balancer_states_[fault.balancer];
+    if (fault.kind == BalancerFault::Kind::kPause) {
       state.paused = true;
       return;
     }
@@ -479,7 +482,7 @@
     state.waiting.clear();
     std::vector<std::uint64_t> held;
     for (auto& [number, open] : open_) {
-      if (open.copy == fault.copy) held.push_back(number);
+      if (open.balancer == fault.balancer) held.push_back(number);
     }
     std::sort(held.begin(), held.end());
     for (const std::uint64_t number : held) {
@@ -493,25 +496,25 @@
     }
   }
 
-  void end(const CopyFault& fault) {
-    CopyState& state = states_[fault.copy];
-    if (fault.kind == CopyFault::Kind::kPause) {
+  void end(const BalancerFault& fault) {
+    BalancerState& state = balancer_states_[fault.balancer];
+    if (fault.kind == BalancerFault::Kind::kPause) {
       state.paused = false;
       const std::vector<qu::Event> waiting = std::exchange(state.waiting, {});
-      for (const qu::Event& event : waiting) tell(fault.copy, event);
+      for (const qu::Event& event : waiting) tell(fault.balancer, event);
       return;
     }
     state.dead = false;
     if (spec_.follow_after >= 0) at(now_ + spec_.follow_after, EventKind::kMembershipChange, 0, 0);
-    copies_[fault.copy] = make_copy(fault.copy);
-    send_server_list(fault.copy);
+    balancers_[fault.balancer] = make_balancer(fault.balancer);
+    send_server_list(fault.balancer);
   }
 
-  bool hits(const Fault& f, std::size_t server, std::uint32_t copy) const {
-    const bool s =
-        f.servers_hit.empty() ? server >= f.first && server < f.first + f.count : f.servers_hit[server] != 0;
-    const bool c =
-        f.copies_hit.empty() ? f.copy < 0 || f.copy == static_cast<int>(copy) : f.copies_hit[copy] != 0;
+  bool hits(const Fault& f, std::size_t server, std::uint32_t balancer) const {
+    const bool s = f.affected_servers.empty() ? server >= f.first && server < f.first + f.count
+                                              : f.affected_servers[server] != 0;
+    const bool c = f.affected_balancers.empty() ? f.balancer < 0 || f.balancer == static_cast<int>(balancer)
+                                                : f.affected_balancers[balancer] != 0;
     return s && c;
   }
 
@@ -524,9 +527,9 @@
     open_.erase(it);
   }
 
-  const Fault* fault_of(std::size_t server, std::uint32_t copy, FaultKind kind) const {
+  const Fault* fault_of(std::size_t server, std::uint32_t balancer, FaultKind kind) const {
     for (const Fault& f : spec_.faults) {
-      if (f.kind == kind && now_ - kStart >= f.from && now_ - kStart < f.until && hits(f, server, copy))
+      if (f.kind == kind && now_ - kStart >= f.from && now_ - kStart < f.until && hits(f, server, balancer))
         return &f;
     }
     return nullptr;
@@ -554,7 +557,7 @@
     const auto attempt = static_cast<std::uint32_t>(open.attempts.size());
     open.attempts.push_back({static_cast<std::uint32_t>(to), now_, true, false, qu::Outcome::kUnknown});
     ++result_.attempts;
-    if (Asked* asked = asked_of(client_requests_[open.ask - 1])) ++asked->attempts;
+    if (RequestOutcomes* asked = outcomes_of(client_requests_[open.ask - 1])) ++asked->attempts;
     ++result_.sent[to];
     const auto second = static_cast<std::size_t>(now_ - kStart);
     auto& by_second = result_.sent_by_second[to];
@@ -567,16 +570,16 @@
       open.attempts[attempt].end = how;
       at(std::min(when, now_ + timeout), EventKind::kEnd, number, attempt);
     };
-    if (const Fault* f = fault_of(to, open.copy, FaultKind::kRefuse); f && s.connects++ % f->every == 0) {
+    if (const Fault* f = fault_of(to, open.balancer, FaultKind::kRefuse); f && s.connects++ % f->every == 0) {
       ++result_.dial_failed;
       return ends(now_ + spec_.refuse_time, qu::Outcome::kDialFailed);
     }
-    if (fault_of(to, open.copy, FaultKind::kCrash)) {
+    if (fault_of(to, open.balancer, FaultKind::kCrash)) {
       ++result_.dial_failed;
       return ends(now_ + spec_.refuse_time, qu::Outcome::kDialFailed);
     }
-    const std::uint64_t pair = (static_cast<std::uint64_t>(open.copy) << 32) | to;
-    const Fault* cut = fault_of(to, open.copy, FaultKind::kCut);
+    const std::uint64_t pair = (static_cast<std::uint64_t>(open.balancer) << 32) | to;
+    const Fault* cut = fault_of(to, open.balancer, FaultKind::kCut);
     if (cut != nullptr) {
       const auto kept = last_served_.find(pair);
       if (kept != last_served_.end() &&
@@ -585,19 +588,19 @@
         return;
       }
     }
-    if (s.collapsed || cut != nullptr || fault_of(to, open.copy, FaultKind::kHangConnect)) {
+    if (s.collapsed || cut != nullptr || fault_of(to, open.balancer, FaultKind::kHangConnect)) {
       ++result_.dial_failed;
       return ends(now_ + spec_.connect_timeout, qu::Outcome::kDialFailed);
     }
     at(now_ + timeout, EventKind::kTimeOut, number, attempt);
     run(open, attempt);
-    if (fault_of(to, open.copy, FaultKind::kSilent)) {
+    if (fault_of(to, open.balancer, FaultKind::kSilent)) {
       return;
     }
-    if (fault_of(to, open.copy, FaultKind::kReset)) {
+    if (fault_of(to, open.balancer, FaultKind::kReset)) {
       return ends(now_ + spec_.refuse_time, qu::Outcome::kReset);
     }
-    if (fault_of(to, open.copy, FaultKind::kError)) {
+    if (fault_of(to, open.balancer, FaultKind::kError)) {
       return ends(now_ + spec_.refuse_time, qu::Outcome::kError);
     }
     if (overloads_cold_server(s)) return;
@@ -650,9 +653,9 @@
     begin(at_server);
     const auto it = open_.find(number);
     if (it == open_.end()) return;
-    const std::uint32_t copy = it->second.copy;
-    const double way = zone_of(at_server) == zone_of(copy) ? 0 : 2 * spec_.between_zones;
-    const Fault* cut = fault_of(at_server, copy, FaultKind::kCut);
+    const std::uint32_t balancer = it->second.balancer;
+    const double way = zone_of(at_server) == zone_of(balancer) ? 0 : 2 * spec_.between_zones;
+    const Fault* cut = fault_of(at_server, balancer, FaultKind::kCut);
     if (cut == nullptr && way == 0) return end(number, attempt, qu::Outcome::kDelivered);
     Attempt& a = it->second.attempts[attempt];
     if (!a.open) return;
@@ -667,7 +670,7 @@
     if (!a.open) return;
     a.open = false;
     --servers_[a.server].held;
-    const std::uint64_t pair = (static_cast<std::uint64_t>(it->second.copy) << 32) | a.server;
+    const std::uint64_t pair = (static_cast<std::uint64_t>(it->second.balancer) << 32) | a.server;
     if (!spec_.faults.empty()) {
       if (how == qu::Outcome::kDelivered) {
         last_served_[pair] = now_;
@@ -678,7 +681,7 @@
     if (how == qu::Outcome::kDelivered && !it->second.answered) answer(it->second, &Counts::served);
     const bool done = it->second.answered;
     if (spec_.policy == Policy::kModule) {
-      tell(it->second.copy,
+      tell(it->second.balancer,
            qu::AttemptResult{std::to_string(number), static_cast<int>(attempt), how, now_ - a.sent, done});
     } else if (!done) {
       answer(it->second, &Counts::failed);
@@ -689,12 +692,12 @@
   const Spec& spec_;
   std::mt19937_64 random_;
   Result result_;
-  std::vector<qu::Balancer> copies_;
+  std::vector<qu::Balancer> balancers_;
   std::vector<Server> servers_;
   std::unordered_map<std::uint64_t, OpenRequest> open_;
   std::priority_queue<ScheduledEvent, std::vector<ScheduledEvent>, std::greater<>> event_queue_;
   std::vector<ClientRequest> client_requests_;
-  std::vector<CopyState> states_;
+  std::vector<BalancerState> balancer_states_;
   std::vector<double> weights_;  // cumulative traffic weights of the balancers; empty: even
   std::unordered_map<std::uint64_t, double>
       last_served_;  // by balancer and server: when a kept connection last delivered
--- a/emulator/fleet.h
+++ b/emulator/fleet.h
@@ -40,20 +40,20 @@
   FaultKind kind = FaultKind::kRefuse;
   double factor = 1;      // of kSlow
   std::size_t every = 1;  // of kRefuse: one in this many connection attempts is refused
-  int copy = -1;          // index of the only balancer affected; -1: all
-  // Override first, count and copy when not empty: by index, whether the server or balancer is affected.
-  std::vector<char> servers_hit = {}, copies_hit = {};
+  int balancer = -1;      // index of the only balancer affected; -1: all
+  // Override first, count and balancer when not empty: by index, whether the server or balancer is affected.
+  std::vector<char> affected_servers = {}, affected_balancers = {};
 };
 
 // A fault of a balancer's process.
-struct CopyFault {
+struct BalancerFault {
   enum class Kind {
     kPause,  // it is suspended, then handles all events that arrived meanwhile
     kKill    // it dies with its open requests; callers notice after a second; it restarts at `until`
   };
   Kind kind = Kind::kPause;
   double from = 0, until = 0;  // s
-  std::size_t copy = 0;
+  std::size_t balancer = 0;
 };
 
 // A multiple of the specified load that applies from `at` (s) on.
@@ -75,9 +75,9 @@
   std::vector<char> servers = {};  // overrides first and count when not empty: by index
 };
 
-// Specification of a simulated run. `copies` are the balancers.
+// Specification of a simulated run.
 struct Spec {
-  std::size_t servers = 10, copies = 1;
+  std::size_t servers = 10, balancers = 1;
   int cores = 2;       // of a server
   double work = 0.01;  // s on one core, mean
   WorkDraw draw = WorkDraw::kExponential;
@@ -87,7 +87,7 @@
   std::vector<LoadStep> steps;  // in order; before the first the factor is 1
   std::vector<Fault> faults;
   std::vector<ListChange> changes;
-  std::vector<CopyFault> copy_faults;
+  std::vector<BalancerFault> balancer_faults;
   double follow_after = -1;    // s after a balancer's death or return until the others divide the servers and
                                // allowances among the live ones; below 0: never
   std::vector<double> speeds;  // of the first servers, 1 where absent
@@ -123,14 +123,14 @@
 };
 
 // Outcomes of the requests, including all their tries, that were first made in one second in one zone.
-struct Asked {
+struct RequestOutcomes {
   std::uint64_t asked = 0, in_aim = 0, served = 0, tries = 0, attempts = 0;
   std::uint64_t refused = 0, failed = 0;  // outcome of the last try
   std::vector<float> latencies;           // s, of the served, from the first try
 };
 
 struct Result {
-  std::vector<std::vector<Asked>> requests;  // [second][zone]
+  std::vector<std::vector<RequestOutcomes>> requests;  // [second][zone]
   Counts all;
   std::vector<Counts> tenants;
   std::vector<Counts> seconds;                             // by whole second of arrival, from 0 on
--- a/emulator/grid.cpp
+++ b/emulator/grid.cpp
@@ -16,22 +16,22 @@
 std::string Cell::name() const {
   char text[96];
   std::snprintf(text, sizeof text, "work %gs aim x%g servers %zu copies %zu load %g", work, aim_part, servers,
-                copies, load);
+                balancers, load);
   return text;
 }
 
-std::vector<Cell> grid(double load, std::size_t calls, double per_copy) {
+std::vector<Cell> grid(double load, std::size_t calls, double per_balancer) {
   std::vector<Cell> out;
   for (const double work : {0.0003, 0.003, 0.03, 0.3, 3.0}) {
     for (const double aim : {3.0, 10.0, 100.0, 1000.0}) {
       for (const std::size_t servers : {1U, 10U, 100U, 1000U}) {
-        for (const std::size_t copies : {1U, 10U, 100U}) {
-          Cell cell{work, aim, servers, copies, load, 0, 0};
+        for (const std::size_t balancers : {1U, 10U, 100U}) {
+          Cell cell{work, aim, servers, balancers, load, 0, 0};
           const double rate = capacity(cell) * load;
           if (rate < 0.3 || rate > 1e5) continue;
           cell.count_from = 1;
           cell.seconds = std::max({4.0, static_cast<double>(calls) / rate, 60 * work,
-                                   per_copy * static_cast<double>(copies) / rate}) +
+                                   per_balancer * static_cast<double>(balancers) / rate}) +
                          cell.count_from;
           out.push_back(cell);
         }
@@ -44,7 +44,7 @@
 Spec spec_of(const Cell& cell, std::uint64_t seed) {
   Spec out;
   out.servers = cell.servers;
-  out.copies = cell.copies;
+  out.balancers = cell.balancers;
   out.cores = kCores;
   out.work = cell.work;
   out.aim = cell.work * cell.aim_part;
--- a/emulator/grid.h
+++ b/emulator/grid.h
@@ -12,15 +12,15 @@
 struct Cell {
   double work = 0;      // s
   double aim_part = 0;  // the latency target as a multiple of the work
-  std::size_t servers = 0, copies = 0;
+  std::size_t servers = 0, balancers = 0;
   double load = 0;  // of capacity
   double seconds = 0, count_from = 0;
   std::string name() const;
 };
 
 // The cells whose rate lies within 1 to 100,000 requests a second. `calls` is the number of requests to
-// simulate; each cell lasts at least 4 s and at least `per_copy` requests per balancer.
-std::vector<Cell> grid(double load, std::size_t calls, double per_copy);
+// simulate; each cell lasts at least 4 s and at least `per_balancer` requests per balancer.
+std::vector<Cell> grid(double load, std::size_t calls, double per_balancer);
 
 // Four tenants share the capacity evenly; above capacity the first one sends all of the excess.
 Spec spec_of(const Cell& cell, std::uint64_t seed);
--- a/lab/emulator_runner.cpp
+++ b/lab/emulator_runner.cpp
@@ -53,10 +53,10 @@
         fault.kind = fleet::FaultKind::kCut;
         fault.from = when.first;
         fault.until = when.second;
-        fault.servers_hit.resize(spec.servers);
-        fault.copies_hit.resize(spec.copies);
-        for (const std::size_t s : servers) fault.servers_hit[s] = 1;
-        for (const std::size_t c : together) fault.copies_hit[c] = 1;
+        fault.affected_servers.resize(spec.servers);
+        fault.affected_balancers.resize(spec.balancers);
+        for (const std::size_t s : servers) fault.affected_servers[s] = 1;
+        for (const std::size_t c : together) fault.affected_balancers[c] = 1;
         spec.faults.push_back(fault);
       }
     }
@@ -71,7 +71,7 @@
 fleet::Spec emulator_spec(const Setup& setup, std::uint64_t seed) {
   fleet::Spec out;
   out.servers = setup.servers;
-  out.copies = setup.nodes;
+  out.balancers = setup.nodes;
   out.cores = setup.cores;
   out.work = setup.service_time;
   out.draw = setup.work_distribution == "fixed"     ? fleet::WorkDraw::kFixed
@@ -122,18 +122,18 @@
     }
     switch (who.role) {
       case si::Role::kNode: {
-        fleet::CopyFault fault;
+        fleet::BalancerFault fault;
         fault.from = f.at;
         fault.until = f.verb == "restart" ? f.at + kRestartSeconds : until;
-        fault.copy = f.who;
+        fault.balancer = f.who;
         if (f.verb == "pause") {
-          fault.kind = fleet::CopyFault::Kind::kPause;
+          fault.kind = fleet::BalancerFault::Kind::kPause;
         } else if (f.verb == "kill" || f.verb == "restart") {
-          fault.kind = fleet::CopyFault::Kind::kKill;
+          fault.kind = fleet::BalancerFault::Kind::kKill;
         } else {
           throw UnsupportedSetup("the emulator does not support '" + f.verb + "' for nodes");
         }
-        out.copy_faults.push_back(fault);
+        out.balancer_faults.push_back(fault);
         break;
       }
       case si::Role::kServer: {
@@ -199,7 +199,7 @@
   std::vector<float> all;
   for (std::size_t second = 0; second < static_cast<std::size_t>(std::ceil(setup.seconds)); ++second) {
     for (std::size_t zone = 0; zone < setup.zones.size(); ++zone) {
-      fleet::Asked& a = played.requests[second][zone];
+      fleet::RequestOutcomes& a = played.requests[second][zone];
       out.series.push_back({static_cast<int>(second), setup.zones[zone], a.asked, a.in_aim, a.refused,
                             a.failed, 1000 * quantile(a.latencies, 0.99)});
       if (static_cast<double>(second) < setup.count_from) continue;
--- a/tests/acceptance/ramp_test.cpp
+++ b/tests/acceptance/ramp_test.cpp
@@ -48,7 +48,7 @@
 Spec spec_of(const Scenario& scenario, std::uint64_t seed) {
   Spec spec;
   spec.seed = seed;
-  spec.copies = scenario.copies;
+  spec.balancers = scenario.copies;
   spec.servers = scenario.servers;
   spec.cores = 2;
   spec.work = scenario.work;
@@ -74,7 +74,7 @@
   spec.changes = {away, back};
   for (std::size_t copy = 0; scenario.kills && copy < scenario.copies; copy += 3) {
     const double at = kRestartSeconds + 0.2 + 0.1 * static_cast<double>(copy);
-    spec.copy_faults.push_back({CopyFault::Kind::kKill, at, at + 0.3, copy});
+    spec.balancer_faults.push_back({BalancerFault::Kind::kKill, at, at + 0.3, copy});
   }
   return spec;
 }
@@ -106,7 +106,7 @@
   const Scenario& scenario = GetParam();
   Spec spec = spec_of(scenario, 1);
   spec.policy = Policy::kLeastBusy;
-  spec.copy_faults.clear();  // this policy has no separate balancers
+  spec.balancer_faults.clear();  // this policy has no separate balancers
   EXPECT_GT(worst_of(scenario, spec, play(spec)), 0);
 }
 
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -28,7 +28,7 @@
   out.work = work;
   out.aim = aim;
   out.give_up = 2.5 * aim;
-  out.copies = copies;
+  out.balancers = copies;
   out.draw = WorkDraw::kUniform;
   const double capacity = static_cast<double>(servers) * 2 / work;
   for (int i = 0; i < 4; ++i) out.tenants.push_back({capacity / 4, capacity * load / 4});
@@ -256,7 +256,7 @@
 TEST(Faults, AServerThatRefusesOneCopyAloneServesTheOthers) {
   Spec spec = fleet_of(4, 0.01, 2, 0.3, 4);
   spec.faults = {{5, 10, 0, 1, FaultKind::kRefuse}};
-  spec.faults[0].copy = 0;
+  spec.faults[0].balancer = 0;
   const Result r = play_and_check_rules(spec);
   EXPECT_GE(served(r, 1, 15), 0.995);
   EXPECT_GT(r.sent_by_second[0][8] * 2, r.sent_by_second[1][8]) << "three of four balancers still use it";
@@ -308,7 +308,7 @@
   Spec& s = out.spec;
   s.seed = seed;
   s.servers = 1 + below(60);
-  s.copies = 1 + below(30);
+  s.balancers = 1 + below(30);
   s.cores = std::vector{1, 2, 4, 16}[below(4)];
   s.work = spread(0.0003, 0.5);
   s.aim = s.work * spread(5, 200);
@@ -328,7 +328,7 @@
     f.kind = static_cast<FaultKind>(below(6));
     f.factor = spread(2, 100);
     f.every = unit() < 0.3 ? 2 + below(3) : 1;
-    f.copy = unit() < 0.3 ? static_cast<int>(below(s.copies)) : -1;
+    f.balancer = unit() < 0.3 ? static_cast<int>(below(s.balancers)) : -1;
     // Calls that a slow server has begun still take their time.
     const double goes_on = f.kind == FaultKind::kSlow ? 4 * f.factor * s.work : 0;
     last = std::max(last, f.until + goes_on);
@@ -354,9 +354,9 @@
 }
 
 std::string describe(const Spec& s) {
-  std::string out = std::to_string(s.servers) + " servers, " + std::to_string(s.copies) + " copies, work " +
-                    std::to_string(s.work) + ", aim " + std::to_string(s.aim) + ", effect " +
-                    std::to_string(static_cast<int>(s.effect));
+  std::string out = std::to_string(s.servers) + " servers, " + std::to_string(s.balancers) +
+                    " copies, work " + std::to_string(s.work) + ", aim " + std::to_string(s.aim) +
+                    ", effect " + std::to_string(static_cast<int>(s.effect));
   for (const Fault& f : s.faults) {
     out += ", fault " + std::to_string(static_cast<int>(f.kind)) + " of " + std::to_string(f.count) +
            " from " + std::to_string(f.from) + " until " + std::to_string(f.until);
@@ -420,7 +420,7 @@
 TEST(Returns, AThirdThatReturnsColdCarriesWhatItCan) {
   Spec spec;
   spec.servers = 220;
-  spec.copies = 50;
+  spec.balancers = 50;
   spec.aim = 0.5;
   spec.give_up = 1;
   const double capacity = static_cast<double>(spec.servers) * spec.cores / spec.work;
--- a/tests/lab/emulator_test.cpp
+++ b/tests/lab/emulator_test.cpp
@@ -144,7 +144,7 @@
 
 fleet::Spec fleet_of(std::size_t copies, std::size_t servers, double load) {
   fleet::Spec out;
-  out.copies = copies;
+  out.balancers = copies;
   out.servers = servers;
   out.zones = 2;
   out.between_zones = 0.001;
@@ -157,11 +157,11 @@
   return out;
 }
 
-std::uint64_t total(const fleet::Result& r, std::uint64_t fleet::Asked::*what, std::size_t from,
+std::uint64_t total(const fleet::Result& r, std::uint64_t fleet::RequestOutcomes::*what, std::size_t from,
                     std::size_t until) {
   std::uint64_t out = 0;
   for (std::size_t s = from; s < until; ++s) {
-    for (const fleet::Asked& zone : r.requests[s]) out += zone.*what;
+    for (const fleet::RequestOutcomes& zone : r.requests[s]) out += zone.*what;
   }
   return out;
 }
@@ -169,9 +169,11 @@
 TEST(Fleet, ClientsComeAgainAndEachRequestCountsOnce) {
   fleet::Spec spec = fleet_of(4, 8, 1.6);
   const fleet::Result r = fleet::play(spec);
-  const auto asked = total(r, &fleet::Asked::asked, 0, 13), tries = total(r, &fleet::Asked::tries, 0, 13);
-  EXPECT_EQ(asked, total(r, &fleet::Asked::served, 0, 13) + total(r, &fleet::Asked::refused, 0, 13) +
-                       total(r, &fleet::Asked::failed, 0, 13));
+  const auto asked = total(r, &fleet::RequestOutcomes::asked, 0, 13),
+             tries = total(r, &fleet::RequestOutcomes::tries, 0, 13);
+  EXPECT_EQ(asked, total(r, &fleet::RequestOutcomes::served, 0, 13) +
+                       total(r, &fleet::RequestOutcomes::refused, 0, 13) +
+                       total(r, &fleet::RequestOutcomes::failed, 0, 13));
   EXPECT_GT(tries, asked * 11 / 10);
   EXPECT_LE(tries, asked * 3);
   EXPECT_EQ(r.unanswered, 0U);
@@ -179,24 +181,27 @@
 
 TEST(Fleet, KeepsTheRulesWhileCopiesStandAndDieAndZonesAreCut) {
   fleet::Spec spec = fleet_of(6, 12, 0.5);
-  spec.copy_faults = {{fleet::CopyFault::Kind::kPause, 2, 2.7, 0}, {fleet::CopyFault::Kind::kKill, 3, 5, 1}};
+  spec.balancer_faults = {{fleet::BalancerFault::Kind::kPause, 2, 2.7, 0},
+                          {fleet::BalancerFault::Kind::kKill, 3, 5, 1}};
   fleet::Fault cut;
   cut.kind = fleet::FaultKind::kCut;
   cut.from = 6;
   cut.until = 8;
-  cut.servers_hit.resize(spec.servers);
-  cut.copies_hit.resize(spec.copies);
-  for (std::size_t i = 0; i < spec.servers; ++i) cut.servers_hit[i] = i % 2 == 0;
-  for (std::size_t i = 0; i < spec.copies; ++i) cut.copies_hit[i] = i % 2 == 1;
+  cut.affected_servers.resize(spec.servers);
+  cut.affected_balancers.resize(spec.balancers);
+  for (std::size_t i = 0; i < spec.servers; ++i) cut.affected_servers[i] = i % 2 == 0;
+  for (std::size_t i = 0; i < spec.balancers; ++i) cut.affected_balancers[i] = i % 2 == 1;
   spec.faults = {cut};
   const fleet::Result r = fleet::play(spec);
   EXPECT_EQ(r.unanswered, 0U);
   EXPECT_EQ(r.repeats_run, 0U);
   EXPECT_EQ(r.fallen_over, 0U);
-  EXPECT_GT(total(r, &fleet::Asked::served, 9, 12), total(r, &fleet::Asked::asked, 9, 12) * 99 / 100)
+  EXPECT_GT(total(r, &fleet::RequestOutcomes::served, 9, 12),
+            total(r, &fleet::RequestOutcomes::asked, 9, 12) * 99 / 100)
       << "recovered";
   // Callers of a killed balancer fail for a second and then use another one.
-  EXPECT_GT(total(r, &fleet::Asked::served, 4, 5), total(r, &fleet::Asked::asked, 4, 5) * 95 / 100);
+  EXPECT_GT(total(r, &fleet::RequestOutcomes::served, 4, 5),
+            total(r, &fleet::RequestOutcomes::asked, 4, 5) * 95 / 100);
 }
 
 TEST(Fleet, AZoneThatCrashesTakesItsServersAlone) {
@@ -205,13 +210,14 @@
   crash.kind = fleet::FaultKind::kCrash;
   crash.from = 3;
   crash.until = 6;
-  crash.servers_hit.resize(spec.servers);
-  for (std::size_t i = 0; i < spec.servers; ++i) crash.servers_hit[i] = i % 2 == 0;
+  crash.affected_servers.resize(spec.servers);
+  for (std::size_t i = 0; i < spec.servers; ++i) crash.affected_servers[i] = i % 2 == 0;
   spec.faults = {crash};
   const fleet::Result r = fleet::play(spec);
   EXPECT_GT(r.dial_failed, 0U);
   EXPECT_EQ(r.repeats_run, 0U);
-  EXPECT_GT(total(r, &fleet::Asked::served, 4, 6), total(r, &fleet::Asked::asked, 4, 6) * 95 / 100);
+  EXPECT_GT(total(r, &fleet::RequestOutcomes::served, 4, 6),
+            total(r, &fleet::RequestOutcomes::asked, 4, 6) * 95 / 100);
 }
 
 }  // namespace
