--- a/tests/forms/httplib_service.cpp
+++ b/tests/forms/httplib_service.cpp
@@ -38,19 +38,19 @@
   std::thread listening([&] { server.listen_after_bind(); });
   nt::log_line("listening on " + host + ":" + std::to_string(port));
 
-  double began = 0;
+  double drain_started = 0;
   bool accepting = true;
   while (true) {
-    const timespec look{0, 20'000'000};
-    const int signal = sigtimedwait(&signals, nullptr, &look);
+    const timespec poll_interval{0, 20'000'000};
+    const int signal = sigtimedwait(&signals, nullptr, &poll_interval);
     if (signal == SIGHUP) nt::reload(*gateway);
     if ((signal == SIGTERM || signal == SIGINT) && !draining) {
       draining = true;  // set before the log line, on which tests wait
-      began = ns::now();
+      drain_started = ns::now();
       nt::log_line("draining");
     }
     if (!draining) continue;
-    const double since = ns::now() - began;
+    const double since = ns::now() - drain_started;
     if (!plan.accepts_connections(since) && std::exchange(accepting, false)) server.stop();
     if (plan.closes_connections(since)) server.drain();
     if (plan.expires_open_requests(since)) gateway->expire_all();
--- a/tests/forms/restinio_service.cpp
+++ b/tests/forms/restinio_service.cpp
@@ -22,7 +22,7 @@
 class Service {
  public:
   explicit Service(const ns::Config& config)
-      : plan_(nt::plan_of(config)), gateway_(open(config)), look_(loop_) {
+      : plan_(nt::plan_of(config)), gateway_(open(config)), drain_timer_(loop_) {
     binding_ = std::make_shared<ns::restinio::GatewayBinding>(*gateway_);
     // Accepts no more connections than the daemon, so that descriptors remain for servers.
     server_ = std::make_unique<restinio::http_server_t<Traits>>(
@@ -52,10 +52,10 @@
       if (error) return;
       log_line("draining");
       draining_ = true;
-      began_ = ns::now();
-      look();
+      drain_started_ = ns::now();
+      check_drain();
     });
-    await_reload();
+    await_reload_signal();
     loop_.run();
   }
 
@@ -85,16 +85,16 @@
     return request->create_response(restinio::status_not_found()).done();
   }
 
-  void await_reload() {
+  void await_reload_signal() {
     reload_.async_wait([this](const auto& error, int) {
       if (error) return;
-      await_reload();
+      await_reload_signal();
       nt::reload(*gateway_);
     });
   }
 
-  void look() {
-    const double since = ns::now() - began_;
+  void check_drain() {
+    const double since = ns::now() - drain_started_;
     if (!plan_.accepts_connections(since) && std::exchange(accepting_, false)) server_->close_sync();
     if (plan_.closes_connections(since)) binding_->drain();
     if (plan_.expires_open_requests(since)) gateway_->expire_all();
@@ -102,9 +102,9 @@
       log_line("drained");
       return loop_.stop();
     }
-    look_.expires_after(std::chrono::milliseconds(20));
-    look_.async_wait([this](const auto& error) {
-      if (!error) look();
+    drain_timer_.expires_after(std::chrono::milliseconds(20));
+    drain_timer_.async_wait([this](const auto& error) {
+      if (!error) check_drain();
     });
   }
 
@@ -114,10 +114,10 @@
   std::shared_ptr<ns::restinio::GatewayBinding> binding_;
   std::unique_ptr<restinio::http_server_t<Traits>> server_;
   asio::signal_set signals_{loop_, SIGTERM, SIGINT}, reload_{loop_, SIGHUP};
-  asio::steady_timer look_;
+  asio::steady_timer drain_timer_;
   std::string address_;
   bool draining_ = false, accepting_ = true;
-  double began_ = 0;
+  double drain_started_ = 0;
 };
 
 }  // namespace
