--- a/tests/forms/httplib_service.cpp
+++ b/tests/forms/httplib_service.cpp
@@ -1,5 +1,5 @@
-// An application that embeds a gateway on a thread of its own: its own cpp-httplib server, with /api for the
-// gateway and /healthz and /own for itself. It is told, signalled and judged as the daemon is.
+// Test application that embeds a gateway on a separate thread: a cpp-httplib server that passes /api to the
+// gateway and serves /healthz and /own itself. Configuration, signals and tests are those of the daemon.
 #include <csignal>
 #include <thread>
 
@@ -38,26 +38,26 @@
   std::thread listening([&] { server.listen_after_bind(); });
   nt::log_line("listening on " + host + ":" + std::to_string(port));
 
-  double began = 0;
+  double drain_started = 0;
   bool accepting = true;
   while (true) {
-    const timespec look{0, 20'000'000};
-    const int signal = sigtimedwait(&signals, nullptr, &look);
+    const timespec poll_interval{0, 20'000'000};
+    const int signal = sigtimedwait(&signals, nullptr, &poll_interval);
     if (signal == SIGHUP) nt::reload(*gateway);
     if ((signal == SIGTERM || signal == SIGINT) && !draining) {
-      draining = true;  // before it says so
-      began = ns::now();
+      draining = true;  // set before the log line, on which tests wait
+      drain_started = ns::now();
       nt::log_line("draining");
     }
     if (!draining) continue;
-    const double since = ns::now() - began;
+    const double since = ns::now() - drain_started;
     if (!plan.accepts_connections(since) && std::exchange(accepting, false)) server.stop();
     if (plan.closes_connections(since)) server.drain();
     if (plan.expires_open_requests(since)) gateway->expire_all();
     if (plan.is_finished(since, server.connections() > 0)) break;
   }
   nt::log_line("drained");
-  std::_Exit(0);  // what is still open ends with the process
+  std::_Exit(0);  // connections that are still open end with the process
 }
 
 }  // namespace
