--- a/core/engine.cpp
+++ b/core/engine.cpp
@@ -18,9 +18,9 @@
 // A client's time runs from its sending until the answer's last byte has arrived; this much of it is reserved
 // for the network and for a busy moment of this process.
 constexpr double kNetworkReserveSeconds = 0.025;
-constexpr double kMaxReserveFraction = 0.25;      // of the timeout
-constexpr double kDeadlineReserveFraction = 0.4;  // of the reserve, kept after the node's own deadline
-constexpr double kFirstListWaitSeconds = 1;  // how long a node with last known servers waits for a newer list
+constexpr double kMaxReserveFraction = 0.25;      // fraction of the timeout reserved at most
+constexpr double kDeadlineReserveFraction = 0.4;  // fraction of the reserve kept after the node's deadline
+constexpr double kFirstListWaitSeconds = 1;  // seconds that a node with last known servers waits for newer
 
 // The decision module's request ids are the engine's numbers.
 std::uint64_t number_of(const std::string& id) {
@@ -123,7 +123,7 @@
   withdraw_attempts(request);
 }
 
-// Ends a request that the decision module has not ended in time: the client gets a final answer anyway.
+// Ends a request, with a final answer to its client, that the decision module has not ended in time.
 void Engine::expire(std::uint64_t request, Reply::Kind kind) {
   OpenRequest* entry = find(request);
   if (entry == nullptr || !entry->caller) return;
@@ -235,8 +235,8 @@
   }
 }
 
-// The only way to a final answer: whoever takes the caller answers it, and later ones find none. The answer
-// comes last of all, as the caller may submit its next request in it.
+// Ensures a single final answer: the code that takes the caller answers it, and later code finds none. The
+// answer is given last, as the caller may submit its next request from within answered().
 std::shared_ptr<Caller> Engine::take_caller(OpenRequest& entry) {
   if (!entry.caller) return nullptr;
   --open_count_;
--- a/src/admission/tenant_limit.h
+++ b/src/admission/tenant_limit.h
@@ -55,12 +55,12 @@
   double cached_ = 0, cached_until_ = -std::numeric_limits<double>::infinity();
 };
 
-constexpr double kReviewSeconds = 1;   // between changes of a limit at least: a feedback delay
-constexpr double kMinReviewCalls = 5;  // ended calls; fewer say nothing about a tenant
-constexpr double kDropRatio = 0.1;     // of ended calls; with more bad ones a limit drops
-constexpr double kRiseRatio = 0.03;    // of ended calls; with fewer bad ones a limit may rise
-constexpr double kDropFactor = 0.75;   // x the limit, per drop
-constexpr double kRiseFraction = 0.1;  // of the limit, per rise; of traffic worth less, in proportion
+constexpr double kReviewSeconds = 1;   // seconds between changes of a limit, at least: a feedback delay
+constexpr double kMinReviewCalls = 5;  // ended calls per review: fewer say nothing about a tenant
+constexpr double kDropRatio = 0.1;     // fraction of ended calls: with more bad ones a limit drops
+constexpr double kRiseRatio = 0.03;    // fraction of ended calls: with no more bad ones a limit may rise
+constexpr double kDropFactor = 0.75;   // x the limit: new limit after a drop
+constexpr double kRiseFraction = 0.1;  // fraction of the limit added per rise; less for traffic worth less
 
 // A tenant's rate limit, adapted by how its calls end.
 struct LearnedLimit {
--- a/src/answer_progress.h
+++ b/src/answer_progress.h
@@ -8,11 +8,11 @@
 
 namespace quinceusher {
 
-constexpr double kMaxQuiet = 0.25;  // of the remaining time; an answer that pauses for longer has stalled
-constexpr double kRecheck = 0.125;  // of the remaining time until the next check
-constexpr double kMinBytesPerSecond = 1000;  // of an answer of unknown length
-constexpr double kMaxLateness = 1.5;         // x the remaining time; slower answers are dropped for a retry
-constexpr double kMaxLatenessNoRetry = 4;    // x the remaining time, where no retry is possible
+constexpr double kMaxQuiet = 0.25;  // fraction of the remaining time: a longer pause means a stalled answer
+constexpr double kRecheck = 0.125;  // fraction of the remaining time: interval between checks of an answer
+constexpr double kMinBytesPerSecond = 1000;  // bytes/s: slower answers of unknown length are given up
+constexpr double kMaxLateness = 1.5;         // x the remaining time: slower answers are dropped for a retry
+constexpr double kMaxLatenessNoRetry = 4;  // x the remaining time: limit for an answer that can't be retried
 
 // Seconds until the next check of an answer; 0: give it up. `remaining`: how long it is useful;
 // `first_byte_limit`: how long the first byte of such an answer may take. Where the request can't be
--- a/src/balancer.cpp
+++ b/src/balancer.cpp
@@ -15,54 +15,55 @@
 namespace quinceusher {
 namespace {
 
-constexpr double kMinBucket = 0.1;  // s; grain of the sliding window: a tenth of the short rate's second
-constexpr int kMinBuckets = 15;     // 1.5 s: an empty window admits this much of the limit at once
-constexpr int kMaxBuckets = 80;     // 8 s; a longer window has larger buckets
-constexpr double kMaxWindow = 600;  // s; with fewer calls than a window in this, none can be counted
-constexpr double kMinAcceptedCalls = 10;   // per window; so few occur by chance, whatever the limit
-constexpr double kTargetWindowCalls = 15;  // per window where possible: fewer are noise
-constexpr int kLastSecondBuckets = 10;     // 1000 ms, the short rate of the source algorithm
-constexpr double kHardLimitFactor = 20;    // denied calls count too, so only a real flood is denied entirely
-constexpr double kFactorCache = 0.1;       // s; as in the source algorithm
-constexpr double kInitialLimitFactor = 1.2;  // x allowance; the first step above it is learned
-constexpr double kFloorFactor = 1.2;         // x allowance; headroom for uneven shares of a tenant's calls
-constexpr double kSparseInitialFactor = 4;   // x allowance; by chance few calls come several at a time
-constexpr double kSparseFloorFactor = 0.15;  // x allowance; a backlog that nothing else stops must drain
-constexpr double kInnerFloorFactor = 6;      // x allowance past tier 0: a refusal there wastes work
-constexpr double kMinFloorRate = 2;          // calls/s over all balancers; lowest floor of a limit
-constexpr double kCrowding = 0.05;           // of admitted calls; more beyond the shares crowd others out
-constexpr double kInTime = 0.6;  // of the aim; slower answers reveal queues before the aim is missed
-
-constexpr std::size_t kMinSubsetSize = 8;  // servers; enough spread, few connections
-constexpr std::size_t kMinBalancers = 2;   // per server; so where balancers are few, their subsets are large
-constexpr double kRemoteWeightFactor = 0.25;  // over the price: weight per excess of the ratio's power
-constexpr double kZoneNoise = 2.5;            // of that power; a zone may be a quarter slower by chance
-constexpr double kZoneExponent = 4;           // how strongly the zones' latencies shift that weight
-constexpr double kZoneSamples = 30;           // calls; a zone's mean is steadier than one server's
-constexpr double kColdBudgetFactor = 1.5;  // x sure capacity: others run at part load, the rules allow more
-constexpr double kManyColdFactor = 2;  // x the sure capacity, if most of the tier is cold and answers quickly
-constexpr double kColdCheckSeconds = 0.25;  // between checks of how much of the tier is cold
-constexpr double kRateMemory = 5;           // s; smoothing of the rates that size the budgets of cold servers
-
-constexpr double kPriorAnswers = 2;    // calls; a server with this many answers counts as half known
-constexpr double kMinLatency = 0.5;    // x the tier's latency; a few lucky answers draw no crowd
-constexpr double kFailureLatency = 8;  // x the tier's latency; what a call without an answer counts as
-constexpr double kUnhealthyRatio = 3;  // x the tier's latency; from here on a server is avoided
-
-constexpr double kDedupWindowFraction = 0.95;  // of a dedup window: the rest is for the way to the server
-constexpr double kLateDeviations = 6;  // standard deviations over the mean latency, then an attempt is late
-constexpr double kMinLateFraction = 0.05;  // of the aim; no attempt is late before
-constexpr double kMaxLateAim = 60;         // s; cap on the aim in that, for classes with hardly any
-constexpr double kRetryBudgetRatio = 0.2;  // retries per first attempt
-constexpr double kMaxRetryBudget = 5;      // retries saved up
-constexpr double kRedialBudgetRatio = 1;   // the same after attempts that reached no server: nothing
-constexpr double kMaxRedialBudget = 20;    // ran and nobody was burdened
-constexpr std::size_t kMaxFullScan = 32;   // servers; up to this many are all examined,
-constexpr std::size_t kMaxSamples = 16;    // of more only this many at random,
-constexpr std::size_t kEnoughFound = 4;    // until so many usable ones are found
-constexpr double kMinBackoff = 0.5;        // s; before the first retry of the watch, then doubled
-constexpr double kMaxBackoff = 4;  // s; lists count as known after 6, a call takes 2; less floods discovery
-constexpr std::uint64_t kWatchTimer = 0;
+constexpr double kMinBucket = 0.1;  // seconds per bucket of a window, at least: a tenth of the short rate's
+constexpr int kMinBuckets = 15;  // buckets of the shortest window: 1.5 s of the limit pass at once if empty
+constexpr int kMaxBuckets = 80;  // buckets of a window; beyond 8 s the buckets become larger
+constexpr double kMaxWindow = 600;  // seconds in the longest window; calls that are rarer can't be counted
+constexpr double kMinAcceptedCalls = 10;   // accepted calls per window: so few occur by chance at any limit
+constexpr double kTargetWindowCalls = 15;  // calls per window, where possible: with fewer its rate is noise
+constexpr int kLastSecondBuckets = 10;     // buckets of the short rate: 1000 ms, as in the source algorithm
+constexpr double kHardLimitFactor = 20;  // x the limit: all is denied; denied calls count, so only in floods
+constexpr double kFactorCache = 0.1;  // seconds that a suppression factor is kept: as in the source algorithm
+constexpr double kInitialLimitFactor = 1.2;  // x the tenant's share: initial limit, and end of its fast rise
+constexpr double kFloorFactor = 1.2;  // x the tenant's share: lowest limit, as its calls spread unevenly
+constexpr double kSparseInitialFactor = 4;   // x the share: initial limit for few calls, which come in groups
+constexpr double kSparseFloorFactor = 0.15;  // x the share: lowest limit for few calls; a backlog must drain
+constexpr double kInnerFloorFactor = 6;  // x the share: lowest limit past tier 0, where a refusal wastes work
+constexpr double kMinFloorRate = 2;      // calls/s over all balancers: lowest limit of any tenant
+constexpr double kCrowding = 0.05;  // fraction of admitted calls: more beyond the shares crowd others out
+constexpr double kInTime = 0.6;     // fraction of the aim: a slower answer counts as bad, as it shows a queue
+
+constexpr std::size_t kMinSubsetSize = 8;  // servers per subset, at least: enough spread, few connections
+constexpr std::size_t kMinBalancers = 2;   // balancers per server, at least: few balancers have large subsets
+constexpr double kRemoteWeightFactor = 0.25;  // x (excess over kZoneNoise / price): other zones' weight
+constexpr double kZoneNoise = 2.5;   // (latency ratio)^kZoneExponent within chance: a zone a quarter slower
+constexpr double kZoneExponent = 4;  // power of the zones' latency ratio that sets the other zones' weight
+constexpr double kZoneSamples = 30;  // calls in a zone's mean latency, which is steadier than one server's
+constexpr double kColdBudgetFactor = 1.5;  // x the sure capacity of a cold server: others run at part load
+constexpr double kManyColdFactor = 2;  // x a cold server's sure capacity if most servers are cold but quick
+constexpr double kColdCheckSeconds = 0.25;  // seconds between checks of how much of the tier is cold
+constexpr double kRateMemory = 5;  // seconds of smoothing of the rates that size the budgets of cold servers
+
+constexpr double kPriorAnswers = 2;    // answers assumed at the tier's latency: as many real ones weigh half
+constexpr double kMinLatency = 0.5;    // x the tier's latency: lowest estimate; lucky answers draw no crowd
+constexpr double kFailureLatency = 8;  // x the tier's latency: what a call without an answer counts as
+constexpr double kUnhealthyRatio = 3;  // x the tier's latency: a server this slow is avoided
+
+constexpr double kDedupWindowFraction = 0.95;  // fraction of a dedup window to send in; the rest is travel
+constexpr double kLateDeviations = 6;      // deviations above the mean latency from which an attempt is late
+constexpr double kMinLateFraction = 0.05;  // fraction of the aim: no attempt is late before
+constexpr double kMaxLateAim = 60;  // seconds: cap on the aim for kMinLateFraction, as an aim may be infinite
+constexpr double kRetryBudgetRatio = 0.2;  // retries earned per first attempt
+constexpr double kMaxRetryBudget = 5;      // retries that can be saved up
+constexpr double kRedialBudgetRatio = 1;   // retries per first attempt where nothing ran: these burden nobody
+constexpr double kMaxRedialBudget = 20;    // retries that can be saved up for attempts of which nothing ran
+constexpr std::size_t kMaxFullScan = 32;   // servers: up to so many are all examined for a choice
+constexpr std::size_t kMaxSamples = 16;  // servers examined at random where there are more than kMaxFullScan
+constexpr std::size_t kEnoughFound = 4;  // usable servers that end a random search
+constexpr double kMinBackoff = 0.5;  // seconds before the first retry of the watch; doubles with each failure
+// Most seconds between watch retries: lists count as known after 6, a call takes 2; less floods discovery.
+constexpr double kMaxBackoff = 4;
+constexpr std::uint64_t kWatchTimer = 0;  // token of the timer that retries the watch
 
 constexpr double kInfinity = std::numeric_limits<double>::infinity();
 
@@ -132,7 +133,7 @@
     return t.window.admit(now_, parameters(), t.limit, random_);
   }
 
-  // Whether a call is within its tenant's share; a random choice above it. The others are the first to wait.
+  // Whether a call is within its tenant's share; a random choice above it. The other calls are refused first.
   bool is_within_share(const TenantState& t) {
     const SlidingWindow::Sums sums = t.window.sums(now_);
     const double accepted = sums.total - sums.declined, share = t.share * window_s_;
@@ -274,8 +275,7 @@
     return in_dedup_scope(p, s) && has_cold_budget(s);
   }
 
-  // Collects usable servers of the `size` that `at` yields, of many a sample; returns whether half were
-  // usable.
+  // Collects usable servers of the `size` that `at` yields, or of a sample; returns whether half were usable.
   template <class At>
   bool collect(std::size_t size, At&& at, const Pending& p, bool only_healthy, bool only_untried) {
     candidates_.clear();
@@ -453,7 +453,7 @@
     const double useful = c.late_worth > 0 ? r.time_left : std::min(r.time_left, aim - 2 * settings_.tick);
     p.useful_until = now_ + useful;
     if (send(r.id, p)) return;
-    // A limit without a configured share would drop by refusals that are this balancer's own.
+    // Without a configured share, a balancer's own refusals would push the tenant's limit down.
     if (!capacity_.is_sparse(now_) && useful > 0 && tenants_[tenant].share > 0)
       review(tenants_[tenant], true);
     count_shed(shedding_.unplaced);
@@ -563,7 +563,7 @@
     if (full) servers_.end_full_list();
     servers_.commit();
     update_subset();
-    // Where others are gone, the last cold server would get all their traffic as its usual share.
+    // By the largest recent weight: a cold server's share must not grow because other servers are gone.
     const double weight = servers_.ready_weight();
     if (weight >= recent_max_weight_ || now_ - recent_max_at_ > settings_.ramp_time) {
       recent_max_weight_ = weight;
@@ -572,7 +572,7 @@
     first_list_at_ = std::min(first_list_at_, now_);
   }
 
-  // The subset follows the number of balancers; allowances and learned limits follow their sharers.
+  // The count of all balancers sizes the subset; the count that shares the allowances scales the limits.
   void on(const BalancersChanged& c) {
     if (c.index < 0 || c.index >= c.count || !(c.sharers >= 1)) return;
     settings_.copy_index = c.index;
@@ -600,7 +600,7 @@
   OutlierDetector outliers_;
   std::array<RingRange, 2> subset_;  // of the own zone or of all servers, and of the other zones
   WeightedChoice candidates_;        // usable servers with their effective weights
-  bool prefers_own_zone_ = false;    // calls to other zones cost more
+  bool prefers_own_zone_ = false;    // there are own servers, and crossing zones has a price
   DecayingMean own_latency_{kLatencyMemory, kZoneSamples}, remote_latency_{kLatencyMemory, kZoneSamples};
   double remote_weight_ = 0;
   double server_sharers_ = 1;                        // balancers that use the same server
@@ -610,7 +610,7 @@
   double next_cold_check_ = -kInfinity;
   double first_list_at_ = kInfinity;
   double recent_max_weight_ = 0, recent_max_at_ = -kInfinity;  // the largest ready weight of late
-  bool many_cold_ = false;                                     // by weight, of the tier
+  bool many_cold_ = false;                                     // more than half of the ready weight is cold
   double retry_tokens_ = kMaxRetryBudget, redial_tokens_ = kMaxRedialBudget;
   double backoff_ = kMinBackoff;
   SheddingLog shedding_;
--- a/src/capacity.h
+++ b/src/capacity.h
@@ -15,39 +15,39 @@
 
 namespace quinceusher {
 
-constexpr double kQueueFactor = 1.5;  // x the latency of an idle tier; longer queues get no call
-constexpr double kShortQueue = 0.2;   // of the aim; shorter queues are ignored
-constexpr double kMaxAimRatio = 3;  // x its aim; a class whose aim is further below the mean goes by its own
-constexpr double kBurstDeviations = 3;  // standard deviations; calls come at random, many at one moment
-constexpr double kMaxBurst = 0.7;       // of the aim; a random burst must be answered within it too
-
-constexpr double kMinServerCapacity = 2;     // calls in flight over all balancers, of any server
-constexpr double kInitialCapacity = 6;       // and more while nothing is measured
-constexpr double kMeasuringCalls = 60;       // calls that measure a server
-constexpr double kFullyMeasured = 8;         // x those calls, after which no initial capacity is left
-constexpr double kStartFade = 0.5;           // of the aim; slower answers reduce the initial capacity,
-constexpr double kStartEnd = 0.7;            // of the aim; and these end it
-constexpr double kTierMemoryAnswers = 32;    // answers that make a rate, at least
-constexpr double kServerMemoryAnswers = 16;  // the same for one server
-constexpr double kHangLatencies = 5;         // latencies; calls out for longer hang and take no capacity,
-constexpr double kMinHangAims = 0.3;         // aims at least,
-constexpr double kMaxHangAims = 1.5;  // aims at most; such slow answers can't be told from hanging calls
-constexpr double kPriorCalls = 8;     // quick calls assumed before any are answered
-
-constexpr double kSparse = 3;         // calls in flight; a balancer with fewer at a time is sparse
-constexpr double kSmallCapacity = 5;  // calls; below it chance dominates and latency decides
-constexpr double kSparseLate = 0.7;   // of the aim; where answers are slower a sparse balancer holds back,
-constexpr double kSparseOver = 0.35;  // and here already what exceeds a tenant's share,
-constexpr int kQuickStreak = 3;       // answers in a row that are not late; earlier ones then count half
-constexpr double kSparseSlope = 4;    // at a quarter more than these bounds all of that is held back
-constexpr double kMaxSparseRefusal = 0.9;  // of the calls; some must go, or nothing is learned,
-constexpr double kForgetAims = 15;         // aims; and more of them the older the measurements are
-
-constexpr double kOverShareCapacity = 0.8;    // of the capacity is for calls beyond their tenants' shares
-constexpr double kOverShareDeviations = 1.5;  // standard deviations, at least, are kept for the others
-
-constexpr double kLatencyGain = 0.05;        // weight of one sample in the latency estimates
-constexpr double kMinTypicalLatency = 0.01;  // of the aim; differences below it do not matter to a client
+constexpr double kQueueFactor = 1.5;  // x the latency of an idle tier: latency up to which calls are admitted
+constexpr double kShortQueue = 0.2;   // fraction of the aim: a queue shorter than this is no reason to refuse
+constexpr double kMaxAimRatio = 3;    // x a class's aim: cap on the mean aim that its calls are admitted by
+constexpr double kBurstDeviations = 3;  // standard deviations above the mean that a random burst may have
+constexpr double kMaxBurst = 0.7;  // fraction of the aim: time within which a random burst must be answered
+
+constexpr double kMinServerCapacity = 2;  // calls over all balancers: added to any server's measured capacity
+constexpr double kInitialCapacity = 6;    // calls over all balancers: added while a server is not measured
+constexpr double kMeasuringCalls = 60;  // ended calls of a server in which its initial capacity falls to 1/e
+constexpr double kFullyMeasured = 8;    // x kMeasuringCalls: ended calls that leave no initial capacity
+constexpr double kStartFade = 0.5;  // fraction of the aim: latency from which the initial capacity is reduced
+constexpr double kStartEnd = 0.7;   // fraction of the aim: latency from which there is no initial capacity
+constexpr double kTierMemoryAnswers = 32;    // answers: fewest that the tier's rate and latency average over
+constexpr double kServerMemoryAnswers = 16;  // answers: fewest that one server's rate is averaged over
+constexpr double kHangLatencies = 5;  // x the mean latency: age from which a call hangs and takes no capacity
+constexpr double kMinHangAims = 0.3;  // x the aim: lower bound of the age from which a call hangs
+constexpr double kMaxHangAims = 1.5;  // x the aim: upper bound of the age from which a call hangs
+constexpr double kPriorCalls = 8;     // quickly answered calls that the latency estimate starts with
+
+constexpr double kSparse = 3;         // calls in flight: with fewer on average, a balancer is sparse
+constexpr double kSmallCapacity = 5;  // calls: below this capacity chance dominates, so latency decides
+constexpr double kSparseLate = 0.7;   // fraction of the aim: latency above which sparse calls are refused
+constexpr double kSparseOver = 0.35;  // fraction of the aim: latency above which over-share calls are refused
+constexpr int kQuickStreak = 3;       // quick answers in a row after which all earlier ones count half
+constexpr double kSparseSlope = 4;  // calls refused, as a fraction, per relative excess of the latency bound
+constexpr double kMaxSparseRefusal = 0.9;  // fraction of calls refused at most: the others measure the tier
+constexpr double kForgetAims = 15;  // x the aim, without calls in flight: time in which refusals fall to 1/e
+
+constexpr double kOverShareCapacity = 0.8;  // fraction of the capacity for calls beyond their tenants' shares
+constexpr double kOverShareDeviations = 1.5;  // x sqrt(capacity): least capacity kept for calls within shares
+
+constexpr double kLatencyGain = 0.05;        // weight of one sample in the estimates of aim and latency
+constexpr double kMinTypicalLatency = 0.01;  // fraction of the aim: less makes no difference to a client
 
 // Estimates how many further calls fit, for one server and for the tier.
 class CapacityEstimator {
@@ -67,7 +67,7 @@
   void on_ended(double now, Outcome outcome, double sent_at, double elapsed, double aim_fraction) {
     const bool answered = outcome == Outcome::kDelivered;
     const bool reached = outcome != Outcome::kDialFailed;
-    // A call that reached no server waited for none; one without an answer was late, however long.
+    // Time of failed connects does not count, nor what a call without an answer spent beyond the aim.
     const double surplus = !reached ? elapsed : answered ? 0 : std::max(0.0, elapsed - aim());
     meter_.on_ended(now, answered, reached, surplus, kTierMemoryAnswers);
     meter_.cap_call_time(aim(), kPriorCalls);
@@ -82,9 +82,9 @@
     if (answered || outcome == Outcome::kTimedOut) tier_latency_.add(aim_fraction, kLatencyGain);
   }
 
-  double aim() const { return std::max(aim_.mean, 1e-6); }               // s, of the calls that come
-  double idle_latency() const { return idle_.estimate(aim()) / aim(); }  // without queues, of the aim
-  double mean_latency() const { return tier_latency_.mean; }             // of the tier, of the aim
+  double aim() const { return std::max(aim_.mean, 1e-6); }               // s, mean over the requests
+  double idle_latency() const { return idle_.estimate(aim()) / aim(); }  // of an idle tier / aim
+  double mean_latency() const { return tier_latency_.mean; }             // of the tier / aim
   double typical_latency() const { return std::max(tier_latency_.mean, kMinTypicalLatency); }
 
   // Present latency as a fraction of the aim; calls in flight count with their age.
@@ -96,7 +96,7 @@
   bool is_sparse(double now) const { return std::max<double>(waiting(now), meter_.mean_calls()) < kSparse; }
 
   // Whether a server can take a call. Calls that hang at a silent server take no capacity. The initial
-  // capacity is split among balancers by random rounding: many small starts at once are a crowd.
+  // capacity is split among balancers by random rounding, or all of them would send one call at once.
   bool fits_server(double now, const ServerRecord& s, double sharers) const {
     if (!limited_ || is_sparse(now)) return true;
     const double capacity = initial_capacity(now, s.meter, 1) / sharers + burst_capacity(now, s.meter, aim());
@@ -106,13 +106,13 @@
     return std::max(0.0, s.in_flight - hanging) + s.rounding < std::max(1.0, capacity * s.health.ramp(now));
   }
 
-  // The same for the tier, whose measure is steadier: calls go where a server's noisy measure favours it.
-  // `aim` is the call's own, or short aims would miss it beside classes that may wait. Calls beyond their
-  // tenant's share only fit while capacity is left for others.
+  // Whether the tier can take a call. It is checked besides the servers, as calls go to those whose noisy
+  // estimates are too high. `aim` is that of the call's class: by the mean aim, calls with a short one would
+  // be late behind classes that may wait. Calls beyond their tenant's share leave some capacity to others.
   bool fits_tier(double now, double aim, bool within_share, double servers, double sharers,
                  Random& random) const {
     if (!limited_) return true;
-    // Many balancers with a call or two each are a crowd that none of them sees in its own calls.
+    // Many balancers with one or two calls each can overload the tier: only latency shows that to each.
     if (target() * meter_.rate(now) < kSmallCapacity) {
       const double late = lateness(now);
       const double bound = within_share ? kSparseLate : std::max(kSparseOver, target() / this->aim());
@@ -134,7 +134,7 @@
     return std::clamp(aims, kMinHangAims, kMaxHangAims) * aim();
   }
 
-  // Calls in flight that do not hang. Where answers are slow, old calls need not hang.
+  // Calls in flight that do not hang; all of them if answers are too slow to tell them from hanging calls.
   int waiting(double now) const {
     const double age = hang_age();
     return age < kMaxHangAims * aim() ? calls_by_age_.younger_than(now, age) : meter_.in_flight();
--- a/src/outlier_detector.h
+++ b/src/outlier_detector.h
@@ -1,6 +1,6 @@
 // Outlier ejection: servers that refuse connections, never come up or break off calls get no calls for a
 // while. It does not choose servers; the choice consults it.
-// Its times are on the scale on which processes die and restart, not on that of answers.
+// Its times are sized for the crash and restart of a process, not for the latency of answers.
 #pragma once
 
 #include <algorithm>
@@ -14,30 +14,30 @@
 
 namespace quinceusher {
 
-constexpr int kMaxConnectFailures = 3;      // in a row; 1 where the server has never answered
-constexpr int kMaxUnanswered = 6;           // calls in a row without an answer
-constexpr int kMaxRejections = 4;           // calls in a row turned away: the server is full or drains
-constexpr double kMinProbeBackoff = 0.25;   // s before the first probe, doubled by each that fails
-constexpr double kMaxProbeBackoff = 2;      // s; a server that is back has its share within twice that
-constexpr double kRelapse = 10;             // s; one that is ejected again so soon keeps its longer backoff
-constexpr double kRampSeconds = 2;          // from the first answer of a restored server to its full share
-constexpr double kRampStart = 0.1;          // of its share, at the start of that
-constexpr double kProbeBudgetRatio = 0.1;   // probes per request
-constexpr double kMaxProbeBudget = 3;       // probes saved up
-constexpr std::size_t kMaxSkipped = 8;      // servers that one request may skip to find one that it may probe
-constexpr double kSharedRatio = 0.5;        // of all calls failing: the cause is not one server's
-constexpr std::size_t kHealthyDivisor = 4;  // one in so many servers is never ejected for failed calls
-constexpr double kFailureRatioGain = 0.05;  // weight of one call in that ratio
-constexpr double kLastResortSeconds = 0.05;  // between probes where no server is healthy
-constexpr double kNoRepeatableSeconds = 5;   // without a repeatable request
-constexpr double kUnsafeProbeSeconds = 10;   // overdue; no other request has found out: an unsafe one must
+constexpr int kMaxConnectFailures = 3;  // failed connects in a row that eject; 1 if a server never answered
+constexpr int kMaxUnanswered = 6;       // calls in a row without an answer that eject a server
+constexpr int kMaxRejections = 4;       // rejected calls in a row that eject: the server is full or drains
+constexpr double kMinProbeBackoff = 0.25;  // seconds before the first probe; each that fails doubles the time
+constexpr double kMaxProbeBackoff = 2;  // seconds between probes: a server is back in full within twice that
+constexpr double kRelapse = 10;  // seconds: a server ejected again within this time keeps its longer backoff
+constexpr double kRampSeconds = 2;  // seconds from the first answer of a restored server to its full share
+constexpr double kRampStart = 0.1;  // fraction of its share that a restored server gets at first
+constexpr double kProbeBudgetRatio = 0.1;  // probes earned per request
+constexpr double kMaxProbeBudget = 3;      // probes that can be saved up
+constexpr std::size_t kMaxSkipped = 8;     // servers that one request may skip to find one that it may probe
+constexpr double kSharedRatio = 0.5;       // fraction of calls failing at which the cause is not one server's
+constexpr std::size_t kHealthyDivisor = 4;   // one in so many servers is never ejected for failed calls
+constexpr double kFailureRatioGain = 0.05;   // weight of one call in the ratios of failed and rejected calls
+constexpr double kLastResortSeconds = 0.05;  // seconds between probes where no server is healthy
+constexpr double kNoRepeatableSeconds = 5;   // seconds without a repeatable request, then others may probe
+constexpr double kUnsafeProbeSeconds = 10;   // seconds that a probe is overdue before an unsafe call does it
 
 // Health of one server as a balancer sees it.
 struct ServerHealth {
   int connect_failures = 0, unanswered = 0, rejections = 0;  // in a row
   bool answered_ever = false;
   bool ejected = false;
-  bool avoided = false;  // not ejected, but unhealthy for what it has lost
+  bool avoided = false;  // not ejected, but unhealthy, as calls to it failed
   bool probing = false;
   bool fails_unrun = false;  // ejected for a cause by which nothing that was sent can have run
   double ejected_at = 0, next_probe_at = 0, backoff = 0, probed_at = 0;
--- a/src/routing/quota.cpp
+++ b/src/routing/quota.cpp
@@ -6,26 +6,26 @@
 namespace nettlestand::tier {
 namespace {
 
-constexpr double kHoldSeconds = 0.4;     // of its present rate, in tokens that a node holds,
-constexpr double kMinHeldTokens = 2;     // and so many at least
-constexpr double kMaxHeldSeconds = 0.1;  // of the tenant's whole rate: others may need what a node holds
-constexpr double kHeldShare = 0.6;       // of the spare tokens of a window: all nodes together hold no more,
-constexpr double kMaxHeldShare = 0.9;    // or so much, if that is one token each
-constexpr std::size_t kMaxWaiting = 4;
-constexpr double kMinMeasureSeconds = 0.2;   // urgent polls come closer together
-constexpr double kRateSmoothing = 0.5;       // weight of the newest measurement
-constexpr Millis kExhaustedMs = 120;         // how long a tenant at its limit is denied at once
-constexpr double kDepthShare = 0.75;         // of what the bounds leave for a bucket's depth
-constexpr double kSuccessorShare = 0.1;      // of the depth, for a successor: two owners fit in a window
+constexpr double kHoldSeconds = 0.4;     // seconds of a node's present rate, in tokens that it holds unused
+constexpr double kMinHeldTokens = 2;     // tokens that a node holds unused, at least
+constexpr double kMaxHeldSeconds = 0.1;  // seconds of a tenant's rate that a node may hold: others need some
+constexpr double kHeldShare = 0.6;     // fraction of a window's spare tokens that all nodes together may hold
+constexpr double kMaxHeldShare = 0.9;  // fraction of the spare tokens held by all, if that is one a node
+constexpr std::size_t kMaxWaiting = 4;       // waiting requests of a tenant that a poll asks tokens for
+constexpr double kMinMeasureSeconds = 0.2;   // seconds between rate measurements; polls may come closer
+constexpr double kRateSmoothing = 0.5;       // weight of the newest measurement in a rate
+constexpr Millis kExhaustedMs = 120;         // ms for which a tenant at its limit is denied at once
+constexpr double kDepthShare = 0.75;         // fraction of the spare tokens not held by nodes, for a bucket
+constexpr double kSuccessorShare = 0.1;      // fraction of the depth a successor starts with: two owners fit
 constexpr double kRefillFactor = 1.04;       // x the rate: rounding must not cost a tenant any of it
-constexpr double kTypicalHeldSeconds = 0.3;  // of the rate, which nodes usually hold together
-constexpr double kFallbackDepthSeconds = 0.5;
+constexpr double kTypicalHeldSeconds = 0.3;  // seconds of a tenant's rate, in tokens that all nodes hold
+constexpr double kFallbackDepthSeconds = 0.5;  // seconds of a node's fixed share that it may save up
 
-constexpr Millis kMinPollMs = 250;
-constexpr Millis kPollMsPerEdge = 10;
-constexpr Millis kMaxPollMs = 900;    // several polls must fit into a node's lease
-constexpr Millis kFallbackPolls = 3;  // so many without an answer
-constexpr Millis kMissingMarginMs = 150;
+constexpr Millis kMinPollMs = 250;     // ms between an edge node's polls, at least
+constexpr Millis kPollMsPerEdge = 10;  // ms added to the poll interval per edge node
+constexpr Millis kMaxPollMs = 900;     // ms between polls at most: several must fit into a node's lease
+constexpr Millis kFallbackPolls = 3;   // poll intervals without an answer before a node uses its fixed share
+constexpr Millis kMissingMarginMs = 150;  // ms by which the owner counts a node missing before its fallback
 
 }  // namespace
 
--- a/src/routing/quota.h
+++ b/src/routing/quota.h
@@ -73,7 +73,7 @@
   struct HeldTokens {
     double tokens = 0;
     double rate = 0;                // requests per second, smoothed
-    double max_unused = 0;          // that this node may hold
+    double max_unused = 0;          // tokens that this node may hold unused
     std::size_t requests_seen = 0;  // since the last request for tokens
     std::size_t waiting = 0;
     Millis measured_at = 0;
--- a/src/server_table.h
+++ b/src/server_table.h
@@ -1,4 +1,4 @@
-// The servers that a balancer knows, and what it measured of each. Changes cost by their number.
+// The servers that a balancer knows, and what it measured of each. A list costs time by its changes.
 #pragma once
 
 #include <algorithm>
@@ -14,8 +14,8 @@
 
 namespace quinceusher {
 
-constexpr double kLatencyMemory = 8;  // s; older answers fade, so that an avoided server is tried again
-constexpr double kMaxAnswers = 4;     // calls; more would hide a change from a balancer with many calls
+constexpr double kLatencyMemory = 8;  // seconds in which an answer fades to 1/e: slow servers are tried again
+constexpr double kMaxAnswers = 4;  // answers in a server's mean latency: more would hide change at high rates
 
 // One server as listed and as measured.
 struct ServerRecord {
@@ -29,9 +29,9 @@
   DecayingMean latency{kLatencyMemory, kMaxAnswers};  // relative to the tier's
   ServerHealth health;
   double send_time_sum = 0;  // over the calls in flight
-  double rounding = 0;       // random part of a call, against synchronous decisions of many balancers
+  double rounding = 0;       // random part of a call, so that balancers with equal estimates differ
   std::uint64_t last_list = 0, listed_in_batch = 0;
-  bool listed = false;  // in the rings: ready
+  bool listed = false;  // ready, and so in the rings
   std::size_t healthy_index = static_cast<std::size_t>(-1);
 };
 
@@ -129,7 +129,7 @@
   }
 
  private:
-  static constexpr std::size_t kMaxExactSum = 64;  // servers
+  static constexpr std::size_t kMaxExactSum = 64;  // servers: up to so many are summed anew at a change
   static constexpr std::size_t kNoIndex = static_cast<std::size_t>(-1);
 
   void commit_rings() {
@@ -161,7 +161,7 @@
   void unlist(std::size_t slot) {
     ServerRecord& s = slots_[slot];
     if (!s.listed) return;
-    if (s.listed_in_batch == batch_) commit_rings();  // named twice in one list
+    if (s.listed_in_batch == batch_) commit_rings();  // the list names the server twice
     s.listed = false;
     ready_.erase(s.ring_key, slot);
     zone_ring(s).erase(s.ring_key, slot);
--- a/src/support.h
+++ b/src/support.h
@@ -45,7 +45,7 @@
 };
 
 // Rate and latency of answers by the time in which calls were in flight. Decays by the number of answers, so
-// it works at any rate, and falls by itself while calls are in flight and nothing comes.
+// it works at any rate, and the rate falls while calls are in flight and no answer comes.
 class ThroughputMeter {
  public:
   int in_flight() const { return in_flight_; }
@@ -70,8 +70,8 @@
     call_seconds_ *= 1 - part;
   }
 
-  // Caps the time that calls count for at `longest`. Otherwise measurements of an outage would outweigh those
-  // after it the more, the longer it was.
+  // Caps the time that calls count for at `longest`. Otherwise, the longer an outage, the more its
+  // measurements would outweigh those after it.
   void cap_call_time(double longest, double prior) {
     call_seconds_ = std::min(call_seconds_, longest * (prior + answers_));
     busy_seconds_ = std::min(busy_seconds_, longest * std::max(1.0, answers_));
@@ -95,7 +95,7 @@
   }
 
  private:
-  static constexpr double kMemoryLatencies = 2;  // the memory spans so many latencies, or more
+  static constexpr double kMemoryLatencies = 2;  // x the latency: least time that the rates average over
   void advance(double now) {
     if (in_flight_ > 0) {
       busy_seconds_ += now - updated_at_;
@@ -110,7 +110,7 @@
 // Calls in flight by the time they were sent, to count the young ones.
 class CallAges {
  public:
-  // Older calls are not told apart by age.
+  // Sets the age up to which younger_than() can count; older calls are dropped.
   void set_max_age(double max_age) { width_ = max_age / static_cast<double>(kBuckets); }
   // Calls that were sent within `age`.
   int younger_than(double now, double age) const {
@@ -174,16 +174,16 @@
   Sum decayed_;
 };
 
-constexpr double kInitialIdleFraction = 0.15;  // of the aim; latency without queues until it is learned
-constexpr double kMaxIdleFraction = 0.4;  // of the aim; a start under load must not take its queue for normal
-constexpr double kMinIdleSamples = 20;    // answers before the latency counts as learned
-constexpr double kIdleGain = 0.02;        // weight of one answer
-constexpr double kIdleSettleLatencies = 10;  // latencies; before, only the quickest calls have been answered,
-constexpr double kMaxIdleSettleSeconds = 3;  // s at most
-constexpr double kIdleFallLatencies = 16;    // latencies; how fast the estimate follows a quicker tier,
-constexpr double kMaxIdleFallSeconds = 5;    // s at most
-constexpr double kMinIdleRiseSeconds = 60;   // s; how fast it follows a slower one: queues must not raise it,
-constexpr double kMinIdleRiseLatencies = 160;  // latencies at least
+constexpr double kInitialIdleFraction = 0.15;  // fraction of the aim: idle latency until it is learned
+constexpr double kMaxIdleFraction = 0.4;  // fraction of the aim: cap on idle latency, if it starts under load
+constexpr double kMinIdleSamples = 20;    // answers before the idle latency counts as learned
+constexpr double kIdleGain = 0.02;        // weight of one answer in the recent mean of latencies
+constexpr double kIdleSettleLatencies = 10;    // x the latency: time before learning; quick calls end first
+constexpr double kMaxIdleSettleSeconds = 3;    // seconds: longest time before the idle latency is learned
+constexpr double kIdleFallLatencies = 16;      // x the latency: time to follow a tier that became quicker
+constexpr double kMaxIdleFallSeconds = 5;      // seconds: longest time to follow a tier that became quicker
+constexpr double kMinIdleRiseSeconds = 60;     // seconds: least time to follow a slower tier, not its queues
+constexpr double kMinIdleRiseLatencies = 160;  // x the latency: least time to follow a slower tier
 
 // Latency without queues: falls soon and rises slowly. The first answers after a start are those of the
 // quickest calls; a limit learned from them would starve the tier.
@@ -283,7 +283,7 @@
  public:
   int denied = 0, unplaced = 0, ejected = 0, restored = 0;  // since the last line
   void count_shed(int& count, double now, int ejected_now, int servers, std::vector<Action>& actions) {
-    constexpr double kPeriod = 5;  // s; least time between two lines
+    constexpr double kPeriod = 5;  // seconds between two log lines at least
     if (denied + unplaced + ejected + restored == 0) next_ = now + kPeriod;
     if (++count; now < next_) return;
     actions.push_back(shedding_line(denied, unplaced, ejected, restored, ejected_now, servers));
