--- a/core/engine.cpp
+++ b/core/engine.cpp
@@ -56,7 +56,7 @@
   auto& timer =
       timers_.try_emplace(++last_timer_, io_, to_time_point(now() + kFirstListWaitSeconds)).first->second;
   timer.async_wait([this](const error_code& error) {
-    if (!error) asked_ = true;
+    if (!error) discovery_settled_ = true;
   });
 }
 
@@ -160,7 +160,7 @@
 
 void Engine::on_server_list(const ServerList& list) {
   apply_list(list);
-  asked_ = true;
+  discovery_settled_ = true;
 }
 
 // Bounds the memory that server lists can take.
@@ -197,7 +197,7 @@
 }
 
 void Engine::on_watch_failed() {
-  asked_ = true;
+  discovery_settled_ = true;
   qu::MembershipUpdate update;
   update.form = qu::MembershipUpdate::Form::kFailed;
   post(update);
--- a/core/engine.h
+++ b/core/engine.h
@@ -103,7 +103,7 @@
   void on_balancers_changed(int index, int count, double sharers);
 
   // Whether requests can be served: there is a server, and discovery has delivered a list or had its time.
-  bool ready() const { return asked_ && servers_known_; }
+  bool ready() const { return discovery_settled_ && servers_known_; }
   std::size_t open() const { return open_count_; }  // requests without an answer
 
  private:
@@ -159,7 +159,7 @@
   bool running_ = false, shut_down_ = false;
   std::uint64_t last_id_ = 0;
   std::size_t open_count_ = 0;
-  std::atomic<bool> asked_ = false, servers_known_ = false;
+  std::atomic<bool> discovery_settled_ = false, servers_known_ = false;
 };
 
 }  // namespace nettlestand
--- a/src/capacity.h
+++ b/src/capacity.h
@@ -25,8 +25,8 @@
 constexpr double kInitialCapacity = 6;    // calls over all balancers: added while a server is not measured
 constexpr double kMeasuringCalls = 60;  // ended calls of a server in which its initial capacity falls to 1/e
 constexpr double kFullyMeasured = 8;    // x kMeasuringCalls: ended calls that leave no initial capacity
-constexpr double kStartFade = 0.5;  // fraction of the aim: latency from which the initial capacity is reduced
-constexpr double kStartEnd = 0.7;   // fraction of the aim: latency from which there is no initial capacity
+constexpr double kFadeStart = 0.5;  // fraction of the aim: latency from which the initial capacity is reduced
+constexpr double kFadeEnd = 0.7;    // fraction of the aim: latency from which there is no initial capacity
 constexpr double kTierMemoryAnswers = 32;    // answers: fewest that the tier's rate and latency average over
 constexpr double kServerMemoryAnswers = 16;  // answers: fewest that one server's rate is averaged over
 constexpr double kHangLatencies = 5;  // x the mean latency: age from which a call hangs and takes no capacity
@@ -147,7 +147,7 @@
   double initial_capacity(double now, const ThroughputMeter& meter, double servers) const {
     const double measured = meter.ended_calls() / (kMeasuringCalls * servers);
     if (measured > kFullyMeasured) return kMinServerCapacity;
-    const double start = std::clamp((kStartEnd - lateness(now)) / (kStartEnd - kStartFade), 0.0, 1.0);
+    const double start = std::clamp((kFadeEnd - lateness(now)) / (kFadeEnd - kFadeStart), 0.0, 1.0);
     return kMinServerCapacity + start * kInitialCapacity * std::exp(-measured);
   }
 
--- a/src/server_table.h
+++ b/src/server_table.h
@@ -65,7 +65,8 @@
     const bool ready = server.state == ServerState::kReady;
     ServerRecord& s = slots_[slot];
     // A new process, a new zone or the end of a drain starts the server anew.
-    if (s.listed && (!ready || server.zone != s.info.zone || server.started != s.info.started)) unlist(slot);
+    if (s.listed && (!ready || server.zone != s.info.zone || server.started != s.info.started))
+      remove_from_rings(slot);
     if (is_new || server.started != s.info.started) {
       ServerRecord fresh;  // a new process: measurements of the last one do not apply
       fresh.ring_key = hash_of(server.address);
@@ -81,7 +82,7 @@
     if (!(s.info.weight > 0)) s.info.weight = 1;
     if (s.listed) ready_weight_ += s.info.weight;
     s.last_list = full_list_;
-    if (ready && !s.listed) list(slot);
+    if (ready && !s.listed) add_to_rings(slot);
     if (server.state == ServerState::kGone) gone_.push_back(slot);
   }
 
@@ -91,7 +92,7 @@
     for (std::size_t slot = 0; slot < slots_.size(); ++slot) {
       ServerRecord& s = slots_[slot];
       if (s.last_list == full_list_ || s.info.address.empty() || s.info.state == ServerState::kGone) continue;
-      unlist(slot);
+      remove_from_rings(slot);
       s.info.state = ServerState::kGone;
       gone_.push_back(slot);
     }
@@ -147,7 +148,7 @@
 
   Ring& zone_ring(const ServerRecord& s) { return s.info.zone == own_zone_ ? own_ring_ : remote_ring_; }
 
-  void list(std::size_t slot) {
+  void add_to_rings(std::size_t slot) {
     ServerRecord& s = slots_[slot];
     s.listed = true;
     s.listed_in_batch = batch_;
@@ -158,7 +159,7 @@
     update_health(slot);
   }
 
-  void unlist(std::size_t slot) {
+  void remove_from_rings(std::size_t slot) {
     ServerRecord& s = slots_[slot];
     if (!s.listed) return;
     if (s.listed_in_batch == batch_) commit_rings();  // the list names the server twice
