--- a/adapter/drill.cpp
+++ b/adapter/drill.cpp
@@ -194,7 +194,7 @@
       balancer.reset();
       balancer = std::make_unique<qu::Balancer>(read_settings(require(item, "config")),
                                                 unsigned_integer(item, "initSeed"));
-      actions_.clear();  // an instance's actions before its stop in this batch are void
+      actions_.clear();  // drops what the former instance did earlier in this batch
       balancer->handle(now, qu::Started{}, actions_);
     } else if (kind == "POWER_OFF") {
       balancer.reset();
--- a/core/engine.cpp
+++ b/core/engine.cpp
@@ -48,7 +48,7 @@
 
 void Engine::start() {
   post(qu::Started{});
-  if (!options_.settings.must_watch) watch_();  // pushed lists come on the same stream
+  if (!options_.settings.must_watch) watch_();  // pushed lists come on the stream that this opens
   if (!options_.last_known_servers) return;
   ServerList known = *options_.last_known_servers;
   known.is_full = true;
@@ -89,7 +89,7 @@
 }
 
 std::uint64_t Engine::submit(Call call, std::shared_ptr<Caller> caller) {
-  const std::uint64_t number = ++last_id_;  // not the client's id, which may be used twice
+  const std::uint64_t number = ++last_id_;  // a client may use its own id twice, so that can't be the key
   if (shut_down_) {
     caller->answered({Reply::Kind::kShutDown, 0, nullptr});
     return number;
--- a/src/admission/sliding_window.h
+++ b/src/admission/sliding_window.h
@@ -9,7 +9,7 @@
 
 namespace quinceusher {
 
-// Total and declined calls of the last seconds, in buckets; the newest of these also make the short rate.
+// Total and declined calls of the last seconds, in buckets; the newest buckets also give the short rate.
 class SlidingWindow {
  public:
   struct Sums {
@@ -50,7 +50,7 @@
 
   // Subtracts what leaves the sums once `slot` is the newest.
   void subtract_expired(std::int64_t slot, Sums& sums) const {
-    const Bucket& old = at(slot);  // a window earlier, this bucket was in its place
+    const Bucket& old = at(slot);  // its place still holds the bucket of one window earlier
     sums.total -= old.total;
     sums.declined -= old.declined;
     if (slot - short_buckets_ <= newest_slot_) sums.last_second -= at(slot - short_buckets_).total;
@@ -79,7 +79,7 @@
   std::vector<Bucket> buckets_;
   Sums sums_;
   std::int64_t newest_slot_ =
-      std::numeric_limits<std::int64_t>::min() / 2;  // the latest that anything was added to
+      std::numeric_limits<std::int64_t>::min() / 2;  // the latest slot that a call was added to
 };
 
 }  // namespace quinceusher
--- a/src/admission/tenant_limit.h
+++ b/src/admission/tenant_limit.h
@@ -84,7 +84,7 @@
       rate_before_drop = std::max(rate_before_drop, accepted);
       limit = std::max(min_limit, std::min(limit, std::max(accepted, share)) * kDropFactor);
     } else if (bad_calls <= kRiseRatio * ended_calls && accepted > limit / 2) {
-      // Without a configured share, it returns quickly to half of the earlier rate.
+      // Without a configured share, the limit doubles up to half of the rate before the drop.
       const bool far_off = share == 0 && limit < rate_before_drop / 2;
       limit *= far_off ? 2 : 1 + kRiseFraction * (limit < fast_rise_factor * share ? 1 : over_share_worth);
       if (!far_off) rate_before_drop = 0;
--- a/src/balancer.cpp
+++ b/src/balancer.cpp
@@ -49,9 +49,9 @@
 constexpr double kFailureLatency = 8;  // x the tier's latency: what a call without an answer counts as
 constexpr double kUnhealthyRatio = 3;  // x the tier's latency: a server this slow is avoided
 
-constexpr double kDedupWindowFraction = 0.95;  // fraction of a dedup window to send in; the rest is travel
+constexpr double kDedupWindowFraction = 0.95;  // fraction of a dedup window to send in; the rest is transit
 constexpr double kLateDeviations = 6;      // deviations above the mean latency from which an attempt is late
-constexpr double kMinLateFraction = 0.05;  // fraction of the aim: no attempt is late before
+constexpr double kMinLateFraction = 0.05;  // fraction of the aim before which no attempt counts as late
 constexpr double kMaxLateAim = 60;  // seconds: cap on the aim for kMinLateFraction, as an aim may be infinite
 constexpr double kRetryBudgetRatio = 0.2;  // retries earned per first attempt
 constexpr double kMaxRetryBudget = 5;      // retries that can be saved up
--- a/src/capacity.h
+++ b/src/capacity.h
@@ -49,7 +49,7 @@
 constexpr double kLatencyGain = 0.05;        // weight of one sample in the estimates of aim and latency
 constexpr double kMinTypicalLatency = 0.01;  // fraction of the aim: less makes no difference to a client
 
-// Estimates how many further calls fit, for one server and for the tier.
+// Estimates whether a further call fits, for one server and for the tier.
 class CapacityEstimator {
  public:
   // Not `limited`: nothing is refused for lack of capacity, as past tier 0 a refusal wastes earlier work.
@@ -92,7 +92,7 @@
 
   bool answers_quickly(double now) const { return streak_ >= kQuickStreak && lateness(now) < kSparseOver; }
 
-  // Whether calls are too few to judge by those in flight: one on average is three at once by chance.
+  // Whether too few calls are in flight to judge by: with a mean of one, chance often makes it three.
   bool is_sparse(double now) const { return std::max<double>(waiting(now), meter_.mean_calls()) < kSparse; }
 
   // Whether a server can take a call. Calls that hang at a silent server take no capacity. The initial
@@ -100,7 +100,7 @@
   bool fits_server(double now, const ServerRecord& s, double sharers) const {
     if (!limited_ || is_sparse(now)) return true;
     const double capacity = initial_capacity(now, s.meter, 1) / sharers + burst_capacity(now, s.meter, aim());
-    // By the mean age: calls hardly hang where the others are young.
+    // Judged by the mean age: a low mean means that hardly any call hangs.
     const double total_age = s.in_flight * now - s.send_time_sum, hang_limit = hang_age();
     const double hanging = total_age > s.in_flight * hang_limit / 2 ? total_age / hang_limit : 0;
     return std::max(0.0, s.in_flight - hanging) + s.rounding < std::max(1.0, capacity * s.health.ramp(now));
--- a/src/ring.h
+++ b/src/ring.h
@@ -46,7 +46,7 @@
 
  private:
   using Entry = std::pair<std::uint64_t, std::size_t>;
-  static constexpr std::size_t kMaxSingleChanges = 8;  // more are merged at once
+  static constexpr std::size_t kMaxSingleChanges = 8;  // changes: more are merged in one pass
   std::vector<Entry> entries_, added_, removed_;
 };
 
--- a/src/routing/quota.h
+++ b/src/routing/quota.h
@@ -14,9 +14,10 @@
 
 namespace nettlestand::tier {
 
-// How long without an answer of the owner until a node falls back on its fixed share.
+// Time without an answer of the owner after which a node falls back on its fixed share.
 Millis quota_fallback_ms(std::size_t edges);
-// How long until the owner counts a silent node as out of touch, which is sooner.
+// Time without a poll after which the owner counts a node as missing: less than quota_fallback_ms(), so that
+// the owner sets the node's fixed share aside before the node uses it.
 Millis quota_missing_ms(std::size_t edges);
 // Interval of an edge node's polls: with more nodes each polls less often.
 Millis edge_poll_ms(std::size_t edges);
@@ -61,7 +62,7 @@
   explicit QuotaLease(QuotaBounds bounds = {}) : bounds_(bounds) {}
   // Takes a token for a request. kWait: a grant may come within moments.
   Result acquire(Millis now, const Tenant& tenant);
-  // What to request and to return with the next poll.
+  // The tokens to request and to return with the next poll.
   std::vector<TokenRequest> requests(Millis now);
   // Takes over the answer to a poll that was sent at `asked_at`. A grant that is so late that the node has
   // fallen back on its fixed share meanwhile is dropped: the owner has counted that share as used.
@@ -74,8 +75,8 @@
     double tokens = 0;
     double rate = 0;                // requests per second, smoothed
     double max_unused = 0;          // tokens that this node may hold unused
-    std::size_t requests_seen = 0;  // since the last request for tokens
-    std::size_t waiting = 0;
+    std::size_t requests_seen = 0;  // since `measured_at`
+    std::size_t waiting = 0;        // requests since the last poll that found no token
     Millis measured_at = 0;
     Millis exhausted_until = 0;
     Millis fallback_at = 0;
--- a/src/server_table.h
+++ b/src/server_table.h
@@ -28,7 +28,7 @@
   ThroughputMeter meter;
   DecayingMean latency{kLatencyMemory, kMaxAnswers};  // relative to the tier's
   ServerHealth health;
-  double send_time_sum = 0;  // over the calls in flight
+  double send_time_sum = 0;  // sum over the calls in flight
   double rounding = 0;       // random part of a call, so that balancers with equal estimates differ
   std::uint64_t last_list = 0, listed_in_batch = 0;
   bool listed = false;  // ready, and so in the rings
@@ -130,7 +130,7 @@
   }
 
  private:
-  static constexpr std::size_t kMaxExactSum = 64;  // servers: up to so many are summed anew at a change
+  static constexpr std::size_t kMaxExactSum = 64;  // servers: the weight of up to so many is summed anew
   static constexpr std::size_t kNoIndex = static_cast<std::size_t>(-1);
 
   void commit_rings() {
--- a/src/support.h
+++ b/src/support.h
@@ -107,7 +107,7 @@
   double updated_at_ = 0, answers_ = 0, busy_seconds_ = 0, call_seconds_ = 0, ended_calls_ = 0;
 };
 
-// Calls in flight by the time they were sent, to count the young ones.
+// Counts calls in flight by their send time, to tell how many are younger than a given age.
 class CallAges {
  public:
   // Sets the age up to which younger_than() can count; older calls are dropped.
@@ -146,7 +146,7 @@
   int at(std::int64_t slot) const { return buckets_[place(slot)]; }
 
   double width_ = 1;
-  std::int64_t newest_slot_ = std::numeric_limits<std::int64_t>::min() / 2;  // of the newest call
+  std::int64_t newest_slot_ = std::numeric_limits<std::int64_t>::min() / 2;  // slot of the newest call
   std::array<int, kBuckets> buckets_{};
 };
 
@@ -223,8 +223,8 @@
   double useful_until = 0;  // when the answer becomes worthless
   std::vector<Attempt> attempts;
   bool finished = false, streaming = false;
-  bool within_share = true;  // of its tenant
-  bool nothing_ran = false;  // of the last attempt: it reached no server, or was turned away
+  bool within_share = true;  // within its tenant's share
+  bool nothing_ran = false;  // the last attempt reached no server, or was rejected
 
   bool any_open() const {
     return std::any_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.open; });
@@ -263,7 +263,7 @@
   double total_weight_ = 0;
 };
 
-// The log line on the shedding of one period.
+// Builds the log line that sums up the shedding since the line before.
 inline LogLine shedding_line(int denied, int unplaced, int ejected, int restored, int ejected_now,
                              int servers) {
   const auto n = [](int value) { return std::to_string(value); };
