--- a/core/engine.cpp
+++ b/core/engine.cpp
@@ -18,9 +18,9 @@
 // A client's time runs from its sending until the answer's last byte has arrived; this much of it is reserved
 // for the network and for a busy moment of this process.
 constexpr double kNetworkReserveSeconds = 0.025;
-constexpr double kMaxReserveFraction = 0.25;      // of the timeout
-constexpr double kDeadlineReserveFraction = 0.4;  // of the reserve, kept after the node's own deadline
-constexpr double kFirstListWaitSeconds = 1;  // how long a node with last known servers waits for a newer list
+constexpr double kMaxReserveFraction = 0.25;      // fraction of the timeout reserved at most
+constexpr double kDeadlineReserveFraction = 0.4;  // fraction of the reserve kept after the node's deadline
+constexpr double kFirstListWaitSeconds = 1;  // seconds that a node with last known servers waits for newer
 
 // The decision module's request ids are the engine's numbers.
 std::uint64_t number_of(const std::string& id) {
@@ -48,7 +48,7 @@
 
 void Engine::start() {
   post(qu::Started{});
-  if (!options_.settings.must_watch) watch_();  // pushed lists come on the same stream
+  if (!options_.settings.must_watch) watch_();  // pushed lists come on the stream that this opens
   if (!options_.last_known_servers) return;
   ServerList known = *options_.last_known_servers;
   known.is_full = true;
@@ -56,7 +56,7 @@
   auto& timer =
       timers_.try_emplace(++last_timer_, io_, to_time_point(now() + kFirstListWaitSeconds)).first->second;
   timer.async_wait([this](const error_code& error) {
-    if (!error) asked_ = true;
+    if (!error) discovery_settled_ = true;
   });
 }
 
@@ -89,7 +89,7 @@
 }
 
 std::uint64_t Engine::submit(Call call, std::shared_ptr<Caller> caller) {
-  const std::uint64_t number = ++last_id_;  // not the client's id, which may be used twice
+  const std::uint64_t number = ++last_id_;  // a client may use its own id twice, so that can't be the key
   if (shut_down_) {
     caller->answered({Reply::Kind::kShutDown, 0, nullptr});
     return number;
@@ -123,7 +123,7 @@
   withdraw_attempts(request);
 }
 
-// Ends a request that the decision module has not ended in time: the client gets a final answer anyway.
+// Ends a request, with a final answer to its client, that the decision module has not ended in time.
 void Engine::expire(std::uint64_t request, Reply::Kind kind) {
   OpenRequest* entry = find(request);
   if (entry == nullptr || !entry->caller) return;
@@ -160,7 +160,7 @@
 
 void Engine::on_server_list(const ServerList& list) {
   apply_list(list);
-  asked_ = true;
+  discovery_settled_ = true;
 }
 
 // Bounds the memory that server lists can take.
@@ -197,7 +197,7 @@
 }
 
 void Engine::on_watch_failed() {
-  asked_ = true;
+  discovery_settled_ = true;
   qu::MembershipUpdate update;
   update.form = qu::MembershipUpdate::Form::kFailed;
   post(update);
@@ -235,8 +235,8 @@
   }
 }
 
-// The only way to a final answer: whoever takes the caller answers it, and later ones find none. The answer
-// comes last of all, as the caller may submit its next request in it.
+// Ensures a single final answer: the code that takes the caller answers it, and later code finds none. The
+// answer is given last, as the caller may submit its next request from within answered().
 std::shared_ptr<Caller> Engine::take_caller(OpenRequest& entry) {
   if (!entry.caller) return nullptr;
   --open_count_;
--- a/src/server_table.h
+++ b/src/server_table.h
@@ -1,4 +1,4 @@
-// The servers that a balancer knows, and what it measured of each. Changes cost by their number.
+// The servers that a balancer knows, and what it measured of each. A list costs time by its changes.
 #pragma once
 
 #include <algorithm>
@@ -14,8 +14,8 @@
 
 namespace quinceusher {
 
-constexpr double kLatencyMemory = 8;  // s; older answers fade, so that an avoided server is tried again
-constexpr double kMaxAnswers = 4;     // calls; more would hide a change from a balancer with many calls
+constexpr double kLatencyMemory = 8;  // seconds in which an answer fades to 1/e: slow servers are tried again
+constexpr double kMaxAnswers = 4;  // answers in a server's mean latency: more would hide change at high rates
 
 // One server as listed and as measured.
 struct ServerRecord {
@@ -28,10 +28,10 @@
   ThroughputMeter meter;
   DecayingMean latency{kLatencyMemory, kMaxAnswers};  // relative to the tier's
   ServerHealth health;
-  double send_time_sum = 0;  // over the calls in flight
-  double rounding = 0;       // random part of a call, against synchronous decisions of many balancers
+  double send_time_sum = 0;  // sum over the calls in flight
+  double rounding = 0;       // random part of a call, so that balancers with equal estimates differ
   std::uint64_t last_list = 0, listed_in_batch = 0;
-  bool listed = false;  // in the rings: ready
+  bool listed = false;  // ready, and so in the rings
   std::size_t healthy_index = static_cast<std::size_t>(-1);
 };
 
@@ -65,7 +65,8 @@
     const bool ready = server.state == ServerState::kReady;
     ServerRecord& s = slots_[slot];
     // A new process, a new zone or the end of a drain starts the server anew.
-    if (s.listed && (!ready || server.zone != s.info.zone || server.started != s.info.started)) unlist(slot);
+    if (s.listed && (!ready || server.zone != s.info.zone || server.started != s.info.started))
+      remove_from_rings(slot);
     if (is_new || server.started != s.info.started) {
       ServerRecord fresh;  // a new process: measurements of the last one do not apply
       fresh.ring_key = hash_of(server.address);
@@ -81,7 +82,7 @@
     if (!(s.info.weight > 0)) s.info.weight = 1;
     if (s.listed) ready_weight_ += s.info.weight;
     s.last_list = full_list_;
-    if (ready && !s.listed) list(slot);
+    if (ready && !s.listed) add_to_rings(slot);
     if (server.state == ServerState::kGone) gone_.push_back(slot);
   }
 
@@ -91,7 +92,7 @@
     for (std::size_t slot = 0; slot < slots_.size(); ++slot) {
       ServerRecord& s = slots_[slot];
       if (s.last_list == full_list_ || s.info.address.empty() || s.info.state == ServerState::kGone) continue;
-      unlist(slot);
+      remove_from_rings(slot);
       s.info.state = ServerState::kGone;
       gone_.push_back(slot);
     }
@@ -129,7 +130,7 @@
   }
 
  private:
-  static constexpr std::size_t kMaxExactSum = 64;  // servers
+  static constexpr std::size_t kMaxExactSum = 64;  // servers: the weight of up to so many is summed anew
   static constexpr std::size_t kNoIndex = static_cast<std::size_t>(-1);
 
   void commit_rings() {
@@ -147,7 +148,7 @@
 
   Ring& zone_ring(const ServerRecord& s) { return s.info.zone == own_zone_ ? own_ring_ : remote_ring_; }
 
-  void list(std::size_t slot) {
+  void add_to_rings(std::size_t slot) {
     ServerRecord& s = slots_[slot];
     s.listed = true;
     s.listed_in_batch = batch_;
@@ -158,10 +159,10 @@
     update_health(slot);
   }
 
-  void unlist(std::size_t slot) {
+  void remove_from_rings(std::size_t slot) {
     ServerRecord& s = slots_[slot];
     if (!s.listed) return;
-    if (s.listed_in_batch == batch_) commit_rings();  // named twice in one list
+    if (s.listed_in_batch == batch_) commit_rings();  // the list names the server twice
     s.listed = false;
     ready_.erase(s.ring_key, slot);
     zone_ring(s).erase(s.ring_key, slot);
