--- a/tests/duties/processes_test.cpp
+++ b/tests/duties/processes_test.cpp
@@ -259,12 +259,25 @@
 TEST(DutiesProcesses, AVoterWithYesterdaysStateIsNotListenedTo) {
   RunningDuties running(4, 3, 1);
   const std::size_t leader_index = node_index(running.leader(0)), old = (leader_index + 1) % 3;
+  // The leader logs that it has connected once it has recorded the start of the other voter. It can only tell
+  // an outdated state if it has recorded a later start, so each start is kept running until then.
+  const auto recorded_starts = [&] {
+    const std::string log = running.world->node(leader_index).log();
+    const std::string connected = "connected to voter " + node_name(old) + "\"";
+    int count = 0;
+    for (std::size_t at = log.find(connected); at != std::string::npos; at = log.find(connected, at + 1))
+      ++count;
+    return count;
+  };
+  ASSERT_EVENTUALLY(recorded_starts() > 0);
   running.world->state(old).save();
   for (int i = 0; i < 2; ++i) {
+    const int recorded_before = recorded_starts();
     running.world->end_node(old, SIGKILL);
     running.world->start_node(old);
     running.world->node(old).await_ready();
     ASSERT_EVENTUALLY(running.leader(old) == node_name(leader_index));
+    ASSERT_EVENTUALLY(recorded_starts() > recorded_before);
   }
   running.world->end_node(old, SIGKILL);
   running.world->state(old).roll_back();
